--- a/libs/decisions/berylspindle_decisions/__init__.py
+++ b/libs/decisions/berylspindle_decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions under load and of the control plane."""
+"""Pure decision logic of request forwarding and of the control plane."""
--- a/libs/decisions/berylspindle_decisions/admission.py
+++ b/libs/decisions/berylspindle_decisions/admission.py
@@ -1,29 +1,29 @@
-"""Decide what is let in, and turn away early what is not.
+"""Limit the requests of one entry and reject the excess early, with fair shares between callers.
 
-Pattern of load: a burst, saturation, and a few callers that send most of it. Without a bound, work
-waits past its deadline, every answer is late, and memory grows until the process dies. Without
-shares, one caller that sends fast fills the places of all.
+Load: a burst, saturation, and a few callers that send most of it. Without a limit, work waits past
+its deadline, every answer is late, and memory grows until the process dies. Without shares, one
+caller that sends fast takes the whole limit.
 
 Terms:
-  place         one request in the works, of `max_work` in all
-  caller share  the places that a caller may hold while places are scarce
-  drain rate    measured finishes a second, see `drain`
-
-Flow: `decide` is asked before any work. `Admitted` is followed by `on_start`, and later by
-`on_done` exactly once. A `Refusal` goes to the caller at once: it is final, says "not run" and
-when a place will be free at the measured drain rate.
-
-Thresholds: the limit starts at `max_work` and follows what the owners bear: a request whose
-sub-requests waited over 60 ms in a queue, and over three times what a sub-request takes, or were
-dropped there, cuts the limit to 0.9 of the work in hand, once every 100 ms at most; others raise it
-by one place a round. At 130% load the trials
-gave 25% whole answers without it, since each shard drops other searches, and 75% of 77% possible
-with it. 40 ms refused 3.5% at 95% load where 60 ms refused 1.1%; 120 ms refused nothing there, but
-its 99th percentile at 130% load was 133 ms against 79 ms.
-Below half of the limit nobody is turned away for its share, since unused places are worth nothing,
-and a caller that is alone has no share to be over.
-Above it, a caller may hold its equal part among those that are active, so that a newcomer
-finds room at once.
+  permit        the right of one request to be processed; at most `max_work` in all
+  caller share  the permits that a caller may hold while permits are scarce
+  drain rate    completions per second, see `drain`
+
+Flow: `Admission.decide` is called before any work. `Admitted` is followed by `on_start`, and later
+by exactly one `on_done`. A `Refusal` goes to the caller at once: it is final, states that the
+request has not run, and says when a permit will be free at the drain rate.
+
+Limit: it starts at `max_work` and adapts to what the owners can serve. A request whose sub-requests
+were dropped, or were queued for more than 60 ms and more than three times their service time, cuts
+the limit to 0.9 of the current work, at most once per 100 ms. Other requests raise it by one permit
+a round. At 130% load 25% of the answers are complete without this adaptation, since each shard
+drops different searches, and 75% of a possible 77% with it. A threshold of 40 ms rejects 3.5% at
+95% load and 60 ms rejects 1.1%; 120 ms rejects nothing there, but at 130% load its 99th percentile
+is 133 ms instead of 79 ms.
+
+Shares: below half of the limit they are not enforced, since unused permits serve nobody, and a
+caller that is alone has no share to exceed. Above it, a caller may hold an equal part among the
+active callers, so that a new caller is admitted at once.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
 
 @attrs.frozen(kw_only=True)
 class AdmissionOptions:
-    """Bounds of one entry, or of one owner's queue.
+    """Settings of the admission at one entry, or at one owner's queue.
 
     Attributes:
-        max_work: requests waiting and in flight together.
-        scarce_share: share of `max_work`, 0 to 1, above which callers' shares are enforced.
-        max_wait_ms: longest wait in the queue that is offered to anybody.
-        min_useful_ms: least time in which a request can be served at all.
-        default_retry_ms: time to come back while no drain rate is known.
-        min_work: least that the adaptive limit falls to.
-        target_queue_ms: wait at the owners from which a request counts as pressed.
-        target_services: the same as a multiple of what a sub-request takes; the longer one counts.
-        shrink: factor of the limit on a pressed request, 0 to 1.
-        cooldown_s: seconds between two cuts, so that one wave of requests makes one cut.
+        max_work: maximum of queued and running requests together.
+        scarce_share: share of the limit, 0 to 1, above which callers' shares are enforced.
+        max_wait_ms: maximum expected queueing delay of an admitted request.
+        min_useful_ms: minimum time in which a request can be served.
+        default_retry_ms: Retry-After while the drain rate is unknown.
+        min_work: lower bound of the adaptive limit.
+        target_queue_ms: queueing delay at owners above which a request indicates overload.
+        target_services: the same as a multiple of the service time; the larger one applies.
+        shrink: factor that cuts the limit on overload, 0 to 1.
+        cooldown_s: minimum seconds between two cuts, so that one wave of requests makes one cut.
     """
 
     max_work: int = 256
@@ -65,13 +65,13 @@
 
 @attrs.frozen(kw_only=True)
 class Admitted:
-    """The request may start; `expected_wait_ms` is its wait at the measured drain rate."""
+    """The request may start; `expected_wait_ms` is its queueing delay at the drain rate."""
 
     expected_wait_ms: float
 
 
 class Admission:
-    """Let requests in up to a bound, with fair shares between callers."""
+    """Admit requests up to an adaptive limit, with fair shares between callers."""
 
     def __init__(self, options: AdmissionOptions | None = None) -> None:
         self._options = options or AdmissionOptions()
@@ -83,16 +83,16 @@
 
     @property
     def limit(self) -> int:
-        """Return the places in force, from `min_work` to `max_work`."""
+        """Return the current limit, from `min_work` to `max_work`."""
         return int(self._limit)
 
     @property
     def work(self) -> int:
-        """Return the places taken."""
+        """Return the permits in use."""
         return self._work
 
     def held(self, caller: str) -> int:
-        """Return the places that one caller holds."""
+        """Return the permits that one caller holds."""
         return self._held.get(caller, 0)
 
     def decide(
@@ -106,26 +106,30 @@
     ) -> Admitted | Refusal:
         """Return whether a request may start now.
 
-        `queued` is the work ahead of it that waits; `expected_ms` is what it takes once it starts.
+        `queued` is the number of requests queued before it; `expected_ms` is its service time.
         """
         needed_ms = max(self._options.min_useful_ms, expected_ms)
         if deadline_left_ms < needed_ms:
-            return _refusal(ErrorKind.DEADLINE_EXCEEDED, "too little time to be served", None)
+            return _refusal(
+                ErrorKind.DEADLINE_EXCEEDED, "deadline too short to serve the request", None
+            )
         if self._is_over_share(caller):
             retry_ms = self._retry_ms(now, self.held(caller) - self._share(caller) + 1)
-            return _refusal(ErrorKind.CALLER_OVER_SHARE, "the caller holds its share", retry_ms)
+            return _refusal(ErrorKind.CALLER_OVER_SHARE, "caller exceeds its fair share", retry_ms)
         if self._work >= self.limit:
             retry_ms = self._retry_ms(now, self._work - self.limit + 1)
-            return _refusal(ErrorKind.OVERLOADED, "all places are taken", retry_ms)
+            return _refusal(ErrorKind.OVERLOADED, "concurrency limit reached", retry_ms)
         wait_ms = (self._drain.wait_ms(now, queued) or 0) if queued else 0
         allowed_ms = min(self._options.max_wait_ms, deadline_left_ms - needed_ms)
         if wait_ms > allowed_ms:
             retry_ms = max(1, int(wait_ms - allowed_ms))
-            return _refusal(ErrorKind.OVERLOADED, "the queue is longer than the deadline", retry_ms)
+            return _refusal(
+                ErrorKind.OVERLOADED, "expected queueing delay exceeds the limit", retry_ms
+            )
         return Admitted(expected_wait_ms=wait_ms)
 
     def on_start(self, caller: str) -> None:
-        """Take a place for an admitted request."""
+        """Take a permit for an admitted request."""
         self._work += 1
         self._held[caller] = self.held(caller) + 1
 
@@ -138,19 +142,19 @@
         service_ms: float = 0.0,
         pressed: bool = False,
     ) -> None:
-        """Free the place; raises ValueError where the caller holds none.
+        """Release the permit; raise ValueError if the caller holds none.
 
-        `queued_ms` is the longest wait of its sub-requests at owners, `service_ms` what one takes
-        at a backend server; `pressed` says that one of them was refused or dropped for lack of
-        room or time.
+        `queued_ms` is the maximum queueing delay of its sub-requests at owners, `service_ms` the
+        service time of a sub-request at a backend server. `pressed` is set if a sub-request was
+        rejected or dropped because a queue was full or the deadline too close.
         """
         held = self.held(caller)
         if held == 0:
-            raise ValueError(f"caller {caller!r} holds no place")
+            raise ValueError(f"caller {caller!r} holds no permit")
         self._work -= 1
         if held == 1:
-            # A caller without a place leaves no trace, so that names made up by callers
-            # can't fill the memory.
+            # Callers without a permit are forgotten, so that invented caller names can't
+            # exhaust the memory.
             del self._held[caller]
         else:
             self._held[caller] = held - 1
@@ -160,7 +164,7 @@
 
     def _adapt(self, now: float, pressed: bool) -> None:
         if not pressed:
-            # One place more for each round of requests, and only where places are in use.
+            # Grow by one permit per round of requests, and only while permits are in use.
             if self._work + 1 >= self._limit * self._options.scarce_share:
                 grown = self._limit + 1.0 / self._limit
                 self._limit = min(float(self._options.max_work), grown)
@@ -179,8 +183,8 @@
         if self._work < self.limit * self._options.scarce_share:
             return False
         if self.held(caller) == self._work:
-            # The caller is alone: it is told that the places are taken, which is what it can act
-            # on, and not that it takes what belongs to others.
+            # The only active caller can't exceed a share: the request is rejected as overload,
+            # which the caller can act on.
             return False
         return self.held(caller) >= self._share(caller)
 
--- a/libs/decisions/berylspindle_decisions/admission_controller.py
+++ b/libs/decisions/berylspindle_decisions/admission_controller.py
@@ -1,23 +1,25 @@
-"""Admit a request whole or reject it at once, by the queueing delay at replicas.
+"""Admit or reject whole requests by the queueing delay at replicas.
 
-Pattern of load: a burst, or replicas that turn slow, brings more than a service can serve. Without
-rejections each replica's first-come queue grows until all answers are late. Dropping sub-requests
-shard by shard would drop parts of other searches each time.
+Load: a burst, or replicas that become slow, exceeds the capacity of a service. Without rejections
+the first-come queue of each replica grows until every answer is late. Shedding sub-requests shard
+by shard would remove parts of many searches instead of rejecting a few.
 
 Terms:
-  queueing delay  milliseconds that queues add to a sub-request now, at its best replica
-  pressure        queueing delay of a request over its latency target; of a search, at the shard
-                  that decides whether the least share of its parts is there
+  queueing delay  milliseconds that queues currently add to a sub-request, at its best replica
+  pressure        queueing delay of a request over its latency target; for a search, at the shard
+                  that decides whether the minimum number of parts is reached
   group           requests that compete for the same replicas
 
-Flow: `admits` is called once for each request, before any sub-request goes out. The rejected share
-has a proportional term, the pressure that the request meets, and an integral term, which moves the
-share until queues take `TARGET` of the latency target. `return_after_ms` is the Retry-After of a
-rejected caller. Each VM decides by what it sees; the number of VMs is not needed.
+Flow: `AdmissionController.admits` is called once for each request, before any sub-request is sent.
+The rejected share has a proportional term, the pressure of the current request, and an integral
+term, which adjusts until queues take `TARGET_PRESSURE` of the latency target. `return_after_ms` is
+the Retry-After of a rejected caller. Each VM decides on its own observations, without the number
+of VMs.
 
-Only time in queues counts: rejecting callers of a replica that is slow, paused or gone makes no
-other answer sooner. Of the less urgent requests of a group at least `URGENT_FACTOR` times the share
-of the more urgent ones is rejected, up to `MOST_HELD_BACK`, so that none is starved.
+Only queueing counts: rejecting callers of a replica that is slow, paused or unreachable speeds up
+no other answer. The rejected share of a lower priority in a group is at least
+`LOW_PRIORITY_FACTOR` times that of the higher priorities, capped at `LOW_PRIORITY_SHARE_MAX` to
+avoid starvation.
 """
 
 from __future__ import annotations
@@ -31,34 +33,35 @@
 from berylspindle_decisions.forward_policy import ForwardPolicy
 from berylspindle_decisions.replica_health import ReplicaHealth
 
-REFUSE_FROM: Final = 0.65
-REFUSE_ALL: Final = 1.05
+# Proportional term: the rejected share rises from 0 to 1 between these pressures.
+REJECT_NONE_PRESSURE: Final = 0.65
+REJECT_ALL_PRESSURE: Final = 1.05
 
-TARGET: Final = 0.5
-DRIFT: Final = 4.0
-MOST_REFUSED: Final = 0.9
-"""The share moves by so much a second for each aim that the queues take beyond the target."""
+# Integral term: gain in rejected share per second, for each unit of pressure above the target.
+TARGET_PRESSURE: Final = 0.5
+INTEGRAL_GAIN_PER_S: Final = 4.0
+MAX_INTEGRAL_SHARE: Final = 0.9
 
-LEVEL_STEP: Final = 0.05
-LEVEL_MEMORY: Final = 1.0
-"""Seconds that one request stands for at most, under pressure and without: a VM that seldom gets
-one is slow to refuse, and does not go on for seconds by what it saw in a burst."""
+# Maximum interval that one request is integrated over, above the target and below it. A VM with
+# few requests thus increases its rejections slowly, and drops them soon after a burst.
+MAX_INCREASE_STEP_S: Final = 0.05
+MAX_DECREASE_STEP_S: Final = 1.0
 
-URGENT_FACTOR: Final = 2.0
-MOST_HELD_BACK: Final = 0.75
+LOW_PRIORITY_FACTOR: Final = 2.0
+LOW_PRIORITY_SHARE_MAX: Final = 0.75
 
-URGENT_S: Final = 0.1
-"""Seconds for which the share that is refused of the more urgent holds for the less urgent."""
+# Time for which the rejected share of a priority counts for the lower ones.
+HIGH_PRIORITY_MEMORY_S: Final = 0.1
 
-RETURN_LEAST: Final = 0.05
-RETURN_MOST: Final = 1 / 3
-"""Parts of the time that a caller has left between which it is told to come back: sooner it meets
-the same queues, later it would not come at all."""
+# Bounds of Retry-After, as shares of the caller's remaining time: an earlier retry meets the same
+# queues, a later one may never come.
+RETRY_AFTER_MIN_SHARE: Final = 0.05
+RETRY_AFTER_MAX_SHARE: Final = 1 / 3
 
 
 @attrs.frozen(kw_only=True)
 class AdmissionRequest:
-    """What the gate needs to know of a request; 0 is the most urgent priority."""
+    """A request to admit or reject; 0 is the highest priority."""
 
     group: str
     priority: int
@@ -66,65 +69,73 @@
 
 
 @attrs.define
-class _Level:
-    """What is refused of one priority: the share that drifts, and the pressure that came last."""
+class _PriorityState:
+    """Rejection state of one priority: integral term and latest pressure."""
 
     share: float = 0.0
     pressure: float = 0.0
-    at: float = -math.inf
+    updated_at: float = -math.inf
 
     @property
-    def refused(self) -> float:
-        """Return the share to refuse: what has drifted, and at least what the queues ask for."""
-        return max(self.share, refused_share(self.pressure))
-
-    def follow(self, now: float, pressure: float, *, drifts: bool) -> None:
-        """Take the pressure that a request meets."""
-        excess = pressure - TARGET if drifts else 0.0
-        since = min(now - self.at, LEVEL_STEP if excess > 0.0 else LEVEL_MEMORY)
-        self.share = min(MOST_REFUSED, max(0.0, self.share + DRIFT * excess * since))
-        self.pressure, self.at = pressure, now
+    def rejected_share(self) -> float:
+        """Return the larger of the integral and the proportional term."""
+        return max(self.share, proportional_share(self.pressure))
+
+    def update(self, now: float, pressure: float, *, integrate: bool) -> None:
+        """Update the rejected share from the pressure of a request."""
+        excess = pressure - TARGET_PRESSURE if integrate else 0.0
+        step_s = min(
+            now - self.updated_at, MAX_INCREASE_STEP_S if excess > 0.0 else MAX_DECREASE_STEP_S
+        )
+        self.share = min(
+            MAX_INTEGRAL_SHARE, max(0.0, self.share + INTEGRAL_GAIN_PER_S * excess * step_s)
+        )
+        self.pressure, self.updated_at = pressure, now
 
 
 class AdmissionController:
-    """The refusals of one VM; times are in seconds of the caller's clock."""
+    """Admission decisions of one VM; times are in seconds of the caller's clock."""
 
     def __init__(self, policy: ForwardPolicy = ForwardPolicy()) -> None:  # noqa: B008
         self._policy: Final = policy
-        self._levels: Final[dict[str, dict[int, _Level]]] = {}
+        self._states_by_group: Final[dict[str, dict[int, _PriorityState]]] = {}
 
     def admits(self, now: float, request: AdmissionRequest, *, u: float) -> bool:
-        """Tell whether a request begins; `u` is a random number in [0, 1)."""
+        """Return whether to admit the request. `u` is a uniform random number in [0, 1)."""
         if not self._policy.refuses:
             return True
-        levels = self._levels.setdefault(request.group, {})
-        level = levels.setdefault(request.priority, _Level())
-        level.follow(now, request.pressure, drifts=self._policy.drifts)
-        share = level.refused
+        states = self._states_by_group.setdefault(request.group, {})
+        state = states.setdefault(request.priority, _PriorityState())
+        state.update(now, request.pressure, integrate=self._policy.drifts)
+        share = state.rejected_share
         if self._policy.urgent_first:
-            share = max(share, _held_back(levels, request.priority, now))
+            share = max(share, _low_priority_share(states, request.priority, now))
         return u >= share
 
 
-def _held_back(levels: Mapping[int, _Level], priority: int, now: float) -> float:
-    """Return the share to refuse of a priority for the sake of more urgent ones."""
-    urgent = [
-        level.refused
-        for rank, level in levels.items()
-        if rank < priority and now - level.at < URGENT_S
+def _low_priority_share(states: Mapping[int, _PriorityState], priority: int, now: float) -> float:
+    """Return the share to reject of a priority because higher ones are rejected."""
+    higher = [
+        state.rejected_share
+        for other, state in states.items()
+        if other < priority and now - state.updated_at < HIGH_PRIORITY_MEMORY_S
     ]
-    return min(URGENT_FACTOR * max(urgent, default=0.0), MOST_HELD_BACK)
+    return min(LOW_PRIORITY_FACTOR * max(higher, default=0.0), LOW_PRIORITY_SHARE_MAX)
 
 
-def refused_share(pressure: float) -> float:
-    """Return the share of requests that are refused at a pressure."""
-    return min(1.0, max(0.0, (pressure - REFUSE_FROM) / (REFUSE_ALL - REFUSE_FROM)))
+def proportional_share(pressure: float) -> float:
+    """Return the share of requests to reject at a pressure, by the proportional term alone."""
+    return min(
+        1.0,
+        max(0.0, (pressure - REJECT_NONE_PRESSURE) / (REJECT_ALL_PRESSURE - REJECT_NONE_PRESSURE)),
+    )
 
 
 def added_ms_of(replicas: Iterable[ReplicaHealth], now: float, *, usual_ms: float) -> float:
-    """Return what queues add to a sub-request at the best of these replicas, 0 where none is sound.
+    """Return the queueing delay of a sub-request at the best replica, in milliseconds.
 
-    Replicas that are cold, paused or failing are left out: waiting for them is no queue.
+    Cold, paused and failing replicas are ignored, since waiting for them is not queueing. Return 0
+    if no replica is left.
     """
     sound = [replica for replica in replicas if replica.is_sound(now)]
     idle_ms = [usual_ms * replica.pace(now) for replica in sound]
@@ -136,9 +147,9 @@
 
 
 def pressure_of(added_ms: Sequence[float], *, least: int, aim_ms: float) -> float:
-    """Return the pressure of a request over services with these added times.
+    """Return the pressure of a request over services with these queueing delays.
 
-    It needs `least` of them, so that the `least`-th in order decides.
+    The request needs the answers of `least` services, so the `least`-th lowest delay decides.
     """
     if not added_ms:
         return 0.0
@@ -146,11 +157,11 @@
 
 
 def return_after_ms(*, added_ms: float, left_ms: float, u: float) -> float:
-    """Return after how many milliseconds a refused caller may come back.
+    """Return the delay in milliseconds before a rejected caller may retry.
 
-    The queues of now are gone after their own time; callers are spread over what follows, by `u` in
-    [0, 1), so that they do not come together.
+    The current queues have drained after `added_ms`. Retries are spread over the time that follows
+    by `u`, a uniform random number in [0, 1), so that callers do not return simultaneously.
     """
-    latest = left_ms * RETURN_MOST
-    earliest = min(latest, max(left_ms * RETURN_LEAST, added_ms))
+    latest = left_ms * RETRY_AFTER_MAX_SHARE
+    earliest = min(latest, max(left_ms * RETRY_AFTER_MIN_SHARE, added_ms))
     return math.floor(earliest + (latest - earliest) * u)
--- a/libs/decisions/berylspindle_decisions/answer_time.py
+++ b/libs/decisions/berylspindle_decisions/answer_time.py
@@ -1,26 +1,28 @@
-"""When an unanswered sub-request is hedged, and when an answer goes out without all of its parts.
+"""Choose when a sub-request is hedged, and when an answer is sent without all of its parts.
 
-Pattern of load: replicas that pause for a tenth of a second every few seconds, each at its own
-time. A search over ten shards meets a pause in every third request. Waited out, it makes the answer
-late; hedged at the deadline of the whole request, the hedge is late too.
+Load: replicas that pause for a tenth of a second every few seconds, independently of each other. A
+search over ten shards meets a pause in every third request. Waiting for it makes the answer late,
+and a hedge at the deadline of the whole request is late as well.
 
 Terms:
-  aim      the time after which an answer is worth little
+  aim      the latency target of a route, after which an answer has little value
   usual    the median latency of the route's sub-requests
-  margin   time kept for the way back to the caller and for this VM's own work
-  parts    shards' answers that are in
-
-Flow: `hedge_delay` is asked when a sub-request goes out, `parts_verdict` whenever something has
-changed or the time is near.
-
-Thresholds: the hedge share is the part of sub-requests that may outlast the delay; with the extra
-share at a fifth and a reserve for retries, 0.12 of hedges leaves room for the refusals of a replica
-that sheds. A hedge must have `HEDGE_TIME` usual latencies before the aim, or it is started at once
-where the aim is still ahead: a hedge that can't be in time is load and nothing else. The margin is
-the caller's way there and back, which the platform gives as 3 ms each, and what this VM takes
-before the request is read and after the answer is due: 1 to 2 ms each at today's load, some more
-where several requests are due at once. With 9 ms one answer in sixty that left at its cut was late
-by a millisecond; a new connection costs one way there and back more.
+  margin   time reserved for the way back to the caller and for this VM's own work
+  parts    answers of shards that have arrived
+
+Flow: `hedge_times` is called when a sub-request is sent, `parts_verdict` after each change and at
+the latency target.
+
+Hedge delay: `HEDGE_SHARE` is the share of sub-requests that may exceed the delay. With extra
+attempts limited to a fifth, part of it kept for retries, 0.12 of hedges leaves room for the
+rejections of a replica that sheds load. A hedge needs `MIN_HEDGE_TIME_MEDIANS` usual latencies
+before the target; the delay is shortened to allow for that, since a hedge that answers too late
+only adds load.
+
+Margin: the caller's way there and back, 3 ms each, and 1 to 2 ms each before the request is read
+and after the answer is due, more where several answers are due at once. With 9 ms, one in sixty of
+the partial answers sent at the target is late by a millisecond. A new connection takes one more
+round trip.
 """
 
 from __future__ import annotations
@@ -33,38 +35,38 @@
 from berylspindle_decisions.latency_profile import LatencyProfile
 
 HEDGE_SHARE: Final = 0.12
-LEAST_DELAY: Final = 1.25
-MOST_DELAY: Final = 4.0
-HEDGE_TIME: Final = 1.6
-UNKNOWN_DELAY: Final = 0.3
+MIN_DELAY_MEDIANS: Final = 1.25
+MAX_DELAY_MEDIANS: Final = 4.0
+MIN_HEDGE_TIME_MEDIANS: Final = 1.6
+UNKNOWN_DELAY_TARGET_SHARE: Final = 0.3
 MARGIN_MS: Final = 11.5
 NEW_CONNECTION_MS: Final = 6.0
 
 
 @attrs.frozen(kw_only=True)
 class HedgeTimes:
-    """The delay after which a sub-request is hedged, and the route's usual latency."""
+    """Delay before a sub-request is hedged, and the route's usual latency."""
 
     delay_ms: float
     usual_ms: float
 
 
 def hedge_times(profile: LatencyProfile, *, aim_left_ms: float, aim_ms: float) -> HedgeTimes:
-    """Return when to hedge a sub-request that goes out now, with so much of the aim left."""
+    """Return the hedge delay of a sub-request sent now, `aim_left_ms` before the target."""
     if not profile.known:
-        usual = UNKNOWN_DELAY * aim_ms / 2
-        return HedgeTimes(delay_ms=UNKNOWN_DELAY * aim_ms, usual_ms=usual)
+        usual = UNKNOWN_DELAY_TARGET_SHARE * aim_ms / 2
+        return HedgeTimes(delay_ms=UNKNOWN_DELAY_TARGET_SHARE * aim_ms, usual_ms=usual)
     usual = profile.quantile(0.5)
     delay = profile.quantile(1.0 - HEDGE_SHARE)
-    delay = min(max(delay, LEAST_DELAY * usual), MOST_DELAY * usual)
-    latest = aim_left_ms - HEDGE_TIME * usual
+    delay = min(max(delay, MIN_DELAY_MEDIANS * usual), MAX_DELAY_MEDIANS * usual)
+    latest = aim_left_ms - MIN_HEDGE_TIME_MEDIANS * usual
     if 0.0 < latest < delay:
-        delay = max(latest, LEAST_DELAY * usual)
+        delay = max(latest, MIN_DELAY_MEDIANS * usual)
     return HedgeTimes(delay_ms=delay, usual_ms=usual)
 
 
 class PartsVerdict(enum.Enum):
-    """What to do with the parts that are in."""
+    """What to do with the parts that have arrived."""
 
     WAIT = "wait"
     ANSWER = "answer"
@@ -74,12 +76,12 @@
 def parts_verdict(
     *, asked: int, least: int, parts: int, lost: int, aim_passed: bool
 ) -> PartsVerdict:
-    """Return whether to answer with the parts that are in.
+    """Return whether to answer with the parts that have arrived.
 
-    An answer is worth the square of the share of its parts within the aim, and a tenth or so after
-    it. So at the aim whatever reaches the least share goes out: nine of ten parts in time are worth
-    0.81, all ten a moment later a tenth. Before the aim, and where the least share isn't reached,
-    more parts can only help, unless none can come.
+    The value of an answer is the square of the share of its parts before the latency target, and
+    about a tenth after it: nine of ten parts in time are worth 0.81, all ten a moment later 0.1. At
+    the target, an answer with at least `least` parts is therefore sent. Before the target, or with
+    fewer parts, waiting can only help, unless no more parts can arrive.
     """
     if parts == asked:
         return PartsVerdict.ANSWER
--- a/libs/decisions/berylspindle_decisions/budget.py
+++ b/libs/decisions/berylspindle_decisions/budget.py
@@ -1,23 +1,23 @@
-"""Bound the extra load of retries and hedges, over all hops of a request.
+"""Limit the additional load of retries and hedges over all hops of a request.
 
-Pattern of load: saturation, where failures breed retries. Without a budget, three tries at each of
-three hops turn one request into 27 just when the backend servers can bear least, and a short fault
-becomes an outage that feeds itself.
+Load: saturation, where failures cause retries. Without a budget, three tries at each of three hops
+turn one request into 27 when the backend servers have the least capacity, and a short fault becomes
+an outage that sustains itself.
 
 Terms:
   first attempt   the first try of a sub-request, which earns a share of one token
-  token           the right to one extra attempt
-  free reroute    trying elsewhere after a refusal that cost no backend server any work
-  suspect         an attempt whose connection was lost under it; its request may crash servers
-
-Flow: the entry alone spends; owners and pools never retry for it. Each first attempt is told to
-`ExtraBudget.on_first`. A failed attempt goes to `RetryPolicy.decide`, which names FREE, BUDGETED or
-NEVER; a hedge takes from a budget of its own, so that a wave of failures can't use up the
-hedges and the other way round.
-
-Thresholds: the shares are the service's policy (5% hedges, 10% retries). The reserve of 10 tokens
-lets a service that has just started, or has few requests, retry at all; the bucket holds at most
-50, so that an idle hour earns no burst. Spent tokens never exceed reserve + share x first attempts.
+  token           the right to one additional attempt
+  free reroute    another try after a rejection that cost no backend server any work
+  canary          another try of a request whose connection broke, since it may crash servers
+
+Flow: only the entry retries; owners and pools never do. `ExtraBudget.on_first` counts each first
+attempt. `RetryPolicy.decide` classifies each failed attempt as FREE, BUDGETED, CANARY or NEVER.
+Hedges use a budget of their own, so that a wave of failures can't exhaust the hedges, nor hedges
+the retries.
+
+Limits: the shares are the service's policy (5% hedges, 10% retries). The reserve of 10 tokens lets
+a service retry that has just started or has few requests. A bucket holds at most 50 tokens, which
+limits the burst after an idle period. Spent tokens never exceed reserve + share x first attempts.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 @attrs.frozen(kw_only=True)
 class BudgetOptions:
-    """Sizes of one budget.
+    """Settings of one budget.
 
     Attributes:
         share: tokens that a first attempt earns, 0 to 1.
-        reserve: tokens at the start.
-        max_tokens: most tokens kept for later.
+        reserve: initial tokens.
+        max_tokens: capacity of the bucket.
     """
 
     share: float = 0.1
@@ -46,7 +46,7 @@
 
 
 class ExtraBudget:
-    """A bucket of tokens for extra attempts, filled by first attempts."""
+    """Token bucket for additional attempts, filled by first attempts."""
 
     def __init__(self, options: BudgetOptions | None = None) -> None:
         self._options = options or BudgetOptions()
@@ -62,22 +62,22 @@
 
     @property
     def tokens(self) -> float:
-        """Return the extra attempts that may be made now."""
+        """Return the additional attempts that are allowed now."""
         return self._tokens
 
     @property
     def first_attempts(self) -> int:
-        """Return how many first attempts were counted."""
+        """Return the number of first attempts."""
         return self._first
 
     @property
     def spent(self) -> int:
-        """Return how many extra attempts were allowed and made."""
+        """Return the number of tokens taken and not given back."""
         return self._spent
 
     @property
     def denied(self) -> int:
-        """Return how many extra attempts were wanted and not allowed."""
+        """Return the number of additional attempts that were denied."""
         return self._denied
 
     def on_first(self, count: int = 1) -> None:
@@ -87,7 +87,7 @@
         self._tokens = min(max(self._options.max_tokens, self._options.reserve), earned)
 
     def take(self) -> bool:
-        """Take the right to one extra attempt; False where there is none."""
+        """Take one token; return False if there is none."""
         if self._tokens < 1.0:
             self._denied += 1
             return False
@@ -96,19 +96,19 @@
         return True
 
     def give_back(self) -> None:
-        """Return a token that was taken and not used: the attempt never left this VM."""
+        """Give back a token whose attempt was never sent; raise ValueError if none was taken."""
         if self._spent == 0:
-            raise ValueError("no token is out")
+            raise ValueError("no token was taken")
         self._tokens += 1.0
         self._spent -= 1
 
 
 class RetryBudget(ExtraBudget):
-    """The one budget of retries of a service at one entry."""
+    """Retry budget of a service at one entry."""
 
 
 class RetryClass(enum.Enum):
-    """How a failed attempt may be followed by another one."""
+    """Whether and how a failed attempt may be retried."""
 
     FREE = "free"
     BUDGETED = "budgeted"
@@ -116,9 +116,9 @@
     NEVER = "never"
 
 
-# The refusing VM knows that this place is wrong and nothing ran: another place may be right.
-# The number of places is small and the request bounds the reroutes.
-_FREE: Final = frozenset(
+# The rejecting VM is the wrong target and nothing ran, so another target may accept the request.
+# There are few targets, and each request limits its reroutes.
+_FREE_KINDS: Final = frozenset(
     {
         ErrorKind.NOT_OWNER,
         ErrorKind.SERVER_LEAVING,
@@ -128,9 +128,9 @@
     }
 )
 
-# Shed and overloaded cost no search, but trying elsewhere freely would carry the overload of one
-# server to its replicas. The others have run or may have run.
-_BUDGETED: Final = frozenset(
+# SERVER_SHED, OVERLOADED and NO_REPLICA did not run, but free reroutes would spread the overload of
+# one server to its replicas. The others ran or may have run.
+_BUDGETED_KINDS: Final = frozenset(
     {
         ErrorKind.SERVER_SHED,
         ErrorKind.OVERLOADED,
@@ -142,38 +142,38 @@
 
 
 def retry_class(kind: ErrorKind, run: RunState, *, repeatable: bool) -> RetryClass:
-    """Return how an attempt that ended with `kind` may be tried again.
+    """Return whether and how an attempt that ended with `kind` may be retried.
 
-    A search is repeatable, an order confirmation is not: for that, only a sure "not run" opens
-    another try. SNAPSHOT_GONE is NEVER here since `snapshot_choice` decides on what to ask.
+    A search is repeatable, an order confirmation is not: it may be retried only if it has certainly
+    not run. SNAPSHOT_GONE is NEVER, since `snapshot_choice` decides what to do about it.
     """
     if not repeatable and run is not RunState.NOT_RUN:
         return RetryClass.NEVER
     if kind is ErrorKind.CONNECTION_LOST:
-        # A request that crashes servers shows as a lost connection. Trying it on the next replica
-        # takes that one down too, so it may go on only as a canary. A connection that broke
-        # before the first byte was written proves nothing against the request.
+        # A request that crashes servers shows up as a lost connection, and a plain retry would
+        # crash the next replica as well, so it may continue only as a canary. A connection that
+        # broke before the first byte was written is no evidence against the request.
         return RetryClass.FREE if run is RunState.NOT_RUN else RetryClass.CANARY
     if kind is ErrorKind.PEER_LOST:
-        # An owner's VM is gone, and with it every search that was there. Nothing is held against
-        # the searches, but what may have run costs the replicas its work again.
+        # An owner's VM failed together with all of its searches, which is no evidence against any
+        # of them. A retry of one that may have run costs the replicas its work again.
         return RetryClass.FREE if run is RunState.NOT_RUN else RetryClass.BUDGETED
-    if kind in _FREE and run is RunState.NOT_RUN:
+    if kind in _FREE_KINDS and run is RunState.NOT_RUN:
         return RetryClass.FREE
-    if kind in _BUDGETED:
+    if kind in _BUDGETED_KINDS:
         return RetryClass.BUDGETED
     return RetryClass.NEVER
 
 
 @attrs.frozen(kw_only=True)
 class RetryOptions:
-    """Bounds of one sub-request and of one request.
+    """Limits of one sub-request and of one request.
 
     Attributes:
-        max_reroutes: free reroutes of one sub-request.
-        max_retries: budgeted retries of one sub-request.
-        max_request_retries: budgeted retries of all sub-requests of one request together.
-        min_left_share: a retry needs this multiple of the expected time to be left.
+        max_reroutes: maximum of free reroutes of one sub-request.
+        max_retries: maximum of budgeted retries of one sub-request.
+        max_request_retries: maximum of budgeted retries of all sub-requests of one request.
+        min_left_share: remaining time that a retry requires, as a multiple of the expected time.
     """
 
     max_reroutes: int = 3
@@ -183,7 +183,7 @@
 
 
 class RequestRetries:
-    """Count what one request has spent over all its sub-requests."""
+    """Count the reroutes and retries of one request over all its sub-requests."""
 
     def __init__(self) -> None:
         self._reroutes: dict[str, int] = {}
@@ -192,15 +192,15 @@
 
     @property
     def total(self) -> int:
-        """Return the budgeted retries of the request."""
+        """Return the number of budgeted retries of the request."""
         return self._total
 
     def reroutes(self, shard: str) -> int:
-        """Return the free reroutes of one sub-request."""
+        """Return the number of free reroutes of one sub-request."""
         return self._reroutes.get(shard, 0)
 
     def retries(self, shard: str) -> int:
-        """Return the budgeted retries of one sub-request."""
+        """Return the number of budgeted retries of one sub-request."""
         return self._retries.get(shard, 0)
 
     def on_reroute(self, shard: str) -> None:
@@ -214,7 +214,7 @@
 
 
 class RetryPolicy:
-    """Decide whether a failed attempt is tried again, and account for it."""
+    """Decide whether a failed attempt is retried, and account for it."""
 
     def __init__(self, budget: RetryBudget, options: RetryOptions | None = None) -> None:
         self._budget = budget
@@ -231,22 +231,22 @@
         left_ms: float,
         expected_ms: float,
     ) -> RetryClass:
-        """Return FREE, BUDGETED or CANARY where another try may start now, else NEVER.
+        """Return FREE, BUDGETED or CANARY if another try may start now, else NEVER.
 
-        What is allowed is already counted, and paid for where it costs a token. A CANARY may
-        start only if `quarantine` lets the fingerprint run as one.
+        An allowed try is already counted, and its token, if it costs one, is spent. A CANARY may
+        start only if `quarantine` admits the request's fingerprint as one.
         """
-        wanted = retry_class(kind, run, repeatable=repeatable)
-        if wanted is RetryClass.NEVER or left_ms < expected_ms * self._options.min_left_share:
+        retry = retry_class(kind, run, repeatable=repeatable)
+        if retry is RetryClass.NEVER or left_ms < expected_ms * self._options.min_left_share:
             return RetryClass.NEVER
-        if wanted is RetryClass.FREE:
+        if retry is RetryClass.FREE:
             if request.reroutes(shard) >= self._options.max_reroutes:
                 return RetryClass.NEVER
             request.on_reroute(shard)
-            return wanted
+            return retry
         if request.retries(shard) >= self._options.max_retries:
             return RetryClass.NEVER
         if request.total >= self._options.max_request_retries or not self._budget.take():
             return RetryClass.NEVER
         request.on_retry(shard)
-        return wanted
+        return retry
--- a/libs/decisions/berylspindle_decisions/concurrency.py
+++ b/libs/decisions/berylspindle_decisions/concurrency.py
@@ -1,23 +1,24 @@
-"""The exact cap of work in flight at one backend server.
+"""Limit the requests in flight at one backend server.
 
-Pattern of load: saturation, and a slow server. Without a cap, work piles up inside the server where
-it can neither be ordered by deadline nor taken back, and a cold server falls over.
+Load: saturation, and a slow server. Without a limit, work queues up inside the server, where it can
+neither be ordered by deadline nor cancelled, and a cold server fails.
 
 Terms:
-  slots       requests that the server works on at once when warm
-  hold        a time for which nothing new is sent: the server asked for it, or it is draining
-  foreign     work at the server that is not ours, by its own report
-
-Flow: the owner asks `limit` before each dispatch, then `on_start`; each start ends in exactly one
-of `on_success`, `on_shed`, `on_failure` or `on_cancelled`. The trust comes from `warmup`.
-
-Thresholds: the limit moves between the cold cap and the slots that the configuration states, by
-evidence only. A limit that searches by latency gradient was weighed and not taken: between 1 and 6
-it has nothing to find, its probing above the slots is what a cold server can't bear, and a mix of
-short and long work looks to it like congestion. Nothing is queued inside the server: a slot stands
-idle for one way from the owner, 0.1 ms within a data centre, and queued work keeps its order,
-its deadline and its way back. A hold that the server asks for ends after 2 s at most, since what
-it asks for may mislead. A draining report holds until one says otherwise, for 5 s without any.
+  slots     requests that a warm server processes concurrently
+  hold      an interval without new requests: the server asked for it, or it is draining
+  external  work at the server, by its own report, that this owner has not sent
+
+Flow: the owner checks `ServerLimiter.limit` before each dispatch, then calls `on_start`; each start
+ends in exactly one of `on_success`, `on_shed`, `on_failure` or `on_cancelled`. The ramp from cold
+to warm is in `warmup`.
+
+Limit: it moves between the cold cap and the configured slots, on evidence only. A limit that
+searches by latency gradient is not used: between 1 and 6 it has nothing to find, probing above the
+slots is what a cold server can't bear, and it mistakes a mix of short and long requests for
+congestion. Nothing is queued inside the server: a slot is idle for one way from the owner, 0.1 ms
+within a data centre, and queued requests keep their order and deadlines and can be cancelled. A
+hold that the server asks for ends after 2 s at most, since the request may be wrong. A draining
+report holds until a report says otherwise, for 5 s without any.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 
 @attrs.frozen(kw_only=True)
 class LimiterOptions:
-    """How long a server may hold work off.
+    """Settings of holds and of external work.
 
     Attributes:
-        max_hold_s: longest hold in seconds that a shed can ask for.
-        drain_hold_s: seconds without work after a report of draining.
-        foreign_s: seconds for which reported foreign work lowers the limit.
-        warm_up: thresholds of trust.
+        max_hold_s: maximum hold in seconds that a shed response can ask for.
+        drain_hold_s: seconds without new requests after a draining report.
+        foreign_s: seconds for which reported external work lowers the limit.
+        warm_up: settings of the warm-up.
     """
 
     max_hold_s: float = 2.0
@@ -49,7 +50,7 @@
 
 
 class ServerLimiter:
-    """Count the work in flight at one backend server, and say how much there may be."""
+    """Count and limit the attempts in flight at one backend server."""
 
     def __init__(self, slots: int, cold_slots: int, options: LimiterOptions | None = None) -> None:
         self._options = options or LimiterOptions()
@@ -57,97 +58,99 @@
         self._cold = min(cold_slots, slots)
         self._warm_up = WarmUp(slots, cold_slots, self._options.warm_up)
         self._in_flight = 0
-        self._peak = 0
+        self._max_in_flight = 0
         self._hold_until = float("-inf")
         self._drain_until = float("-inf")
-        self._foreign = 0
-        self._foreign_until = float("-inf")
+        self._external = 0
+        self._external_until = float("-inf")
 
     @property
     def in_flight(self) -> int:
-        """Return the attempts that were started and have not ended."""
+        """Return the number of attempts in flight."""
         return self._in_flight
 
     @property
     def is_warm(self) -> bool:
-        """Tell whether the server is trusted with all its slots."""
+        """Return whether the server has all its slots."""
         return self._warm_up.is_warm
 
     @property
-    def falls(self) -> int:
-        """Return how often the server fell back to its cold cap."""
-        return self._warm_up.falls
+    def cold_resets(self) -> int:
+        """Return how often the limit was reset to the cold cap."""
+        return self._warm_up.cold_resets
 
     @property
     def trust(self) -> Trust:
-        """Return what the next owner may be told at a hand-over."""
+        """Return the warm-up state to hand over to the next owner."""
         return self._warm_up.trust
 
     def limit(self, now: float) -> int:
-        """Return how many attempts may be in flight now; 0 while the server holds work off."""
+        """Return the maximum of attempts in flight now; 0 during a hold."""
         if now < max(self._hold_until, self._drain_until):
             return 0
         cap = self._warm_up.cap(now)
-        if now < self._foreign_until:
-            cap = max(self._cold, cap - self._foreign)
+        if now < self._external_until:
+            cap = max(self._cold, cap - self._external)
         return cap
 
     def may_start(self, now: float) -> bool:
-        """Tell whether one more attempt may start."""
+        """Return whether one more attempt may start."""
         return self._in_flight < self.limit(now)
 
     def on_start(self, now: float) -> None:
-        """Count one attempt; raises ValueError where it would go over the limit."""
+        """Count one attempt; raise ValueError if it would exceed the limit."""
         if not self.may_start(now):
-            # The cap is the promise that a cold server gets no more than it bears. A caller of
-            # this module that forgot to ask must fail here and not at the server.
-            raise ValueError(f"{self._in_flight} in flight, at a limit of {self.limit(now)}")
+            # A cold server must never get more than it can bear: a caller that skipped the check
+            # fails here and not at the server.
+            raise ValueError(
+                f"{self._in_flight} attempts in flight, at a limit of {self.limit(now)}"
+            )
         self._in_flight += 1
-        self._peak = max(self._peak, self._in_flight)
+        self._max_in_flight = max(self._max_in_flight, self._in_flight)
 
     def on_success(self, now: float, latency_ms: float) -> None:
-        """End one attempt that was answered; `latency_ms` runs from dispatch to reply."""
+        """Record an answered attempt; `latency_ms` is from dispatch to reply."""
         self._end()
         self._warm_up.on_success(now, latency_ms)
 
     def on_shed(self, now: float, retry_after_ms: float | None = None) -> None:
-        """End one attempt that the server refused; it gets nothing new for `retry_after_ms`."""
+        """Record an attempt that the server refused, and hold for `retry_after_ms`."""
         self._end()
         self._warm_up.on_shed(now)
         hold_s = min((retry_after_ms or 0.0) / 1000, self._options.max_hold_s)
         self._hold_until = max(self._hold_until, now + hold_s)
 
     def on_failure(self, now: float, kind: FailureKind) -> None:
-        """End one attempt that failed."""
+        """Record a failed attempt."""
         self._end()
         self._warm_up.on_failure(now, kind)
 
     def on_cancelled(self, now: float) -> None:
-        """End one attempt that was cancelled; it says nothing about the server."""
+        """Record a cancelled attempt, which is no evidence about the server."""
         del now
         self._end()
 
     def on_lost(self, now: float, kind: FailureKind) -> None:
-        """Note a failure with no attempt in it: an idle connection broke, or a probe failed."""
+        """Record a failure without an attempt: a broken idle connection or failed probe."""
         self._warm_up.on_failure(now, kind)
 
     def on_report(self, now: float, state: ReportState, in_flight: int | None = None) -> None:
-        """Take the server's own report; it may lower the limit, and lifts only its own hold."""
+        """Update from the server's load report, which may only lower the limit or end a drain."""
         self._warm_up.on_report(now, state)
-        # Kept for its whole time after the server is back, the hold would let work that its owner
-        # takes again wait in the queue until its deadline.
-        drains = state is ReportState.DRAINING
-        self._drain_until = now + self._options.drain_hold_s if drains else float("-inf")
+        # The drain hold ends with the first report of another state; otherwise requests accepted
+        # again would wait in the queue until their deadlines.
+        is_draining = state is ReportState.DRAINING
+        self._drain_until = now + self._options.drain_hold_s if is_draining else float("-inf")
         if in_flight is None:
             return
-        # The report lags: work of ours that has ended since may stand in it. Only what exceeds
-        # the most we had since the last report can be another's.
-        self._foreign = max(0, in_flight - self._peak)
-        self._peak = self._in_flight
-        self._foreign_until = now + self._options.foreign_s
+        # The report lags and may include own attempts that have ended since. Only what exceeds the
+        # maximum in flight since the last report is external.
+        self._external = max(0, in_flight - self._max_in_flight)
+        self._max_in_flight = self._in_flight
+        self._external_until = now + self._options.foreign_s
 
     def on_takeover(self, now: float, trust: Trust | None = None) -> None:
-        """Start as the new owner: at the cold cap, unless the last owner handed over its trust."""
+        """Start as the new owner: at the cold cap, unless warm-up state was handed over."""
         self._warm_up.on_takeover(now, trust)
 
     def _end(self) -> None:
--- a/libs/decisions/berylspindle_decisions/coverage.py
+++ b/libs/decisions/berylspindle_decisions/coverage.py
@@ -1,20 +1,20 @@
-"""Count what an answer speaks for, and decide when it goes out.
+"""Count the shards that an answer covers, and decide when the answer is sent.
 
-Pattern of load: straggling and lost shards. Without counting against the pinned shard map, a shard
-that answers twice (a hedge and its first attempt) hides one that never did, and the answer lies.
-Without an early end, a caller waits until its deadline for a shard that can't be had any more.
+Load: straggling and lost shards. Without counting against the pinned shard map, a shard that
+answers twice (a hedge and its first attempt) hides one that never did, and the stated coverage is
+wrong. Without an early end, a caller waits until its deadline for a shard that can't answer.
 
 Terms:
-  pinned map    the shards of the service as they were when the request was planned
-  lost          a shard that cannot be had any more within this request
+  pinned map    the shards of the service when the request was planned
+  lost          a shard that can no longer answer within this request
   pending       a shard that is neither answered nor lost
 
-Flow: `CoverageCount` takes answers and losses; after each of them, and when the wait it was told
-has passed, the entry asks `decide_answer` whether to wait, to answer or to refuse.
+Flow: `CoverageCount` counts answers and losses; after each of them, and after the wait that was
+returned, the entry calls `decide_answer`, which returns whether to wait, answer or refuse.
 
-Thresholds: they are the service's policy, not this module's: `min_coverage`, `patience_ms` and the
-deadline. LATENCY answers as soon as patience is over and enough shards are there; COVERAGE waits
-for each pending shard until the deadline. Both end at once when waiting can change nothing.
+Settings: `min_coverage`, `patience_ms` and the deadline belong to the service's policy. LATENCY
+answers as soon as `patience_ms` has passed and enough shards have answered; COVERAGE waits for each
+pending shard until the deadline. Both end at once when waiting can't change the answer.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class CoverageCount:
-    """Count shards of the pinned map, each once."""
+    """Count the shards of the pinned map, each once."""
 
     def __init__(self, shards: Iterable[str]) -> None:
         self._shards = tuple(dict.fromkeys(shards))
-        self._known = frozenset(self._shards)
+        self._shard_set = frozenset(self._shards)
         self._answered: set[str] = set()
         self._partial: set[str] = set()
         self._lost: set[str] = set()
@@ -59,16 +59,16 @@
         return tuple(s for s in self._shards if s not in self._answered and s not in self._lost)
 
     def is_answered(self, shard: str) -> bool:
-        """Tell whether the shard's answer is counted."""
+        """Return whether the shard's answer is counted."""
         return shard in self._answered
 
     def on_answer(self, shard: str, *, partial: bool = False) -> bool:
-        """Count one answer; return False where it must not be merged.
+        """Count one answer; return False if it must not be merged.
 
-        A second answer of one shard is one such case: its hits would stand twice. A shard outside
-        the pinned map is the other: the map changed and its hits belong to another partition.
+        That is a second answer of a shard, whose hits would be duplicated, or one of a shard
+        outside the pinned map, which changed and whose hits belong to another partition.
         """
-        if shard not in self._known or shard in self._answered:
+        if shard not in self._shard_set or shard in self._answered:
             return False
         self._answered.add(shard)
         self._lost.discard(shard)
@@ -77,12 +77,12 @@
         return True
 
     def on_lost(self, shard: str) -> None:
-        """Note that a shard can't be had any more; an answer counted before stays."""
-        if shard in self._known and shard not in self._answered:
+        """Record that a shard can no longer answer; an answer that is counted stays."""
+        if shard in self._shard_set and shard not in self._answered:
             self._lost.add(shard)
 
     def on_reask(self, shard: str) -> None:
-        """Take a counted answer back, because it is dropped and asked anew on another snapshot."""
+        """Discard a counted answer, since its shard is asked again on another snapshot."""
         self._answered.discard(shard)
         self._partial.discard(shard)
         self._lost.discard(shard)
@@ -98,7 +98,7 @@
 
 
 class AnswerVerdict(enum.Enum):
-    """What an entry does with the answer that it has so far."""
+    """What an entry does with the answer that it has collected."""
 
     WAIT = "wait"
     ANSWER = "answer"
@@ -107,7 +107,7 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerDecision:
-    """A verdict; for WAIT also the milliseconds after which to ask again at the latest."""
+    """A verdict; for WAIT also the maximum milliseconds until the next decision."""
 
     verdict: AnswerVerdict
     wait_ms: float = 0.0
@@ -120,17 +120,17 @@
 def decide_answer(
     policy: Policy, count: CoverageCount, *, elapsed_ms: float, left_ms: float
 ) -> AnswerDecision:
-    """Return whether the answer goes out now.
+    """Return whether the answer is sent now.
 
-    REFUSE stands for INCOMPLETE. `left_ms` is the time in which the entry must have its replies.
+    REFUSE means the error INCOMPLETE. `left_ms` is the time until the entry needs its replies.
     """
     pending = count.waiting
     enough = count.asked == 0 or count.answered >= policy.min_coverage * count.asked
     if pending == 0 or left_ms <= 0:
         return _ANSWER if enough else _REFUSE
     if count.answered + pending < policy.min_coverage * count.asked:
-        # So many shards are lost that no wait can reach the least coverage. The caller gets its
-        # final answer now and may use the rest of its time.
+        # Too many shards are lost to reach the minimum coverage. The caller gets the final error
+        # now and can use the rest of its time.
         return _REFUSE
     if policy.prefer is Preference.COVERAGE:
         return AnswerDecision(verdict=AnswerVerdict.WAIT, wait_ms=left_ms)
--- a/libs/decisions/berylspindle_decisions/forward_policy.py
+++ b/libs/decisions/berylspindle_decisions/forward_policy.py
@@ -1,13 +1,13 @@
-"""Which decisions of forwarding are on: one switch a mechanism, all on unless a setting says so.
+"""Switches of the forwarding decisions, one per mechanism; all are on by default.
 
 Terms:
-  switch   a mechanism that can be left out, so that what it is worth can be measured
+  switch   a mechanism that can be disabled, so that its effect can be determined
 
-Flow: the daemon reads `POLICY_VARIABLE` once at its start by `read_policy` and hands the result to
-what makes the decisions; each switch is read in one place. Trials set the fields themselves.
+Flow: the daemon parses `POLICY_VARIABLE` once at its start with `read_policy` and passes the result
+to the decisions; each switch is read in one place. Trials set the fields directly.
 
-A switch that is off breaks no promise of its own: bounds on repeats, cold caps and what is never
-sent twice have none.
+Disabling a switch breaks no guarantee: there are no switches for the limits on attempts, the cold
+caps and the rule that some requests are never sent twice.
 """
 
 from __future__ import annotations
@@ -21,55 +21,58 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardPolicy:
-    """The switches."""
+    """Switches of the forwarding decisions."""
 
-    # A second attempt goes out beside a late one; off, a paused replica is waited for.
+    # Send a second attempt while a late one is in flight.
     hedges: bool = True
-    # Hedges go only where a slot is free; off, they lengthen queues under a burst.
+    # Send hedges only to replicas with a free slot. If disabled, they lengthen queues in a burst.
     hedge_idle_only: bool = True
-    # What would only lengthen queues is refused at once; off, all is late together.
+    # Reject requests that would only lengthen queues. If disabled, every answer is late.
     refuses: bool = True
-    # The refused share drifts with the pressure; off, queues settle longer the more is offered.
+    # Integrate the pressure into the rejected share. If disabled, queues grow with the load.
     drifts: bool = True
-    # Of the less urgent more is refused; off, each kind is weighed by its own queues alone.
+    # Reject more of lower priorities. If disabled, each priority counts its own queues only.
     urgent_first: bool = True
-    # A search is answered at its aim with enough parts; off, it waits for the last one.
+    # Answer a search at its latency target with enough parts. If disabled, wait for all parts.
     partial_at_target: bool = True
-    # Replicas of the own data centre go first until they are twice as slow; off, all are alike.
+    # Prefer replicas of the own data centre until they are twice as slow.
     prefers_near: bool = True
-    # A replica that answers slowly gets less; off, only its queue counts.
+    # Send less to replicas that answer slowly. If disabled, only their queues count.
     learns_pace: bool = True
-    # One pause counts once against a fast replica; off, each of its late answers does.
+    # Count a pause once against a fast replica. If disabled, each late answer counts.
     clips_jumps: bool = True
-    # A replica that refuses or fails often gets less; off, a success clears it.
+    # Send less to replicas that often refuse or fail. If disabled, one success clears them.
     learns_sheds: bool = True
-    # The load that other VMs usually bring counts between reports; off, the last report alone.
+    # Count the usual load of other VMs between reports. If disabled, only the last report counts.
     estimate_load: bool = True
-    # Searches of small VMs go through bigger ones of their data centre; off, each does its own.
+    # Relay searches of small VMs through larger ones of the same data centre.
     relays: bool = True
-    # Shards without a replica near come as one answer of a VM near them; off, each comes alone.
+    # Fetch remote shards as one merged answer of a VM near them. If disabled, one by one.
     subsets: bool = True
-    # What may not be repeated avoids replicas that lost answers of any VM; off, of this one alone.
+    # For requests that are not idempotent, avoid replicas that lost answers of any VM. If disabled,
+    # only of this VM.
     shares_losses: bool = True
-    # A service without a usable replica is waited for; off, its callers are told at once.
+    # Wait for a usable replica. If disabled, a request without one fails at once.
     wait_for_replica: bool = True
 
 
 def read_policy(text: str) -> ForwardPolicy:
-    """Return the policy that a setting such as "hedges=off, relays=off" says.
+    """Parse a setting such as "hedges=off, relays=off".
 
-    Raises ValueError for a name or a value that isn't known, with the names that are.
+    Raise ValueError for an unknown name or value, with a list of the known names.
     """
     known = attrs.fields_dict(ForwardPolicy)
     changes: dict[str, bool] = {}
     for part in filter(None, (part.strip() for part in text.split(","))):
         name, _, value = (piece.strip() for piece in part.partition("="))
         if name not in known or value not in ("on", "off"):
-            raise ValueError(f"{part!r}: takes NAME=on or NAME=off; names: {', '.join(known)}")
+            raise ValueError(
+                f"{part!r}: expected NAME=on or NAME=off; known names: {', '.join(known)}"
+            )
         changes[name] = value == "on"
     return ForwardPolicy(**changes)
 
 
 def switched_off(policy: ForwardPolicy) -> tuple[str, ...]:
-    """Return the names of the switches that are off."""
+    """Return the names of the disabled switches."""
     return tuple(name for name, is_on in attrs.asdict(policy).items() if not is_on)
--- a/libs/decisions/berylspindle_decisions/hedged_request.py
+++ b/libs/decisions/berylspindle_decisions/hedged_request.py
@@ -1,22 +1,21 @@
-"""Decide on the attempts of one request at one service: first, hedges and retries.
-
-Pattern of load: replicas that pause, refuse, fail and vanish while a request waits for one of them.
+"""Schedule the attempts of one request at one service: the first attempt, hedges and retries.
 
 Terms:
-  attempt    one sending to one replica; at the end it has answered, has surely not run, or may have
-  runs       attempts that have run, may have, or still may; never more than the route allows
-  hedge      an attempt beside one that is out
+  attempt    one request sent to one replica; it ends as answered, not run, or possibly run
+  runs       attempts that ran, may have run, or may still run; limited by the route
+  hedge      an additional attempt while another one is in flight
   retry      an attempt after all others have ended without an answer
 
-Flow: `step` returns what to do now: send to a replica, wait until a time, or give up; the caller
-reports each attempt's end. An `AttemptPolicy` chooses replicas and grants the retry budget; there
-is no clock here.
+Flow: `HedgedRequest.step` returns the next action: send to a replica, wait until a time, or give
+up. The caller reports the end of each attempt. An `AttemptPolicy` selects replicas and grants the
+retry budget. The module reads no clock.
 
-Guards: a request that is not idempotent gets a second attempt only where the first has surely not
-run. A request never has more runs than its route allows, hedges and retries together. Refusals cost
-arrivals too, so that the pause after each grows from `PAUSE_FIRST`, the time in which a replica's
-queue of twenty drains. Where all replicas refuse connections, the next try waits as long. A spent
-budget is asked for again for `BUDGET_PATIENCE`; a caller that is told then can try elsewhere.
+Limits: a request that is not idempotent gets a second attempt only if the first has certainly not
+run. Hedges and retries together never exceed the route's limit on runs. Refused attempts load the
+service as well, so the backoff after refusals doubles from `REFUSAL_BACKOFF_MIN_S`, the time in
+which a replica drains a queue of twenty requests. The same backoff applies where all replicas
+refuse connections. A request that is denied retry budget for `BUDGET_WAIT_MAX_S` fails, so that its
+caller can still retry elsewhere.
 """
 
 from __future__ import annotations
@@ -28,18 +27,18 @@
 
 import attrs
 
-PAUSE_FIRST: Final = 0.01
-PAUSE_MOST: Final = 0.16
-BUDGET_PAUSE: Final = 0.02
-BUDGET_PATIENCE: Final = 0.12
-HEDGE_AGAIN: Final = 0.01
+REFUSAL_BACKOFF_MIN_S: Final = 0.01
+REFUSAL_BACKOFF_MAX_S: Final = 0.16
+RETRY_POLL_INTERVAL_S: Final = 0.02
+BUDGET_WAIT_MAX_S: Final = 0.12
+HEDGE_RETRY_INTERVAL_S: Final = 0.01
 
 
 class AttemptEnd(enum.Enum):
-    """What is known of an attempt that has ended.
+    """Outcome of an attempt that has ended.
 
-    NOT_SENT: no byte of it left this VM, so that it was no arrival either. NOT_RUN: the replica
-    refused it.
+    NOT_SENT: no byte left this VM, so the attempt does not count as an arrival. NOT_RUN: the
+    replica refused it.
     """
 
     NOT_SENT = "not_sent"
@@ -49,7 +48,7 @@
 
 
 class RequestState(enum.Enum):
-    """Where a race stands."""
+    """State of a request at one service."""
 
     OPEN = "open"
     WON = "won"
@@ -66,69 +65,69 @@
 
 @attrs.frozen
 class WaitUntil:
-    """Nothing to do before this time, if nothing else happens."""
+    """Wait until this time or until an attempt ends, whichever comes first."""
 
     time: float
 
 
 class LossReason(enum.StrEnum):
-    """Why a race gives no answer."""
+    """Why a request ends without an answer."""
 
     ALL_FAILED = "every attempt that is allowed has failed"
-    TOO_LATE = "the deadline passed"
+    DEADLINE_PASSED = "the deadline passed"
     NO_REPLICA = "no replica is usable"
     EXTRA_SPENT = "the extra share is spent"
 
 
 @attrs.frozen
 class GiveUp:
-    """No answer can come any more."""
+    """End the request without an answer."""
 
     reason: LossReason
 
 
-_UNRUN: Final = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN})
+_NOT_RUN_OUTCOMES: Final = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN})
 
 RequestStep = SendTo | WaitUntil | GiveUp
 
 
 class AttemptPolicy(abc.ABC):
-    """What a race needs to know of everything beyond it."""
+    """Replica selection and retry budget for the attempts of a request."""
 
     @abc.abstractmethod
     def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
-        """Return the replica for an attempt, or None where none is usable.
+        """Return a replica that is not in `tried`, or None if none is usable.
 
-        For a hedge only one that is expected to answer sooner than a stalled one would.
+        For a hedge, return only a replica that is expected to answer before a stalled one.
         """
 
     @abc.abstractmethod
     def may_take_extra(self, service: str, *, hedge: bool) -> bool:
-        """Tell whether the extra share allows one more arrival; True has taken it."""
+        """Spend retry budget on one more attempt; return False if there is none left."""
 
     @abc.abstractmethod
     def hedge_after(self, service: str) -> float:
-        """Return after how many seconds an attempt that goes out now is hedged."""
+        """Return the delay in seconds before an attempt that is sent now is hedged."""
 
 
 @attrs.define(eq=False)
 class AttemptRecord:
-    """One attempt of a race."""
+    """One attempt of a request."""
 
     replica: str
     sent_at: float
     hedge_at: float
     end: AttemptEnd | None = None
-    is_out: bool = True
+    in_flight: bool = True
 
     @property
     def counts_as_run(self) -> bool:
-        """Tell whether it has run, may have, or still may."""
-        return self.end not in _UNRUN
+        """Return whether the attempt ran, may have run, or may still run."""
+        return self.end not in _NOT_RUN_OUTCOMES
 
 
 class HedgedRequest:
-    """The attempts of one request at one service."""
+    """The attempts of one request at one service; times are in seconds of one clock."""
 
     def __init__(
         self,
@@ -143,37 +142,37 @@
         self.state = RequestState.OPEN
         self.attempts: list[AttemptRecord] = []
         self._repeatable: Final = repeatable
-        self._most_runs: Final = most_runs
-        self._wait_until: Final = wait_until
+        self._max_runs: Final = most_runs
+        self._no_replica_deadline: Final = wait_until
         self._deadline: Final = deadline
         self._not_before = -math.inf
-        self._pause = PAUSE_FIRST
+        self._refusal_backoff = REFUSAL_BACKOFF_MIN_S
         self._hedge_at = math.inf
-        self._denied_since = math.inf
-        self._again_at = -math.inf
-        self._again_pause = PAUSE_FIRST
+        self._budget_denied_since = math.inf
+        self._reconnect_at = -math.inf
+        self._reconnect_backoff = REFUSAL_BACKOFF_MIN_S
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any attempt has run, may have, or still may."""
+        """Return whether any attempt ran, may have run, or may still run."""
         return any(attempt.counts_as_run for attempt in self.attempts)
 
     def step(self, now: float, policy: AttemptPolicy) -> RequestStep:
-        """Return what to do now; ask again until it says to wait."""
+        """Return the next action; call again until it is `WaitUntil` or `GiveUp`."""
         runs = sum(attempt.counts_as_run for attempt in self.attempts)
-        is_out = any(attempt.is_out for attempt in self.attempts)
-        if is_out:
+        in_flight = any(attempt.in_flight for attempt in self.attempts)
+        if in_flight:
             return self._step_hedge(now, policy, runs)
-        if runs >= self._most_runs or (runs and not self._repeatable):
-            return self._lose(LossReason.ALL_FAILED)
+        if runs >= self._max_runs or (runs and not self._repeatable):
+            return self._give_up(LossReason.ALL_FAILED)
         if now >= self._deadline:
-            return self._lose(LossReason.TOO_LATE)
+            return self._give_up(LossReason.DEADLINE_PASSED)
         if now < self._not_before:
             return WaitUntil(min(self._not_before, self._deadline))
         return self._step_retry(now, policy)
 
     def sent(self, now: float, replica: str, policy: AttemptPolicy) -> AttemptRecord:
-        """Note an attempt that goes out now."""
+        """Record an attempt that is sent now."""
         hedge_at = now + policy.hedge_after(self.service)
         attempt = AttemptRecord(replica, now, hedge_at)
         self.attempts.append(attempt)
@@ -181,65 +180,65 @@
         return attempt
 
     def answered(self, attempt: AttemptRecord) -> None:
-        """Note the answer; the race is won."""
-        attempt.is_out = False
+        """Record the answer, which completes the request."""
+        attempt.in_flight = False
         attempt.end = AttemptEnd.RAN
         self.state = RequestState.WON
 
     def ended(self, now: float, attempt: AttemptRecord, end: AttemptEnd, *, refused: bool) -> None:
-        """Note an attempt that ended without an answer; `refused` by the replica itself."""
-        attempt.is_out = False
+        """Record an attempt without an answer; `refused` if the replica rejected it."""
+        attempt.in_flight = False
         attempt.end = end
         if end is AttemptEnd.NOT_SENT:
-            self._again_at = now + self._again_pause
-        if not refused or any(other.is_out for other in self.attempts):
+            self._reconnect_at = now + self._reconnect_backoff
+        if not refused or any(other.in_flight for other in self.attempts):
             return
         if {other.replica for other in self.attempts if other is not attempt}:
-            # The first refusal is rerouted at once; from the second on the service is pressed.
-            self._not_before = now + self._pause
-            self._pause = min(PAUSE_MOST, 2 * self._pause)
+            # The first refusal is rerouted at once; a second one indicates an overloaded service.
+            self._not_before = now + self._refusal_backoff
+            self._refusal_backoff = min(REFUSAL_BACKOFF_MAX_S, 2 * self._refusal_backoff)
 
     def _step_hedge(self, now: float, policy: AttemptPolicy, runs: int) -> RequestStep:
         if now >= self._deadline:
-            # Nothing more goes out; whoever waits for the race ends it.
+            # No more attempts are sent; the caller that awaits the request ends it.
             return WaitUntil(math.inf)
-        if not self._repeatable or runs >= self._most_runs:
+        if not self._repeatable or runs >= self._max_runs:
             return WaitUntil(self._deadline)
         if now < self._hedge_at:
             return WaitUntil(min(self._hedge_at, self._deadline))
         tried = frozenset(attempt.replica for attempt in self.attempts)
         replica = policy.pick(self.service, tried=tried, hedge=True)
         if replica is None or not policy.may_take_extra(self.service, hedge=True):
-            self._hedge_at = now + HEDGE_AGAIN
+            self._hedge_at = now + HEDGE_RETRY_INTERVAL_S
             return WaitUntil(min(self._hedge_at, self._deadline))
         return SendTo(replica, "hedge")
 
     def _step_retry(self, now: float, policy: AttemptPolicy) -> RequestStep:
-        out_of = frozenset(attempt.replica for attempt in self.attempts if attempt.counts_as_run)
+        used = frozenset(attempt.replica for attempt in self.attempts if attempt.counts_as_run)
         tried = frozenset(attempt.replica for attempt in self.attempts)
         replica = policy.pick(self.service, tried=tried, hedge=False)
-        if replica is None and tried != out_of:
-            # Only replicas that refused, or could not be reached, are left.
-            if now < self._again_at:
-                return WaitUntil(min(self._again_at, self._deadline))
-            replica = policy.pick(self.service, tried=out_of, hedge=False)
-            self._again_pause = min(PAUSE_MOST, 2 * self._again_pause)
+        if replica is None and tried != used:
+            # Only replicas that refused or could not be reached are left.
+            if now < self._reconnect_at:
+                return WaitUntil(min(self._reconnect_at, self._deadline))
+            replica = policy.pick(self.service, tried=used, hedge=False)
+            self._reconnect_backoff = min(REFUSAL_BACKOFF_MAX_S, 2 * self._reconnect_backoff)
         if replica is None:
-            if now >= self._wait_until:
-                return self._lose(LossReason.NO_REPLICA)
-            self._not_before = now + BUDGET_PAUSE
+            if now >= self._no_replica_deadline:
+                return self._give_up(LossReason.NO_REPLICA)
+            self._not_before = now + RETRY_POLL_INTERVAL_S
             return WaitUntil(min(self._not_before, self._deadline))
         if all(attempt.end is AttemptEnd.NOT_SENT for attempt in self.attempts):
             return SendTo(replica, "first")
         if not policy.may_take_extra(self.service, hedge=False):
-            self._denied_since = min(self._denied_since, now)
-            if now - self._denied_since >= BUDGET_PATIENCE:
-                return self._lose(LossReason.EXTRA_SPENT)
-            self._not_before = now + BUDGET_PAUSE
+            self._budget_denied_since = min(self._budget_denied_since, now)
+            if now - self._budget_denied_since >= BUDGET_WAIT_MAX_S:
+                return self._give_up(LossReason.EXTRA_SPENT)
+            self._not_before = now + RETRY_POLL_INTERVAL_S
             return WaitUntil(min(self._not_before, self._deadline))
-        self._denied_since = math.inf
+        self._budget_denied_since = math.inf
         return SendTo(replica, "retry")
 
-    def _lose(self, reason: LossReason) -> GiveUp:
+    def _give_up(self, reason: LossReason) -> GiveUp:
         self.state = RequestState.LOST
         return GiveUp(reason)
--- a/libs/decisions/berylspindle_decisions/hedging.py
+++ b/libs/decisions/berylspindle_decisions/hedging.py
@@ -1,26 +1,27 @@
-"""Decide when a second attempt of a sub-request starts.
+"""Decide when a sub-request is hedged: the delay, signs of saturation and the budget.
 
-Pattern of load: stragglers in a wide fan-out. The slowest of ten shards sets the latency, so that
-one slow answer in a hundred is seen by one caller in ten. Without a budget, hedges double the load
-when all is slow, which makes everything slower still.
+Load: stragglers in a wide fan-out. The slowest of ten shards sets the latency, so one slow answer
+in a hundred affects one caller in ten. Without a budget, hedges double the load when every replica
+is slow, which slows all of them further.
 
 Terms:
-  hedge       a second attempt at another replica, while the first is still out
-  delay       how long the first attempt has been out before a hedge may start
-  saturation  so many sub-requests outlast the delay that it is load and not stragglers
-  censored    a first attempt that was cancelled; its latency is known only to be longer
-
-Flow: first attempts are told to `observe`, cancelled ones to `observe_cancelled`; the entry sets a
-timer of `delay_ms` for each first attempt and asks `decide` when it fires.
-
-Thresholds: the delay is the quantile of recent first attempts that leaves 0.6 of what the budget
-pays for, but at most 4 times the median, since with many stragglers the quantile lies among them
-and a hedge after it comes too late. With few tokens left the delay doubles, so that they go
-to the slowest. Two signs of saturation stop all hedges: over 4 times the expected share beyond the
-delay set before, in the last 300 (100 took a cluster of stragglers for it), and over 0.4 of
-the latency spent in owners' queues: there hedges took 8 of 75 points of the whole answers at 130%
-load. A window of 500 observations or 10 s follows a shift within seconds; a percentile of
-hdrhistogram costs 0.2 ms, so the delay is worked out once a window and not for each request.
+  hedge       a second attempt at another replica while the first is in flight
+  delay       how long the first attempt has been in flight before a hedge may start
+  saturation  more sub-requests exceed the delay than stragglers explain, because of load
+
+Flow: `HedgePolicy.observe` records answered first attempts, `observe_cancelled` cancelled ones. The
+entry sets a timer of `delay_ms` for each first attempt and calls `decide` when it fires.
+
+Delay: the quantile of recent first attempts that uses 0.6 of the budget, capped at 4 times the
+median, because with many stragglers the quantile lies among them and the hedge starts too late.
+When few tokens are left the delay doubles, so that the remaining ones go to the slowest attempts.
+The delay is computed once per window and not per request, since a percentile of hdrhistogram takes
+0.2 ms; a window of 500 observations or 10 s follows a shift within seconds.
+
+Saturation stops all hedges on either of two signs: more than 4 times the expected share of the last
+300 attempts exceeds the current delay (with 100, a cluster of stragglers is mistaken for
+saturation), or more than 0.4 of the latency is queueing delay at owners. In the latter case, at
+130% load, hedges reduce the share of complete answers by 8 of 75 percentage points.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class HedgeVerdict(enum.Enum):
-    """Whether a hedge starts; all but GO say why not."""
+    """Result of a hedging decision; all but GO name the reason against a hedge."""
 
     GO = "go"
     NOT_REPEATABLE = "not_repeatable"
@@ -53,25 +54,30 @@
 
 @attrs.frozen(kw_only=True)
 class HedgeOptions:
-    """When hedges start.
+    """Settings of hedging.
 
     Attributes:
-        share: hedges allowed as a share of first attempts, 0 to 1.
-        reserve: hedges allowed before any first attempt has paid for them; more than a few would
-            break the share in a short run.
-        aim: share of the budget that the delay is set to use, 0 to 1; the rest is for drift.
-        spread: longest delay as a multiple of the median.
-        min_delay_ms: shortest delay.
-        cold_delay_ms: delay while too little has been observed.
-        min_samples: observations before the delay is measured.
-        window: observations after which the delay is worked out anew.
-        window_s: seconds after which it is worked out anew in any case.
-        saturated_factor: multiple of the expected share beyond the delay that is saturation.
-        recent: observations over which saturation is judged.
-        queued_share: share of the latency spent in owners' queues that is saturation, 0 to 1.
-        smoothing: weight of a new answer in that share, 0 to 1.
-        low_tokens: tokens below which the delay grows, so that the last ones go to the slowest.
-        stretch: by how many times the delay has grown when no token is left.
+        share: maximum ratio of hedges to first attempts, 0 to 1.
+        reserve: hedges available before any first attempt has earned tokens; more than a few
+            would exceed `share` in a short run.
+        aim: share of the budget that the delay is set to use, 0 to 1; the rest is headroom for
+            shifts of the latency.
+        spread: maximum delay as a multiple of the median.
+        min_delay_ms: minimum delay.
+        cold_delay_ms: delay while there are too few observations.
+        min_samples: observations required before the delay is computed.
+        window: observations after which the delay is recomputed.
+        window_s: seconds after which it is recomputed in any case.
+        saturated_factor: multiple of the expected share of attempts over the delay from which the
+            service counts as saturated.
+        recent: observations over which that share is counted.
+        queued_share: share of the latency spent in owners' queues from which the service counts
+            as saturated, 0 to 1.
+        smoothing: weight of a new answer in the moving averages of latency and queueing delay,
+            0 to 1.
+        low_tokens: tokens below which the delay grows, so that the last ones go to the slowest
+            attempts.
+        stretch: relative increase of the delay when no token is left.
     """
 
     share: float = 0.05
@@ -92,7 +98,7 @@
 
 
 class HedgePolicy:
-    """The hedging of one service at one entry."""
+    """Hedging decisions of one entry for one service."""
 
     def __init__(
         self, options: HedgeOptions | None = None, budget: ExtraBudget | None = None
@@ -101,54 +107,54 @@
         self._budget = budget or ExtraBudget(
             BudgetOptions(share=self._options.share, reserve=self._options.reserve)
         )
-        self._digest = _new_digest()
+        self._histogram = _new_histogram()
         self._count = 0
-        self._started: float | None = None
+        self._window_start: float | None = None
         self._delay_ms = self._options.cold_delay_ms
-        self._is_measured = False
-        self._beyond: deque[bool] = deque(maxlen=self._options.recent)
-        self._beyond_count = 0
-        self._queued_ms = 0.0
-        self._total_ms = 0.0
+        self._has_delay = False
+        self._over_delay: deque[bool] = deque(maxlen=self._options.recent)
+        self._over_delay_count = 0
+        self._mean_queued_ms = 0.0
+        self._mean_latency_ms = 0.0
 
     @property
     def budget(self) -> ExtraBudget:
-        """Return the budget of hedges, for its counters."""
+        """Return the hedge budget with its counters."""
         return self._budget
 
     @property
     def delay_ms(self) -> float:
-        """Return how long a first attempt is out before its hedge may start."""
+        """Return how long a first attempt is in flight before its hedge may start."""
         low = self._options.low_tokens
         scarcity = max(0.0, 1.0 - self._budget.tokens / low) if low > 0 else 0.0
         return self._delay_ms * (1.0 + self._options.stretch * scarcity)
 
     @property
     def is_saturated(self) -> bool:
-        """Tell whether so many are slow, or wait so long, that hedging would only add load."""
-        if self._queued_ms > self._options.queued_share * self._total_ms:
+        """Return whether latency is caused by load, so that hedges would only add to it."""
+        if self._mean_queued_ms > self._options.queued_share * self._mean_latency_ms:
             return True
-        if not self._is_measured or len(self._beyond) < self._options.recent:
+        if not self._has_delay or len(self._over_delay) < self._options.recent:
             return False
         expected = self._options.share * self._options.recent
-        return self._beyond_count > self._options.saturated_factor * expected
+        return self._over_delay_count > self._options.saturated_factor * expected
 
     def on_first(self, count: int = 1) -> None:
-        """Count first attempts; they pay for hedges."""
+        """Count first attempts, which earn tokens for hedges."""
         self._budget.on_first(count)
 
     def observe(self, now: float, latency_ms: float, *, queued_ms: float = 0.0) -> None:
-        """Take the latency of a first attempt that was answered, and its wait at the owner."""
+        """Record latency and queueing delay at the owner of an answered first attempt."""
         weight = self._options.smoothing
-        self._queued_ms += weight * (queued_ms - self._queued_ms)
-        self._total_ms += weight * (latency_ms - self._total_ms)
+        self._mean_queued_ms += weight * (queued_ms - self._mean_queued_ms)
+        self._mean_latency_ms += weight * (latency_ms - self._mean_latency_ms)
         self._record(now, latency_ms)
 
     def observe_cancelled(self, now: float, elapsed_ms: float) -> None:
-        """Take a first attempt that lost against its hedge, as slow as it was when cancelled.
+        """Record a first attempt that was cancelled because its hedge answered.
 
-        Left out, only quick ones would be seen: the delay would shrink, more hedges would
-        start, and more slow ones be left out.
+        Ignoring these would leave only fast attempts in the histogram: the delay would shrink,
+        more hedges would start and more slow attempts would be ignored.
         """
         self._record(now, elapsed_ms)
 
@@ -160,11 +166,11 @@
         repeatable: bool,
         connection_lost: bool = False,
     ) -> HedgeVerdict:
-        """Return whether a hedge starts now; GO has taken its token from the budget."""
+        """Return whether a hedge starts now; GO has already spent a token."""
         if not repeatable:
             return HedgeVerdict.NOT_REPEATABLE
         if connection_lost:
-            # The request may have crashed the server; a hedge would take a second one down.
+            # The request may have crashed the server; a hedge could crash a second one.
             return HedgeVerdict.CONNECTION_LOST
         if elapsed_ms < self.delay_ms:
             return HedgeVerdict.TOO_EARLY
@@ -178,34 +184,34 @@
 
     def _record(self, now: float, latency_ms: float) -> None:
         value_us = min(max(int(latency_ms * 1000), _LOWEST_US), _HIGHEST_US)
-        self._digest.record_value(value_us)
+        self._histogram.record_value(value_us)
         self._count += 1
-        self._note_beyond(latency_ms > self._delay_ms)
-        if self._started is None:
-            self._started = now
-        aged = now - self._started > self._options.window_s
-        if self._count >= self._options.window or aged or not self._is_measured:
-            self._measure(now)
-
-    def _note_beyond(self, beyond: bool) -> None:
-        if len(self._beyond) == self._beyond.maxlen:
-            self._beyond_count -= self._beyond[0]
-        self._beyond.append(beyond)
-        self._beyond_count += beyond
-
-    def _measure(self, now: float) -> None:
+        self._record_over_delay(latency_ms > self._delay_ms)
+        if self._window_start is None:
+            self._window_start = now
+        aged = now - self._window_start > self._options.window_s
+        if self._count >= self._options.window or aged or not self._has_delay:
+            self._update_delay(now)
+
+    def _record_over_delay(self, over_delay: bool) -> None:
+        if len(self._over_delay) == self._over_delay.maxlen:
+            self._over_delay_count -= self._over_delay[0]
+        self._over_delay.append(over_delay)
+        self._over_delay_count += over_delay
+
+    def _update_delay(self, now: float) -> None:
         if self._count < self._options.min_samples:
             return
         percentile = 100 * (1 - self._options.share * self._options.aim)
-        quantile_ms = self._digest.get_value_at_percentile(percentile) / 1000
-        median_ms = self._digest.get_value_at_percentile(50) / 1000
+        quantile_ms = self._histogram.get_value_at_percentile(percentile) / 1000
+        median_ms = self._histogram.get_value_at_percentile(50) / 1000
         delay_ms = min(quantile_ms, median_ms * self._options.spread)
         self._delay_ms = max(delay_ms, self._options.min_delay_ms)
-        self._is_measured = True
-        self._digest = _new_digest()
+        self._has_delay = True
+        self._histogram = _new_histogram()
         self._count = 0
-        self._started = now
+        self._window_start = now
 
 
-def _new_digest() -> HdrHistogram:
+def _new_histogram() -> HdrHistogram:
     return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
--- a/libs/decisions/berylspindle_decisions/log_rate_limiter.py
+++ b/libs/decisions/berylspindle_decisions/log_rate_limiter.py
@@ -1,14 +1,15 @@
-"""Limit the lines of the log that a VM writes of each kind.
+"""Limit the rate of log lines of each kind that a VM writes.
 
-Pattern of load: five times as many requests as can be served, each rejected, each with a line. A
-thousand such lines a second take a tenth of the processor from requests that could be served.
+Load: five times as many requests as can be served, each rejected with a log line. A thousand such
+lines per second take a tenth of the processor from requests that could be served.
 
 Terms:
-  kind    what a line tells; each kind has its own allowance, so that one can't use up another's
-  burst   lines that may be written at once after a quiet time
+  kind    the subject of a line; each kind has its own token bucket, so that one can't use up
+          another's
+  burst   lines that may be written at once after an idle period
 
-Flow: `may_write` is asked before a line is made. What is not allowed is counted, and the next line
-of its kind says how many were left out.
+Flow: `LogRateLimiter.may_write` is called before a line is created. Suppressed lines are counted,
+and the next line of the kind states their number.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class LineKind(enum.StrEnum):
-    """What a line of the log tells."""
+    """Subject of a log line."""
 
     REFUSED = "refused"
     FAILED = "failed"
@@ -33,7 +34,7 @@
 
 @attrs.frozen
 class LineRate:
-    """Lines a second over time, and lines at once."""
+    """Sustained lines per second, and burst in lines."""
 
     per_second: float
     burst: float
@@ -50,33 +51,33 @@
 
 
 @attrs.define
-class _Allowance:
+class _Bucket:
     rate: LineRate
-    left: float
-    at: float = 0.0
-    left_out: int = 0
+    tokens: float
+    updated_at: float = 0.0
+    suppressed: int = 0
 
 
 class LogRateLimiter:
-    """The lines that one VM may write; times are seconds of the caller's clock."""
+    """Token buckets for the log lines of one VM; times are in seconds of the caller's clock."""
 
     def __init__(self, rates: Mapping[LineKind, LineRate] = RATES) -> None:
-        self._kinds: Final = {kind: _Allowance(rate, rate.burst) for kind, rate in rates.items()}
+        self._buckets: Final = {kind: _Bucket(rate, rate.burst) for kind, rate in rates.items()}
 
     def may_write(self, now: float, kind: LineKind) -> bool:
-        """Tell whether a line of this kind may be written; True has counted it."""
-        allowance = self._kinds[kind]
-        grown = (now - allowance.at) * allowance.rate.per_second
-        allowance.left = min(allowance.rate.burst, allowance.left + max(0.0, grown))
-        allowance.at = now
-        if allowance.left < 1.0:
-            allowance.left_out += 1
+        """Return whether a line of this kind may be written; True consumes a token."""
+        bucket = self._buckets[kind]
+        refill = (now - bucket.updated_at) * bucket.rate.per_second
+        bucket.tokens = min(bucket.rate.burst, bucket.tokens + max(0.0, refill))
+        bucket.updated_at = now
+        if bucket.tokens < 1.0:
+            bucket.suppressed += 1
             return False
-        allowance.left -= 1.0
+        bucket.tokens -= 1.0
         return True
 
     def left_out(self, kind: LineKind) -> int:
-        """Return how many lines of a kind were left out since this was last asked."""
-        allowance = self._kinds[kind]
-        count, allowance.left_out = allowance.left_out, 0
+        """Return the number of suppressed lines of a kind since the last call."""
+        bucket = self._buckets[kind]
+        count, bucket.suppressed = bucket.suppressed, 0
         return count
--- a/libs/decisions/berylspindle_decisions/merge.py
+++ b/libs/decisions/berylspindle_decisions/merge.py
@@ -1,21 +1,20 @@
 """Merge the hits of many shards into one page.
 
-Pattern of load: a fan-out of ten to hundreds of shards, each with a page of hits. Without a bound
-on what a shard is asked for, deep pages cost memory in every process at once; with too few hits
-from each shard the merged order is wrong without showing it.
+Load: a fan-out of ten to hundreds of shards, each with a page of hits. Without a limit on what a
+shard returns, deep pages use memory in every process at once; with too few hits from each shard the
+merged order is wrong without any sign of it.
 
 Terms:
   hit    one result of one shard, with a score and an id
   page   `limit` hits of the merged order after the first `offset`
 
-Flow: `shard_limit` says how many hits each shard must give, `merge_hits` takes what the shards
-gave and returns the page. Only hits computed on one snapshot may come in; the caller of this
-module sees to that by `snapshot_choice`.
+Flow: `shard_limit` returns how many hits each shard must return, `merge_hits` merges them into the
+page. All hits must be computed on one snapshot, which the caller ensures with `snapshot_choice`.
 
-Thresholds: each shard gives one hit more than the end of the page, so that the existence of a next
-page is known and not guessed. A hit of the page stands in the top of its own shard, therefore no
-shard has to give more. One sort over the joined lists was chosen over a heap of lists: the lists
-come sorted, the sort finds these runs, and it needs no trust in their order.
+Limits: each shard returns one hit more than the end of the page, which shows whether there is a
+next page. A hit of the page is in the top of its own shard, so no shard has to return more. One
+sort over the joined lists is used and not a heap of lists: the lists are sorted, the sort detects
+these runs, and it does not rely on their order.
 """
 
 from __future__ import annotations
@@ -30,21 +29,21 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """One page; `next_offset` is where the next one begins, None on the last."""
+    """One page; `next_offset` is the offset of the next one, or None on the last."""
 
     hits: tuple[Hit, ...]
     next_offset: int | None
 
 
 def shard_limit(*, offset: int, limit: int) -> int:
-    """Return how many hits each shard has to give for this page."""
+    """Return the number of hits that each shard must return for this page."""
     return offset + limit + 1
 
 
 def merge_hits(shards: Iterable[Sequence[Hit]], *, offset: int, limit: int) -> Page:
     """Return one page of the merged order: highest score first, then lowest id, each id once.
 
-    Of two hits with one id the one with the higher score stays.
+    Of two hits with the same id, keep the one with the higher score.
     """
     ordered = [hit for hits in shards for hit in hits]
     ordered.sort(key=_order)
@@ -65,7 +64,7 @@
 
 
 def _order(hit: Hit) -> tuple[float, str]:
-    # A score that is not a number compares false with all others and would leave the list
-    # unsorted around it, differently for each order of arrival. It goes last instead.
+    # NaN compares false with every score and would leave the list unsorted around it, depending on
+    # the order of arrival. It is sorted last instead.
     score = hit.score
     return (math.inf if math.isnan(score) else -score, hit.id)
--- a/libs/decisions/berylspindle_decisions/record_merge.py
+++ b/libs/decisions/berylspindle_decisions/record_merge.py
@@ -1,12 +1,11 @@
-"""The greatest records of several shards' answers.
+"""Merge the answers of several shards by selecting their greatest records.
 
 Terms:
-  record   a piece of fixed size of a shard's answer; records compare byte by byte
-  rest     bytes at the end of an answer that are no whole record; they are dropped
+  record   a part of fixed size of a shard's answer; records compare byte by byte
+  rest     trailing bytes of an answer that are no complete record; they are dropped
 
-Flow: `greatest` takes the whole answers of all shards that are in. Equal records all count. Each
-shard's answer holds tens of records in no order, so that one sort of them all costs less than a
-heap.
+Flow: `greatest` takes the complete answers of all shards that have arrived. Equal records are all
+kept. Each answer holds tens of records in no order, so one sort of all costs less than a heap.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 def greatest(answers: Iterable[bytes], top: int) -> bytes:
-    """Return the `top` greatest records of the answers, greatest first."""
+    """Return the `top` greatest records of the answers, in descending order."""
     records: list[bytes] = []
     for answer in answers:
         whole = len(answer) - len(answer) % RECORD_BYTES
--- a/libs/decisions/berylspindle_decisions/shared_retry_budget.py
+++ b/libs/decisions/berylspindle_decisions/shared_retry_budget.py
@@ -1,24 +1,24 @@
-"""Bound the hedges and retries of one VM at a service: its share of the fleet's budget.
+"""Limit the hedges and retries of one VM at a service to its share of a cluster-wide budget.
 
-Pattern of load: stragglers, sheds and failures breed hedges and retries on every VM at once.
-Without a bound over all VMs a service in trouble gets twice its load just when it can serve half.
+Load: stragglers, rejections and failures cause hedges and retries on every VM at once. Without a
+limit over all VMs, a degraded service gets twice its load when it can serve half.
 
 Terms:
-  request   a caller's request on a route to the service, whether or not it went further
-  extra     an arrival at the service beyond the first of a request: hedge, retry, re-route
-  window    the span over which the bound holds, wherever it begins
-  ratio     extras allowed for each request
-  slack     extras allowed besides, to all VMs together
-
-Flow: `on_request` for each request, `may_take` before each extra, `take` for each one. The ratio
-part follows the VM's own requests, so that the sum over all VMs is right however uneven they are;
-the slack is divided by the number of VMs.
-
-Guards: counts are kept in steps. Of the extras the oldest step counts whole, of the requests not at
-all, so that no window holds more than is allowed. `SAFETY` leaves a part for VMs that others have
-not counted yet. A VM that has just started gains its slack over one window, for its last process
-may have used it up. Hedges get `HEDGE_PART` of the whole, so that retries are possible when hedges
-have used theirs.
+  request   a caller's request on a route to the service, whether or not it was forwarded
+  extra     an arrival at the service beyond the first of a request: hedge, retry or re-route
+  window    sliding interval over which the limit holds
+  ratio     extras allowed per request
+  slack     extras allowed in addition, for all VMs together
+
+Flow: `SharedRetryBudget.on_request` counts each request, `may_take` is called before each extra and
+`take` counts it. The ratio applies to the VM's own requests, so that the sum over all VMs holds for
+any distribution of requests; the slack is divided by the number of VMs.
+
+Limits: counts are kept in steps. The oldest step counts in full for extras and not at all for
+requests, so that no window exceeds the limit. `SAFETY` leaves a part for VMs that others have not
+counted yet. The slack of a VM that has just started grows over one window, since its previous
+process may have used it. Hedges may use `HEDGE_SHARE_MAX` of the budget, which leaves the rest for
+retries.
 """
 
 from __future__ import annotations
@@ -30,76 +30,76 @@
 
 STEPS: Final = 20
 SAFETY: Final = 0.95
-HEDGE_PART: Final = 0.85
-FIRST_SLACK: Final = 0.4
+HEDGE_SHARE_MAX: Final = 0.85
+INITIAL_SLACK_SHARE: Final = 0.4
 
 
 @attrs.frozen(kw_only=True)
 class SharedBudgetOptions:
-    """The bound over all VMs; `window` is in seconds."""
+    """Limit over all VMs: extras per request, additional extras, and window in seconds."""
 
     ratio: float = 0.2
     slack: float = 56.0
     window: float = 10.0
 
 
-class _Sum:
-    """A sum over the last window, in steps."""
+class _WindowSum:
+    """Sum over a sliding window, kept in steps."""
 
-    __slots__ = ("_kept", "_length", "_steps", "total")
+    __slots__ = ("_max_steps", "_step_s", "_steps", "total")
 
-    def __init__(self, window: float, kept: int) -> None:
-        self._length = window / STEPS
-        self._kept = kept
+    def __init__(self, window: float, max_steps: int) -> None:
+        self._step_s = window / STEPS
+        self._max_steps = max_steps
         self._steps: deque[list[float]] = deque()
         self.total = 0.0
 
     def add(self, now: float, n: float) -> None:
         self.age(now)
-        if self._steps and now - self._steps[-1][0] < self._length:
+        if self._steps and now - self._steps[-1][0] < self._step_s:
             self._steps[-1][1] += n
         else:
             self._steps.append([now, n])
         self.total += n
 
     def age(self, now: float) -> None:
-        # A step's youngest part is one step younger than its start.
-        oldest = now - self._length * self._kept
-        while self._steps and self._steps[0][0] < oldest:
+        # A step holds values that are up to one step younger than its start.
+        cutoff = now - self._step_s * self._max_steps
+        while self._steps and self._steps[0][0] < cutoff:
             self.total -= self._steps.popleft()[1]
 
 
 class SharedRetryBudget:
-    """The extras of one VM at one service."""
+    """Budget of one VM for extras at one service."""
 
     def __init__(self, bounds: SharedBudgetOptions, *, started: float) -> None:
         self._bounds: Final = bounds
         self._started: Final = started
-        self._requests: Final = _Sum(bounds.window, STEPS)
-        self._extras: Final = _Sum(bounds.window, STEPS + 1)
+        self._requests: Final = _WindowSum(bounds.window, STEPS)
+        self._extras: Final = _WindowSum(bounds.window, STEPS + 1)
 
     def on_request(self, now: float) -> None:
-        """Note a caller's request."""
+        """Count a caller's request."""
         self._requests.add(now, 1.0)
 
     def left(self, now: float, *, vms: int) -> float:
-        """Return how many more extras are allowed now, of all kinds."""
+        """Return the number of extras that are allowed now, of all kinds."""
         self._requests.age(now)
         self._extras.age(now)
         age = max(0.0, now - self._started) / self._bounds.window
-        grown = min(1.0, FIRST_SLACK + (1.0 - FIRST_SLACK) * age)
+        grown = min(1.0, INITIAL_SLACK_SHARE + (1.0 - INITIAL_SLACK_SHARE) * age)
         slack = self._bounds.slack * grown / max(1, vms)
         allowed = SAFETY * (self._bounds.ratio * self._requests.total + slack)
         return allowed - self._extras.total
 
     def may_take(self, now: float, *, vms: int, hedge: bool) -> bool:
-        """Tell whether one more extra is allowed; a hedge leaves a part for retries."""
+        """Return whether one more extra is allowed; hedges leave a part for retries."""
         left = self.left(now, vms=vms)
         if not hedge:
             return left >= 1.0
         allowed = left + self._extras.total
-        return left - (1.0 - HEDGE_PART) * allowed >= 1.0
+        return left - (1.0 - HEDGE_SHARE_MAX) * allowed >= 1.0
 
     def take(self, now: float) -> None:
-        """Note one extra."""
+        """Count one extra."""
         self._extras.add(now, 1.0)
--- a/libs/decisions/berylspindle_decisions/warmup.py
+++ b/libs/decisions/berylspindle_decisions/warmup.py
@@ -1,28 +1,30 @@
-"""How far a backend server is trusted after a cold start, and what takes the trust away.
+"""Raise the concurrency limit of a backend server from cold to warm, and reset it on evidence.
 
-Pattern of load: a server that starts cold, or turns cold without warning, under full load. It bears
-only a little; sent its full slots it falls over, restarts cold, and falls over again. Its load
-report lags or misleads, so that it can't be asked.
+Load: a server that starts cold, or turns cold without notice, under full load. It can process only
+little; sent its full slots it fails, restarts cold and fails again. Its load report may lag or be
+wrong, so the report can't decide.
 
 Terms:
-  cold cap    the work at once that a server bears in a cold start
-  trust       the cap in force, from the cold cap up to the server's slots
-  evidence    what makes the server look cold: a reset after it was up, its own report, sheds, or
-              latency far off what it has shown
-  shown       the latency that the server has shown while it was trusted
-
-Flow: every outcome goes to one `on_...` method; `cap` is read before each dispatch. A hand-over of
-ownership passes the `Trust` on; without it the new owner starts at the cold cap.
-
-Thresholds: a step up takes 30 successes and 0.25 s: with 10 the trials' slowest servers fell over
-5 times in two minutes, with 30 3 times, and quick ones served the same; a burst of answers
-from a cache proves little in less time. A fall within 2 s of a step doubles the successes of all
-later steps, to 32 times; without it such servers fell 54 times. A shed takes one step back, two
-within 5 s all of them. Latency counts when 8 of the last 12 answers took over 3 times what the
-server has shown and over 5 ms more: one slow answer is not evidence, and a mix of queries spreads
-by less. While the server itself says that it is cold a step takes 300 successes: its word is mostly
-true, and one that is stuck costs a busy server about a second a step. After 60 s without work
-trust lapses; at such a load the cold cap costs nothing.
+  cold cap    concurrent requests that a server can process during a cold start
+  trust       the current cap, from the cold cap up to the server's slots
+  evidence    signs of a cold server: a reset connection, its own report, rejections, or a latency
+              far above the baseline
+  baseline    the latency of the server while it was not slow, a moving average
+
+Flow: each outcome is reported to one `on_...` method; `WarmUp.cap` is read before each dispatch. A
+change of ownership hands over `Trust`; without it the new owner starts at the cold cap.
+
+Steps: one step up takes 30 successes and 0.25 s. With 10 successes the slowest servers fail 5 times
+in two minutes, with 30 they fail 3 times, and fast ones serve the same load; a burst of answers
+from a cache proves little in less time. A reset within 2 s of a step doubles the successes of all
+later steps, up to 32 times; otherwise such servers fail 54 times. While the server reports cold, a
+step takes 300 successes: the report is mostly right, and a stuck one costs a busy server about a
+second a step.
+
+Resets: a rejection takes one step back, a second within 5 s all of them. Latency counts as evidence
+when 8 of the last 12 answers took over 3 times the baseline and over 5 ms more: a single slow
+answer is no evidence, and a mix of queries varies by less. After 60 s without work the cap is
+reset, which costs nothing at such a load.
 """
 
 from __future__ import annotations
@@ -34,7 +36,7 @@
 
 
 class ReportState(enum.StrEnum):
-    """What a backend server says about itself."""
+    """State of a backend server by its own report."""
 
     COLD = "cold"
     WARM = "warm"
@@ -52,23 +54,24 @@
 
 @attrs.frozen(kw_only=True)
 class WarmUpOptions:
-    """When trust grows and when it goes.
+    """Settings of the warm-up.
 
     Attributes:
-        step_successes: successes at one cap before the next.
-        step_s: least seconds at one cap before the next.
-        blame_s: seconds after a step in which a fall is blamed on that step.
-        max_caution: most times the successes a step takes after falls that were blamed on steps.
-        forget_s: seconds at full slots after which half of the caution is forgotten.
-        doubtful_factor: how many times the successes a step takes while the server reports cold.
-        shed_window_s: seconds within which a second shed takes all trust.
-        slow_factor: multiple of the shown latency from which an answer counts as slow.
-        slow_floor_ms: milliseconds over the shown latency that it must exceed as well.
-        slow_window: answers looked at.
-        slow_count: slow ones among them that are evidence.
-        relearn_successes: successes at the cold cap after which the latency is taken as shown.
-        idle_s: seconds without an answer after which trust lapses.
-        smoothing: weight of a new answer in the shown latency, 0 to 1.
+        step_successes: successes at one cap before the next step.
+        step_s: minimum seconds at one cap before the next step.
+        blame_s: seconds after a step in which a reset is attributed to that step.
+        max_caution: maximum of the factor on `step_successes` after resets attributed to steps.
+        forget_s: seconds at full slots after which that factor is halved.
+        doubtful_factor: factor on `step_successes` while the server reports cold.
+        shed_window_s: seconds within which a second rejection resets the cap.
+        slow_factor: multiple of the baseline latency above which an answer counts as slow.
+        slow_floor_ms: milliseconds above the baseline that it must exceed as well.
+        slow_window: number of latest answers considered.
+        slow_count: slow ones among them that reset the cap.
+        relearn_successes: successes at the cold cap after which a slow latency becomes the
+            baseline.
+        idle_s: seconds without an answer after which the cap is reset.
+        smoothing: weight of a new answer in the baseline, 0 to 1.
     """
 
     step_successes: int = 30
@@ -89,18 +92,18 @@
 
 @attrs.frozen(kw_only=True)
 class Trust:
-    """What one owner hands over to the next: the cap in force and what it has learnt.
+    """Warm-up state that one owner hands over to the next.
 
-    `caution` is how many times the usual successes a step takes.
+    `shown_ms` is the baseline latency, `step_factor` the factor on the successes of a step.
     """
 
     cap: int
     shown_ms: float | None
-    caution: int = 1
+    step_factor: int = 1
 
 
 class WarmUp:
-    """The trust in one backend server."""
+    """Warm-up of one backend server."""
 
     def __init__(self, slots: int, cold_slots: int, options: WarmUpOptions | None = None) -> None:
         self._options = options or WarmUpOptions()
@@ -108,148 +111,153 @@
         self._cold = min(cold_slots, slots)
         self._cap = self._cold
         self._successes = 0
-        self._since = float("-inf")
+        self._step_started = float("-inf")
         self._last_answer = float("-inf")
         self._last_shed = float("-inf")
-        self._shown_ms: float | None = None
+        self._baseline_ms: float | None = None
         self._slow: deque[bool] = deque(maxlen=self._options.slow_window)
         self._reported = ReportState.WARM
-        self._falls = 0
-        self._caution = 1
+        self._cold_resets = 0
+        self._step_factor = 1
 
     @property
     def is_warm(self) -> bool:
-        """Tell whether the server has its full slots."""
+        """Return whether the server has its full slots."""
         return self._cap >= self._slots
 
     @property
-    def falls(self) -> int:
-        """Return how often trust was taken away."""
-        return self._falls
+    def cold_resets(self) -> int:
+        """Return how often the cap was reset to the cold cap."""
+        return self._cold_resets
 
     @property
     def trust(self) -> Trust:
-        """Return what a next owner may be told."""
-        return Trust(cap=self._cap, shown_ms=self._shown_ms, caution=self._caution)
+        """Return the state to hand over to the next owner."""
+        return Trust(cap=self._cap, shown_ms=self._baseline_ms, step_factor=self._step_factor)
 
     def cap(self, now: float) -> int:
-        """Return the work that the server may have at once."""
+        """Return the maximum of concurrent requests, reset if the server was idle."""
         if self._cap > self._cold and now - self._last_answer > self._options.idle_s:
-            self._fall(now)
+            self._reset_to_cold(now)
         return self._cap
 
     def on_success(self, now: float, latency_ms: float) -> None:
-        """Count one good answer."""
+        """Record one answer and its latency."""
         self.cap(now)
         self._last_answer = now
-        if self._since == float("-inf"):
-            self._since = now
+        if self._step_started == float("-inf"):
+            self._step_started = now
         slow = self._is_slow(latency_ms)
         self._slow.append(slow)
         if self._cap > self._cold and sum(self._slow) >= self._options.slow_count:
-            self._fall(now)
+            self._reset_to_cold(now)
             return
         self._successes += 1
         if slow and self._cap == self._cold and self._successes >= self._options.relearn_successes:
-            # The server stays slow though it has little to do: this is what it can do now. Holding
-            # it to what it once showed would keep it at the cold cap for ever.
-            self._shown_ms = latency_ms
+            # The server stays slow under little load, so the new latency becomes its baseline;
+            # with the old one it would stay at the cold cap forever.
+            self._baseline_ms = latency_ms
             self._slow.clear()
         if not slow:
-            self._learn(latency_ms)
+            self._update_baseline(latency_ms)
         self._step_up(now)
 
     def on_shed(self, now: float) -> None:
-        """Count one refusal by the server itself."""
-        self._blame_step(now)
+        """Record one rejection by the server."""
+        self._penalize_step(now)
         again = now - self._last_shed < self._options.shed_window_s
         self._last_shed = now
         if again or self._cap - 1 <= self._cold:
-            self._fall(now)
+            self._reset_to_cold(now)
             return
         self._cap -= 1
-        self._restart(now)
+        self._start_step(now)
 
     def on_failure(self, now: float, kind: FailureKind) -> None:
-        """Count one failed attempt; a lost or refused connection takes all trust."""
+        """Record one failed attempt; a lost or refused connection resets the cap."""
         if kind in (FailureKind.RESET, FailureKind.REFUSED):
-            self._blame_step(now)
-            self._fall(now)
+            self._penalize_step(now)
+            self._reset_to_cold(now)
             return
-        # A timeout or an error is not a proof of coldness, but no success either.
+        # A timeout or an error does not prove that the server is cold, but is no success either.
         self._slow.append(True)
         self._successes = 0
         if self._cap > self._cold and sum(self._slow) >= self._options.slow_count:
-            self._fall(now)
+            self._reset_to_cold(now)
 
     def on_report(self, now: float, state: ReportState) -> None:
-        """Note what the server says; a change to cold takes trust, nothing it says gives any.
+        """Record the reported state; a change to cold or draining resets the cap.
 
-        Only the change counts. A report that lags or is stuck says cold long after the server
-        has warmed up; it makes the steps longer and can't hold the server down for ever.
+        No report raises the cap, and only a change resets it. A report that lags or is stuck at
+        cold after the server has warmed up makes the steps longer, but can't keep the server at the
+        cold cap.
         """
         changed = state is not self._reported
         self._reported = state
         if changed and state is not ReportState.WARM:
-            self._fall(now)
+            self._reset_to_cold(now)
 
     def on_takeover(self, now: float, trust: Trust | None = None) -> None:
-        """Start as a new owner, with the trust that the last one handed over or with none."""
-        self._restart(now)
+        """Start as a new owner, with the state handed over by the last one, if any."""
+        self._start_step(now)
         self._slow.clear()
-        self._shown_ms = trust.shown_ms if trust is not None else None
-        handed_caution = trust.caution if trust is not None else 1
-        self._caution = max(1, min(handed_caution, self._options.max_caution))
+        self._baseline_ms = trust.shown_ms if trust is not None else None
+        handed_factor = trust.step_factor if trust is not None else 1
+        self._step_factor = max(1, min(handed_factor, self._options.max_caution))
         handed = trust.cap if trust is not None else self._cold
         self._cap = max(self._cold, min(handed, self._slots))
         self._last_answer = now
 
     def _is_slow(self, latency_ms: float) -> bool:
-        if self._shown_ms is None:
+        if self._baseline_ms is None:
             return False
         bound = max(
-            self._shown_ms * self._options.slow_factor, self._shown_ms + self._options.slow_floor_ms
+            self._baseline_ms * self._options.slow_factor,
+            self._baseline_ms + self._options.slow_floor_ms,
         )
         return latency_ms > bound
 
-    def _learn(self, latency_ms: float) -> None:
-        if self._shown_ms is None:
-            self._shown_ms = latency_ms
+    def _update_baseline(self, latency_ms: float) -> None:
+        if self._baseline_ms is None:
+            self._baseline_ms = latency_ms
             return
-        self._shown_ms += self._options.smoothing * (latency_ms - self._shown_ms)
+        self._baseline_ms += self._options.smoothing * (latency_ms - self._baseline_ms)
 
     def _step_up(self, now: float) -> None:
         if self._cap >= self._slots:
-            self._forget(now)
+            self._relax_step_factor(now)
             return
         doubtful = self._reported is not ReportState.WARM
-        # The two are reasons for the same doubt: multiplied, they would hold a server for minutes.
-        factor = max(self._caution, self._options.doubtful_factor if doubtful else 1)
+        # Both factors express the same doubt; multiplied, they would delay a server for minutes.
+        factor = max(self._step_factor, self._options.doubtful_factor if doubtful else 1)
         if self._successes < self._options.step_successes * factor:
             return
-        if now - self._since < self._options.step_s or sum(self._slow) >= self._options.slow_count:
+        if (
+            now - self._step_started < self._options.step_s
+            or sum(self._slow) >= self._options.slow_count
+        ):
             return
         self._cap += 1
-        self._restart(now)
+        self._start_step(now)
 
-    def _fall(self, now: float) -> None:
+    def _reset_to_cold(self, now: float) -> None:
         if self._cap > self._cold:
-            self._falls += 1
+            self._cold_resets += 1
         self._cap = self._cold
         self._slow.clear()
-        self._restart(now)
+        self._start_step(now)
 
-    def _blame_step(self, now: float) -> None:
-        if self._cap > self._cold and now - self._since < self._options.blame_s:
-            # It bore less than the last step gave it. A server that needs more work to warm up
-            # than the steps allow would go down at each ramp, so each such fall makes them longer.
-            self._caution = min(self._caution * 2, self._options.max_caution)
+    def _penalize_step(self, now: float) -> None:
+        if self._cap > self._cold and now - self._step_started < self._options.blame_s:
+            # The last step was more than the server could bear. A server that warms up more slowly
+            # than the ramp would fail at each one, so each such reset makes the steps longer.
+            self._step_factor = min(self._step_factor * 2, self._options.max_caution)
 
-    def _forget(self, now: float) -> None:
-        if self._caution > 1 and now - self._since > self._options.forget_s:
-            self._caution //= 2
-            self._since = now
+    def _relax_step_factor(self, now: float) -> None:
+        if self._step_factor > 1 and now - self._step_started > self._options.forget_s:
+            self._step_factor //= 2
+            self._step_started = now
 
-    def _restart(self, now: float) -> None:
+    def _start_step(self, now: float) -> None:
         self._successes = 0
-        self._since = now
+        self._step_started = now
--- a/libs/decisions/berylspindle_decisions/weighted_turns.py
+++ b/libs/decisions/berylspindle_decisions/weighted_turns.py
@@ -1,14 +1,14 @@
-"""Which service of a weighted route a request goes to.
+"""Select the service for each request of a weighted route by smooth weighted round robin.
 
-Pattern of load: a route whose requests are divided between services by weight, on VMs that see some
-ten of its requests a second each. Drawn at random, the share of a service with a tenth of the
-weight is off by half of it after some hundred requests; in turns it is off by one request.
+Load: a route whose requests are split between services by weight, on VMs that get about ten of its
+requests per second each. With a random draw, a service with a tenth of the weight is off its share
+by half after some hundred requests; with round robin by one request.
 
 Terms:
-  credit   what a service has earned of requests and not got, in parts of one request
+  credit   requests that a service has been due and not got, in units of the sum of weights
 
-Flow: each request gives every service its weight and goes to the one with the most credit, which
-pays the sum (smooth weighted round robin). A random start keeps VMs from beginning all alike.
+Flow: each request adds its weight to every service's credit and goes to the service with the most,
+which pays the sum. A random initial credit keeps VMs from starting in the same order.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 class WeightedTurns:
-    """The turns of one route; `u` returns random numbers in [0, 1)."""
+    """Round robin over the services of one route; `rng` returns numbers in [0, 1)."""
 
-    def __init__(self, targets: Sequence[WeightedService], u: Callable[[], float]) -> None:
+    def __init__(self, targets: Sequence[WeightedService], rng: Callable[[], float]) -> None:
         self._weights = {target.service: target.weight for target in targets}
         self._sum = sum(self._weights.values())
-        self._credit = {name: u() * self._sum for name in self._weights}
+        self._credit = {name: rng() * self._sum for name in self._weights}
 
     def next(self) -> str:
-        """Return the service of the next request."""
+        """Return the service for the next request."""
         for name, weight in self._weights.items():
             self._credit[name] += weight
         chosen = max(self._credit, key=self._credit.__getitem__)
--- a/tests/decisions/test_load_admission.py
+++ b/tests/decisions/test_load_admission.py
@@ -130,7 +130,7 @@
     admission = Admission()
     admission.on_start("a")
     admission.on_done(0.0, "a")
-    with pytest.raises(ValueError, match="holds no place"):
+    with pytest.raises(ValueError, match="holds no permit"):
         admission.on_done(0.0, "a")
 
 
--- a/tests/decisions/test_load_fair_queue.py
+++ b/tests/decisions/test_load_fair_queue.py
@@ -238,7 +238,7 @@
 
 
 class NoShareQueue(FairQueue[int]):
-    def _victim(self, caller: str, cost: float) -> None:  # type: ignore[override]
+    def _choose_victim(self, caller: str, cost: float) -> None:  # type: ignore[override]
         return None
 
 
--- a/tests/decisions/test_load_hedged_request.py
+++ b/tests/decisions/test_load_hedged_request.py
@@ -272,6 +272,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     unrun = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN, AttemptEnd.MAY_HAVE_RUN})
-    monkeypatch.setattr(hedged_request, "_UNRUN", unrun)
+    monkeypatch.setattr(hedged_request, "_NOT_RUN_OUTCOMES", unrun)
     with pytest.raises(AssertionError):
         run_machine(OnceMachine, settings=PLANTED)
--- a/tests/decisions/test_load_limiter.py
+++ b/tests/decisions/test_load_limiter.py
@@ -287,7 +287,7 @@
 
 
 def _by_time(self: WarmUp, now: float) -> None:
-    if now - self._since >= 0.25:
+    if now - self._step_started >= 0.25:
         self._cap = min(self._cap + 1, self._slots)
 
 
@@ -299,7 +299,7 @@
 @pytest.mark.parametrize(
     ("owner", "method", "planted"),
     [
-        (WarmUp, "_fall", _no_fall),
+        (WarmUp, "_reset_to_cold", _no_fall),
         (WarmUp, "_step_up", _by_time),
         (ServerLimiter, "may_start", _always),
     ],
--- a/tests/decisions/test_load_overload.py
+++ b/tests/decisions/test_load_overload.py
@@ -11,12 +11,12 @@
 from hypothesis import given, settings
 
 from berylspindle_decisions.admission_controller import (
-    MOST_HELD_BACK,
-    RETURN_MOST,
+    LOW_PRIORITY_SHARE_MAX,
+    RETRY_AFTER_MAX_SHARE,
     AdmissionController,
     AdmissionRequest,
     pressure_of,
-    refused_share,
+    proportional_share,
     return_after_ms,
 )
 from berylspindle_decisions.load_estimate import LoadEstimate
@@ -46,7 +46,7 @@
 
 def test_the_refused_share_grows_with_the_pressure():
     """All VMs see the same queues; refusing at one level they would all refuse, then all admit."""
-    shares = [refused_share(x / 100) for x in range(150)]
+    shares = [proportional_share(x / 100) for x in range(150)]
     assert shares == sorted(shares)
     assert max(b - a for a, b in itertools.pairwise(shares)) < 0.03
 
@@ -87,8 +87,8 @@
     for number in range(2000):
         request = urgent if number % 2 else LESS
         counts[request.priority] += gate.admits(number / 100, request, u=rng.random())
-    assert counts[2] <= max(counts[1] * 1.05, 1000 * (1 - MOST_HELD_BACK) * 1.2)
-    assert counts[2] >= min(counts[1], 1000 * (1 - MOST_HELD_BACK)) * 0.8
+    assert counts[2] <= max(counts[1] * 1.05, 1000 * (1 - LOW_PRIORITY_SHARE_MAX) * 1.2)
+    assert counts[2] >= min(counts[1], 1000 * (1 - LOW_PRIORITY_SHARE_MAX)) * 0.8
 
 
 def test_the_less_urgent_begin_again_once_the_urgent_do():
@@ -129,8 +129,8 @@
 ):
     """Callers who are refused together and told one time come back together, and meet a burst."""
     waits = [return_after_ms(added_ms=added, left_ms=left, u=u) for u in rng]
-    assert all(0 <= wait <= left * RETURN_MOST for wait in waits)
-    assert all(wait >= min(added, left * RETURN_MOST) - 1 for wait in waits)
+    assert all(0 <= wait <= left * RETRY_AFTER_MAX_SHARE for wait in waits)
+    assert all(wait >= min(added, left * RETRY_AFTER_MAX_SHARE) - 1 for wait in waits)
     if added < left / 10 and max(rng) - min(rng) > 0.5 and left > 100:
         assert max(waits) - min(waits) > left / 20
 
