--- a/libs/decisions/berylspindle_decisions/forward_policy.py
+++ b/libs/decisions/berylspindle_decisions/forward_policy.py
@@ -23,7 +23,7 @@
 class ForwardPolicy:
     """Switches of the forwarding decisions."""
 
-    # Send a second attempt while a late one is in flight.
+    # Send a second attempt while a late one is in flight. If disabled, wait for paused replicas.
     hedges: bool = True
     # Send hedges only to replicas with a free slot. If disabled, they lengthen queues in a burst.
     hedge_idle_only: bool = True
@@ -50,7 +50,7 @@
     # Fetch remote shards as one merged answer of a VM near them. If disabled, one by one.
     subsets: bool = True
     # For requests that are not idempotent, avoid replicas that lost answers of any VM. If disabled,
-    # only of this VM.
+    # avoid only those that lost answers of this VM.
     shares_losses: bool = True
     # Wait for a usable replica. If disabled, a request without one fails at once.
     wait_for_replica: bool = True
--- a/libs/decisions/berylspindle_decisions/shared_retry_budget.py
+++ b/libs/decisions/berylspindle_decisions/shared_retry_budget.py
@@ -15,10 +15,10 @@
 any distribution of requests; the slack is divided by the number of VMs.
 
 Limits: counts are kept in steps. The oldest step counts in full for extras and not at all for
-requests, so that no window exceeds the limit. `SAFETY` leaves a part for VMs that others have not
-counted yet. The slack of a VM that has just started grows over one window, since its previous
-process may have used it. Hedges may use `HEDGE_SHARE_MAX` of the budget, which leaves the rest for
-retries.
+requests, so that no window exceeds the limit. `SAFETY_FACTOR` leaves a part for VMs that others
+have not counted yet. The slack of a VM that has just started grows over one window, since its
+previous process may have used it. Hedges may use `HEDGE_SHARE_MAX` of the budget, which leaves the
+rest for retries.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 import attrs
 
 STEPS: Final = 20
-SAFETY: Final = 0.95
+SAFETY_FACTOR: Final = 0.95
 HEDGE_SHARE_MAX: Final = 0.85
 INITIAL_SLACK_SHARE: Final = 0.4
 
@@ -55,14 +55,14 @@
         self.total = 0.0
 
     def add(self, now: float, n: float) -> None:
-        self.age(now)
+        self.expire(now)
         if self._steps and now - self._steps[-1][0] < self._step_s:
             self._steps[-1][1] += n
         else:
             self._steps.append([now, n])
         self.total += n
 
-    def age(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         # A step holds values that are up to one step younger than its start.
         cutoff = now - self._step_s * self._max_steps
         while self._steps and self._steps[0][0] < cutoff:
@@ -84,12 +84,12 @@
 
     def left(self, now: float, *, vms: int) -> float:
         """Return the number of extras that are allowed now, of all kinds."""
-        self._requests.age(now)
-        self._extras.age(now)
+        self._requests.expire(now)
+        self._extras.expire(now)
         age = max(0.0, now - self._started) / self._bounds.window
-        grown = min(1.0, INITIAL_SLACK_SHARE + (1.0 - INITIAL_SLACK_SHARE) * age)
-        slack = self._bounds.slack * grown / max(1, vms)
-        allowed = SAFETY * (self._bounds.ratio * self._requests.total + slack)
+        slack_share = min(1.0, INITIAL_SLACK_SHARE + (1.0 - INITIAL_SLACK_SHARE) * age)
+        slack = self._bounds.slack * slack_share / max(1, vms)
+        allowed = SAFETY_FACTOR * (self._bounds.ratio * self._requests.total + slack)
         return allowed - self._extras.total
 
     def may_take(self, now: float, *, vms: int, hedge: bool) -> bool:
--- a/tests/decisions/test_forward_policy.py
+++ b/tests/decisions/test_forward_policy.py
@@ -1,4 +1,4 @@
-"""The switches of forwarding's decisions, as settings name them."""
+"""Switches of the forwarding decisions and their setting."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 NAMES = tuple(attrs.fields_dict(ForwardPolicy))
 
 
-def test_all_decisions_are_on_unless_a_setting_says_otherwise():
+def test_all_switches_are_on_by_default():
     assert read_policy("") == ForwardPolicy()
     assert switched_off(ForwardPolicy()) == ()
     assert read_policy(" hedges = on ,") == ForwardPolicy()
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_each_switch_is_set_by_its_name_and_told(name: str):
+def test_each_switch_is_disabled_by_name_and_reported(name: str):
     policy = read_policy(f"{name}=off")
     assert switched_off(policy) == (name,)
     assert policy == attrs.evolve(ForwardPolicy(), **{name: False})
 
 
 @pytest.mark.parametrize("text", ["hedging=off", "hedges", "hedges=no", "hedges=off;relays=off"])
-def test_a_setting_that_is_not_understood_is_refused_with_the_names_that_are(text: str):
+def test_an_invalid_setting_is_rejected_with_the_known_names(text: str):
     with pytest.raises(ValueError, match="hedge_idle_only"):
         read_policy(text)
--- a/tests/decisions/test_load_admission.py
+++ b/tests/decisions/test_load_admission.py
@@ -1,4 +1,4 @@
-"""What is let in and turned away: bursts, a few heavy callers, saturation."""
+"""Admission at an entry: bursts, heavy callers, saturation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def offer(admission: Admission, now: float, caller: str, **known: float) -> ErrorKind | None:
-    """Offer one request; return why it was refused, or None where it was let in."""
+    """Offer one request; return the kind of its refusal, or None if it was admitted."""
     verdict = admission.decide(now, caller=caller, deadline_left_ms=500, **known)
     if isinstance(verdict, Admitted):
         admission.on_start(caller)
@@ -19,7 +19,7 @@
     return verdict.kind
 
 
-def test_a_burst_is_taken_up_to_the_bound_and_the_rest_is_refused_at_once() -> None:
+def test_a_burst_is_admitted_up_to_the_limit_and_the_rest_is_refused_at_once() -> None:
     admission = Admission(AdmissionOptions(max_work=10))
     got = [offer(admission, 0.0, f"caller-{n}") for n in range(15)]
     assert got == [None] * 10 + [ErrorKind.OVERLOADED] * 5
@@ -27,10 +27,9 @@
 
 
 def test_a_few_heavy_callers_leave_room_for_the_others() -> None:
-    """Two agents send without pause, then eight supervisors one search each.
+    """Two callers send continuously, then eight others send one search each.
 
-    First come, first served, the agents hold all places and the supervisors are turned away. The
-    agents stop at their shares, and each supervisor gets in.
+    Without shares the two hold all permits and the others are refused.
     """
     admission = Admission(AdmissionOptions(max_work=20))
     for _ in range(50):
@@ -45,15 +44,15 @@
         assert offer(admission, 0.2, "agent-1") is ErrorKind.CALLER_OVER_SHARE
 
 
-def test_a_single_caller_may_use_what_nobody_else_wants() -> None:
+def test_a_single_caller_may_use_all_permits() -> None:
     admission = Admission(AdmissionOptions(max_work=10))
     assert [offer(admission, 0.0, "only") for _ in range(10)] == [None] * 10
 
 
-def test_each_refused_request_is_told_a_time_of_its_own() -> None:
-    """Places fall free every 20 ms, and three requests are refused at once.
+def test_each_refused_request_gets_its_own_retry_time() -> None:
+    """A permit becomes free every 20 ms, and three requests are refused together.
 
-    All told 20 ms, they would come back together for one place, and two would be refused again.
+    With the same Retry-After all three return for one permit, and two are refused again.
     """
     admission = Admission(AdmissionOptions(max_work=4))
     for _ in range(4):
@@ -63,29 +62,29 @@
         now = n * 0.02
         admission.on_done(now, "a")
         admission.on_start("a")
-    told = []
+    retry_after = []
     for n in range(3):
         refused = admission.decide(now, caller=f"new-{n}", deadline_left_ms=500)
         assert isinstance(refused, Refusal)
-        told.append(refused.retry_after)
-    assert told == [20, 40, 60]
+        retry_after.append(refused.retry_after)
+    assert retry_after == [20, 40, 60]
     later = admission.decide(now + 1.0, caller="new", deadline_left_ms=500)
     assert isinstance(later, Refusal)
     assert later.retry_after is not None
-    assert later.retry_after > 60, "nothing has drained since, and that is told"
+    assert later.retry_after > 60, "the retry time must grow when nothing drains"
 
 
-def test_too_little_time_is_refused_before_it_costs_work() -> None:
+def test_a_request_with_too_little_time_is_refused() -> None:
     admission = Admission()
     verdict = admission.decide(0.0, caller="a", deadline_left_ms=5, expected_ms=10)
     assert isinstance(verdict, Refusal)
     assert (verdict.kind, verdict.run_state) == (ErrorKind.DEADLINE_EXCEEDED, RunState.NOT_RUN)
 
 
-def test_a_wait_beyond_the_deadline_is_refused_now() -> None:
-    """A hundred requests wait and fifty are served a second.
+def test_a_queueing_delay_beyond_the_deadline_is_refused_at_once() -> None:
+    """A hundred requests are queued and fifty are served per second.
 
-    A request with half a second left would wait two seconds and be answered to nobody.
+    A request with half a second left would wait two seconds and be answered after its deadline.
     """
     admission = Admission()
     for n in range(40):
@@ -95,29 +94,29 @@
     assert offer(admission, 0.78, "a", queued=10) is None
 
 
-def test_saturation_behind_the_entry_lowers_its_limit_and_relief_raises_it() -> None:
-    """The owners drop sub-requests, so that hardly any answer is whole.
+def test_overload_at_owners_lowers_the_limit_and_its_end_raises_it() -> None:
+    """Owners drop sub-requests, so that hardly any answer is complete.
 
-    Each shard drops other searches: with a quarter too much, only one in twenty is whole over
-    ten shards. The entry turns whole searches away instead.
+    Each shard drops different searches: at 125% load only one in twenty is complete over ten
+    shards. The entry must reject whole searches instead.
     """
     admission = Admission(AdmissionOptions(max_work=64))
     for _ in range(64):
         offer(admission, 0.0, f"c{admission.work}")
     for n in range(64):
         admission.on_done(n * 0.2, f"c{n}", pressed=True)
-    low = admission.limit
-    assert low == 4
+    lowered_limit = admission.limit
+    assert lowered_limit == 4
     for n in range(200):
         admission.on_start("a")
         admission.on_start("b")
         admission.on_start("c")
         for caller in "abc":
             admission.on_done(20.0 + n, caller)
-    assert low < admission.limit < 64
+    assert lowered_limit < admission.limit < 64
 
 
-def test_one_wave_of_pressed_requests_makes_one_cut() -> None:
+def test_one_wave_of_overloaded_requests_cuts_the_limit_once() -> None:
     admission = Admission(AdmissionOptions(max_work=10))
     for _ in range(10):
         admission.on_start("a")
@@ -126,7 +125,7 @@
     assert admission.limit == 9
 
 
-def test_a_place_is_freed_once() -> None:
+def test_a_permit_is_released_once() -> None:
     admission = Admission()
     admission.on_start("a")
     admission.on_done(0.0, "a")
@@ -134,7 +133,7 @@
         admission.on_done(0.0, "a")
 
 
-def test_a_server_that_stands_still_drains_ever_slower() -> None:
+def test_the_drain_rate_of_a_stopped_server_decreases() -> None:
     drain = DrainRate()
     for n in range(11):
         drain.on_done(n * 0.1)
@@ -144,10 +143,10 @@
     assert drain.wait_ms(1.0, 5) == 500
 
 
-def test_a_caller_that_is_alone_is_never_told_that_it_is_over_its_share() -> None:
-    """A desk that searches alone is told to leave places to others, and there are none.
+def test_the_only_caller_never_exceeds_its_share() -> None:
+    """The only active caller holds all permits; its refusal must be OVERLOADED.
 
-    All places are taken by its own requests; the refusal must say that they are taken.
+    CALLER_OVER_SHARE would ask it to leave permits to other callers, and there are none.
     """
     admission = Admission(AdmissionOptions(max_work=8))
     for _ in range(8):
@@ -159,10 +158,10 @@
 
 
 @pytest.mark.parametrize(("service_ms", "cut"), [(4.0, True), (40.0, False)])
-def test_a_wait_is_judged_by_what_the_work_takes(service_ms: float, cut: bool) -> None:
-    """Slow servers are half idle, because every wait at them looks like overload.
+def test_a_queueing_delay_is_compared_with_the_service_time(service_ms: float, cut: bool) -> None:
+    """With an absolute threshold, any queue at slow servers counts as overload and idles them.
 
-    A sub-request waited 100 ms: 25 times its work at a quick server, 2.5 times at a slow one.
+    A queueing delay of 100 ms is 25 service times of a fast server and 2.5 of a slow one.
     """
     admission = Admission(AdmissionOptions(max_work=64))
     admission.on_start("desk")
--- a/tests/decisions/test_load_answers.py
+++ b/tests/decisions/test_load_answers.py
@@ -1,4 +1,4 @@
-"""What goes out: one snapshot, coverage counted truly, merged hits, time left for the way back."""
+"""Answers: snapshot choice, coverage, merged hits, and time for the way back."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 
 
 def tracker(**held: tuple[Snapshot, ...]) -> SnapshotTracker:
-    """Return a tracker that has heard of each named server, as s0a for server 0a."""
-    made = SnapshotTracker(1, MAP)
+    """Return a tracker that has observed each named server, as s0a for server 0a."""
+    observed = SnapshotTracker(1, MAP)
     for name, versions in held.items():
-        made.observe(name[1], name[1:], versions)
-    return made
+        observed.observe(name[1], name[1:], versions)
+    return observed
 
 
 def test_the_newest_snapshot_that_every_shard_holds_is_pinned() -> None:
     """Replicas move to a new index version one by one.
 
-    With the newest version that any has shown, most shards refuse and each search is asked twice.
+    With the newest version of any replica, most shards refuse and each search is sent twice.
     """
-    made = tracker(s0a=(V1, V2), s1a=(V1,))
-    assert made.choose() == V1
-    made.observe("1", "1b", (V1, V2))
-    assert made.choose() == V2
-    assert made.choose(usable={"0a", "1a"}) == V1
-    made.on_gone("1", "1b", V2)
-    assert made.choose() == V1
-    assert (made.holds("0", "0a", V2), made.holds("0", "0b", V2)) == (True, None)
+    observed = tracker(s0a=(V1, V2), s1a=(V1,))
+    assert observed.choose() == V1
+    observed.observe("1", "1b", (V1, V2))
+    assert observed.choose() == V2
+    assert observed.choose(usable={"0a", "1a"}) == V1
+    observed.on_gone("1", "1b", V2)
+    assert observed.choose() == V1
+    assert (observed.holds("0", "0a", V2), observed.holds("0", "0b", V2)) == (True, None)
 
 
 def test_nothing_is_pinned_before_every_shard_is_known() -> None:
     assert tracker(s0a=(V1,)).choose() is None
 
 
-def test_a_late_reply_to_an_older_map_says_nothing_about_the_new_one() -> None:
-    """Data is repartitioned; shard "0" now stands for another part, and an old reply arrives."""
-    made = tracker(s0a=(V1,), s1a=(V1,))
-    made.set_map(2, {"0": ["0a"], "1": ["1a"], "2": ["2a"]})
+def test_a_late_reply_for_an_older_map_is_ignored() -> None:
+    """After a repartitioning, shard "0" is another part of the data, and an old reply arrives."""
+    observed = tracker(s0a=(V1,), s1a=(V1,))
+    observed.set_map(2, {"0": ["0a"], "1": ["1a"], "2": ["2a"]})
     for shard in "012":
-        made.observe(shard, f"{shard}a", (Snapshot(2, 1),), 2)
-    made.observe("0", "0a", (V1,), 1)
-    assert made.choose() == Snapshot(2, 1)
+        observed.observe(shard, f"{shard}a", (Snapshot(2, 1),), 2)
+    observed.observe("0", "0a", (V1,), 1)
+    assert observed.choose() == Snapshot(2, 1)
 
 
-def reask(made: SnapshotTracker, **known: object) -> object:
+def reask(observed: SnapshotTracker, **known: object) -> object:
     facts: dict[str, object] = {
         "answered": {"0": V1},
         "refused": ["1"],
@@ -68,41 +68,43 @@
         "left_ms": 100.0,
         "expected_ms": 10.0,
     }
-    return made.reask(**{**facts, **known})  # type: ignore[arg-type]
+    return observed.reask(**{**facts, **known})  # type: ignore[arg-type]
 
 
-def test_a_refused_shard_is_asked_at_a_replica_that_still_holds_the_snapshot() -> None:
-    made = tracker(s0a=(V1, V2), s1a=(V2,), s1b=(V1, V2))
-    assert reask(made) == Reask(target=V1, shards=("1",))
+def test_a_refused_shard_is_asked_again_at_a_replica_that_holds_the_snapshot() -> None:
+    observed = tracker(s0a=(V1, V2), s1a=(V2,), s1b=(V1, V2))
+    assert reask(observed) == Reask(target=V1, shards=("1",))
 
 
-def test_an_answer_on_another_snapshot_is_asked_anew_and_never_merged() -> None:
-    made = tracker(s0a=(V1, V2), s1a=(V2,))
-    assert reask(made) == Reask(target=V2, shards=("0", "1"))
-    assert reask(made, answered={"0": V1, "1": V2}, refused=[]) == Reask(target=V2, shards=("0",))
+def test_an_answer_on_another_snapshot_is_asked_again_and_never_merged() -> None:
+    observed = tracker(s0a=(V1, V2), s1a=(V2,))
+    assert reask(observed) == Reask(target=V2, shards=("0", "1"))
+    assert reask(observed, answered={"0": V1, "1": V2}, refused=[]) == Reask(
+        target=V2, shards=("0",)
+    )
 
 
 def test_the_last_reask_takes_the_newest() -> None:
-    made = tracker(s0a=(V1, V2), s1a=(V2,), s1b=(V1, V2))
-    assert reask(made, rounds=1) == Reask(target=V2, shards=("0", "1"))
+    observed = tracker(s0a=(V1, V2), s1a=(V2,), s1b=(V1, V2))
+    assert reask(observed, rounds=1) == Reask(target=V2, shards=("0", "1"))
 
 
 @pytest.mark.parametrize("known", [{"left_ms": 5.0}, {"rounds": 2}])
-def test_without_time_for_it_the_shards_on_other_snapshots_are_missing(
+def test_without_time_for_a_reask_shards_on_other_snapshots_are_missing(
     known: dict[str, object],
 ) -> None:
-    made = tracker(s0a=(V1, V2), s1a=(V2,))
-    assert reask(made, **known) == KeepOne(kept=V1, missing=("1",))
-    mixed = reask(made, answered={"0": V1, "1": V2}, refused=[], **known)
+    observed = tracker(s0a=(V1, V2), s1a=(V2,))
+    assert reask(observed, **known) == KeepOne(kept=V1, missing=("1",))
+    mixed = reask(observed, answered={"0": V1, "1": V2}, refused=[], **known)
     assert mixed == KeepOne(kept=V2, missing=("0",))
 
 
-def test_a_page_token_pins_for_good() -> None:
-    made = tracker(s0a=(V2,), s1a=(V2,))
-    refused = reask(made, pinned=True, answered={})
+def test_a_page_token_allows_no_other_snapshot() -> None:
+    observed = tracker(s0a=(V2,), s1a=(V2,))
+    refused = reask(observed, pinned=True, answered={})
     assert isinstance(refused, Refusal)
     assert (refused.kind, refused.run_state) == (ErrorKind.SNAPSHOT_GONE, RunState.NOT_RUN)
-    partly = reask(made, pinned=True)
+    partly = reask(observed, pinned=True)
     assert isinstance(partly, Refusal)
     assert partly.run_state is RunState.RAN
 
@@ -110,7 +112,7 @@
 def test_a_hedge_and_its_first_attempt_count_as_one_shard() -> None:
     """Shard 0 answers twice, shard 2 never, and a shard of another map answers as well.
 
-    Counted by replies the answer would say three of three and lie.
+    Counting replies would state a coverage of three of three.
     """
     count = CoverageCount(["0", "1", "2"])
     assert [count.on_answer(s) for s in ("0", "0", "9")] == [True, False, False]
@@ -120,7 +122,7 @@
     assert count.pending == ("2",)
 
 
-def test_an_answer_that_is_asked_anew_is_counted_anew() -> None:
+def test_a_discarded_answer_is_counted_again() -> None:
     count = CoverageCount(["0", "1"])
     count.on_answer("0", partial=True)
     count.on_reask("0")
@@ -142,14 +144,14 @@
         (COVERAGE, 3, 0, 500, 0, AnswerVerdict.ANSWER, 0),
         (COVERAGE, 1, 0, 500, 0, AnswerVerdict.REFUSE, 0),
         (COVERAGE, 4, 0, 20, 400, AnswerVerdict.ANSWER, 0),
-        # The missing shard can't be had any more: waiting changes nothing.
+        # The missing shard can no longer answer: waiting changes nothing.
         (COVERAGE, 3, 1, 20, 400, AnswerVerdict.ANSWER, 0),
-        # The least coverage can't be reached any more: the final answer goes out at once.
+        # The minimum coverage can no longer be reached: the error is final and sent at once.
         (COVERAGE, 0, 3, 20, 400, AnswerVerdict.REFUSE, 0),
         (LATENCY, 0, 3, 20, 400, AnswerVerdict.REFUSE, 0),
     ],
 )
-def test_when_an_answer_goes_out(
+def test_when_an_answer_is_sent(
     policy: Policy,
     answered: int,
     lost: int,
@@ -172,18 +174,18 @@
 
 @SETTINGS
 @given(st.lists(hits, max_size=5), st.integers(0, 10), st.integers(1, 10))
-def test_a_page_of_cut_shards_is_the_page_of_all_hits(
+def test_a_page_of_truncated_shards_equals_the_page_of_all_hits(
     shards: list[list[tuple[int, float]]], offset: int, limit: int
 ) -> None:
-    whole = [
+    complete = [
         sorted({i: Hit(id=f"{i}", score=s) for i, s in rows}.values(), key=_rank) for rows in shards
     ]
     best: dict[str, Hit] = {}
-    for hit in sorted((hit for rows in whole for hit in rows), key=_rank):
+    for hit in sorted((hit for rows in complete for hit in rows), key=_rank):
         best.setdefault(hit.id, hit)
     expected = list(best.values())
-    cut = [rows[: shard_limit(offset=offset, limit=limit)] for rows in whole]
-    page = merge_hits(cut, offset=offset, limit=limit)
+    truncated = [rows[: shard_limit(offset=offset, limit=limit)] for rows in complete]
+    page = merge_hits(truncated, offset=offset, limit=limit)
     assert list(page.hits) == expected[offset : offset + limit]
     assert page.next_offset == (offset + limit if len(expected) > offset + limit else None)
 
@@ -192,7 +194,7 @@
     return (-hit.score, hit.id)
 
 
-def test_a_score_that_is_no_number_goes_last() -> None:
+def test_a_nan_score_is_sorted_last() -> None:
     rows = [Hit(id="b", score=math.nan), Hit(id="a", score=0.1)]
     page = merge_hits([rows, [Hit(id="c", score=0.5)]], offset=0, limit=3)
     assert [hit.id for hit in page.hits] == ["c", "a", "b"]
--- a/tests/decisions/test_load_extra.py
+++ b/tests/decisions/test_load_extra.py
@@ -1,4 +1,4 @@
-"""Extra load: hedges and retries within their budgets, none where they would do harm."""
+"""Hedges and retries: within their budgets, and none where they would do harm."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from berylspindle_model.errors import ANSWERS, ErrorKind, RunState
 
 
-def settled(slow_share: float = 0.0, queued_ms: float = 0.0) -> HedgePolicy:
-    """Return a policy that has seen answers of 4 to 6 ms, and some of 100 ms."""
+def observed_policy(slow_share: float = 0.0, queued_ms: float = 0.0) -> HedgePolicy:
+    """Return a policy that has observed answers of 4 to 6 ms, and some of 100 ms."""
     policy = HedgePolicy()
     for n in range(1200):
         policy.on_first()
@@ -34,46 +34,45 @@
     return policy.decide(elapsed_ms=elapsed_ms, left_ms=100.0, **facts)
 
 
-def test_a_hedge_starts_after_what_nearly_all_answers_take() -> None:
-    policy = settled()
+def test_a_hedge_starts_after_a_high_quantile_of_the_latency() -> None:
+    policy = observed_policy()
     assert ask(policy, 4.0) is HedgeVerdict.TOO_EARLY
     assert ask(policy, 7.0) is HedgeVerdict.GO
     assert policy.budget.spent == 1
 
 
-def test_many_stragglers_do_not_push_the_delay_among_themselves() -> None:
-    """A tenth of all answers straggle, more than the budget pays for.
+def test_many_stragglers_do_not_raise_the_delay_to_their_latency() -> None:
+    """A tenth of all answers are stragglers, more than the budget covers.
 
-    The quantile that fits the budget lies among them: a hedge after 100 ms saves nobody.
+    The quantile that fits the budget lies among them, and a hedge after 100 ms helps nobody.
     """
-    assert settled(slow_share=0.1).delay_ms <= 25.0
+    assert observed_policy(slow_share=0.1).delay_ms <= 25.0
 
 
-def test_saturation_is_not_straggling() -> None:
-    """Every backend server turns slow under load.
+def test_a_saturated_service_is_not_hedged() -> None:
+    """Every backend server becomes slow under load, and hedges would only add load.
 
-    Hedges would now add load to all of them and help nobody. When a fifth outlasts the delay,
-    or most of the time goes into queues, none start.
+    None start when a fifth exceeds the delay or most of the latency is queueing.
     """
-    policy = settled()
+    policy = observed_policy()
     for n in range(100):
         policy.observe(12.0 + n * 0.01, 40.0)
     assert ask(policy, 50.0) is HedgeVerdict.SATURATED
-    assert ask(settled(queued_ms=3.0), 50.0) is HedgeVerdict.SATURATED
-    assert ask(settled(queued_ms=1.0), 50.0) is HedgeVerdict.GO
+    assert ask(observed_policy(queued_ms=3.0), 50.0) is HedgeVerdict.SATURATED
+    assert ask(observed_policy(queued_ms=1.0), 50.0) is HedgeVerdict.GO
 
 
-def test_what_may_not_be_repeated_or_may_crash_servers_is_never_hedged() -> None:
-    policy = settled()
+def test_requests_that_are_not_idempotent_or_may_crash_servers_are_never_hedged() -> None:
+    policy = observed_policy()
     assert ask(policy, 50.0, repeatable=False) is HedgeVerdict.NOT_REPEATABLE
     assert ask(policy, 50.0, connection_lost=True) is HedgeVerdict.CONNECTION_LOST
     assert policy.budget.spent == 0
 
 
 def test_cancelled_first_attempts_keep_the_delay_from_shrinking() -> None:
-    """First attempts that lose against their hedge never show their latency.
+    """The latency of a first attempt that is cancelled for its hedge is never known in full.
 
-    Left out, the delay would follow the quick ones down, and more and more hedges would start.
+    Ignoring it lets the delay follow the fast attempts down, so that ever more hedges start.
     """
     policy = HedgePolicy()
     policy.on_first(200)
@@ -92,7 +91,7 @@
 
 
 def test_with_few_tokens_left_only_the_slowest_are_hedged() -> None:
-    policy = settled()
+    policy = observed_policy()
     before = policy.delay_ms
     while policy.budget.take():
         pass
@@ -100,7 +99,7 @@
     assert ask(policy, 50.0) is HedgeVerdict.NO_BUDGET
 
 
-def test_no_hedge_starts_without_a_measure_before_the_cold_delay() -> None:
+def test_without_observations_no_hedge_starts_before_the_cold_delay() -> None:
     policy = HedgePolicy(HedgeOptions(cold_delay_ms=50.0))
     policy.on_first(200)
     assert ask(policy, 49.0) is HedgeVerdict.TOO_EARLY
@@ -109,7 +108,7 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
 @given(st.lists(st.booleans(), max_size=400), st.sampled_from([0.0, 0.05, 0.5]))
-def test_extra_attempts_never_exceed_their_share(steps: list[bool], share: float) -> None:
+def test_additional_attempts_never_exceed_their_share(steps: list[bool], share: float) -> None:
     budget = ExtraBudget(BudgetOptions(share=share, reserve=3, max_tokens=20))
     taken = 0
     for is_first in steps:
@@ -121,9 +120,9 @@
 
 
 def test_a_wave_of_failures_is_retried_within_the_budget() -> None:
-    """All servers shed. A thousand sub-requests fail and each would like another try.
+    """All servers shed load, a thousand sub-requests fail, and each could be retried.
 
-    Tried again freely the load doubles just when it is too much already.
+    Without the budget the retries double the load during an overload.
     """
     budget = RetryBudget(BudgetOptions(share=0.1, reserve=10))
     policy = RetryPolicy(budget)
@@ -148,7 +147,7 @@
     )
 
 
-def test_one_request_is_bounded_in_reroutes_and_retries() -> None:
+def test_reroutes_and_retries_of_one_request_are_limited() -> None:
     policy, request = RetryPolicy(RetryBudget()), RequestRetries()
     reroutes = [decide(policy, request, ErrorKind.NOT_OWNER) for _ in range(4)]
     assert reroutes == [RetryClass.FREE] * 3 + [RetryClass.NEVER]
@@ -159,17 +158,17 @@
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
 @pytest.mark.parametrize("run", list(RunState))
-def test_what_may_have_run_and_may_not_be_repeated_is_never_tried_again(
+def test_what_may_have_run_and_is_not_idempotent_is_never_retried(
     kind: ErrorKind, run: RunState
 ) -> None:
-    wanted = retry_class(kind, run, repeatable=False)
-    assert wanted is RetryClass.NEVER or run is RunState.NOT_RUN
+    retry = retry_class(kind, run, repeatable=False)
+    assert retry is RetryClass.NEVER or run is RunState.NOT_RUN
     assert retry_class(kind, run, repeatable=True) is not RetryClass.FREE or (
         run is RunState.NOT_RUN
     )
 
 
-def test_a_lost_connection_goes_on_as_a_canary_only() -> None:
+def test_after_a_lost_connection_a_request_continues_only_as_a_canary() -> None:
     kind = ErrorKind.CONNECTION_LOST
     assert retry_class(kind, RunState.MAY_HAVE_RUN, repeatable=True) is RetryClass.CANARY
     assert retry_class(kind, RunState.NOT_RUN, repeatable=True) is RetryClass.FREE
--- a/tests/decisions/test_load_fair_queue.py
+++ b/tests/decisions/test_load_fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one backend server: what callers get under bursts, heavy callers and long work."""
+"""The queue of one backend server: fairness under bursts, heavy callers and long requests."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=60, stateful_step_count=40
 )
-# A planted fault has to be found, not to be made small.
+# A planted fault must be found, but need not be shrunk.
 PLANTED = settings(SETTINGS, phases=(Phase.generate,), max_examples=500)
 SERVICE = 0.005
 
 
 def drain(queue: FairQueue[str], now: float = 0.0, *, slots: int = 3) -> list[str]:
-    """Pop until nothing is left, as a server that is never busy does."""
+    """Pop until no entry may run, as a server that is never busy does."""
     items = []
     while (popped := queue.pop(now, expected_service=SERVICE, slots=slots)).item is not None:
         items.append(popped.item)
     return items
 
 
-def test_a_heavy_caller_does_not_hold_up_a_light_one() -> None:
-    """A buyer's agent sends forty searches at once, then a supervisor sends one.
+def test_a_heavy_caller_does_not_delay_a_light_one() -> None:
+    """One caller sends forty searches at once, then another one sends a single search.
 
-    In a first-come queue the supervisor waits for all forty while the catch warms. Served by the
-    work already given, hers is the second at the latest.
+    In a first-come queue the single search waits for all forty. It must be the second at the
+    latest.
     """
     queue = FairQueue[str]()
     for n in range(40):
@@ -41,11 +41,11 @@
     assert "supervisor" in drain(queue)[:2]
 
 
-def test_a_full_queue_takes_the_newest_entry_of_the_heaviest_caller() -> None:
-    """The queue is full of one caller's burst when another one comes.
+def test_a_full_queue_evicts_the_newest_entry_of_the_heaviest_caller() -> None:
+    """The queue is full of one caller's burst when another caller sends a request.
 
-    Turned away, the light caller would pay for the heavy one. The burst loses its newest entry
-    instead, and a further one of its own is refused for its share.
+    Refusing it would make the light caller pay for the heavy one. The burst loses its newest entry
+    instead, and its next one is refused.
     """
     queue = FairQueue[str](FairQueueOptions(max_entries=4))
     for n in range(4):
@@ -56,7 +56,7 @@
     assert (refused.kind, refused.run_state) == (ErrorKind.CALLER_OVER_SHARE, RunState.NOT_RUN)
 
 
-def test_a_full_queue_of_one_caller_is_overload() -> None:
+def test_a_full_queue_of_one_caller_is_overloaded() -> None:
     queue = FairQueue[str](FairQueueOptions(max_entries=1))
     queue.push(0.0, "a0", caller="a", deadline=9.0)
     refused = queue.push(0.0, "a1", caller="a", deadline=9.0)
@@ -64,11 +64,10 @@
     assert refused.kind is ErrorKind.OVERLOADED
 
 
-def test_long_work_leaves_a_slot_to_short_work() -> None:
-    """A report that takes ten times as long arrives three times, then ordinary searches.
+def test_long_entries_leave_a_slot_to_short_ones() -> None:
+    """Three entries of ten times the cost arrive at three slots, then an ordinary search.
 
-    With three slots, three reports would block all searches for their whole time. The third
-    waits while the searches pass.
+    Running all three would block every search; the third must wait.
     """
     queue = FairQueue[str]()
     for n in range(3):
@@ -87,17 +86,17 @@
     assert len(queue) == 1
 
 
-def test_a_single_slot_still_serves_long_work() -> None:
+def test_a_single_slot_still_serves_long_entries() -> None:
     queue = FairQueue[str]()
     queue.push(0.0, "long", caller="a", deadline=9.0, cost=10.0)
     assert drain(queue, slots=1) == ["long"]
 
 
-def test_what_cannot_make_its_deadline_costs_no_work() -> None:
+def test_an_entry_that_cannot_meet_its_deadline_is_not_run() -> None:
     """A burst queues more than can be served in time.
 
-    Served in order, the server would work on each until after its deadline, and all would be
-    late. The late ones come back at once, before any work, and those in time are served.
+    Served in order, every entry would finish after its deadline. Those that can't be in time are
+    returned without being run.
     """
     queue = FairQueue[str]()
     queue.push(0.0, "late", caller="a", deadline=0.101)
@@ -107,7 +106,7 @@
     assert (popped.item, set(popped.expired)) == ("good", {"late", "long"})
 
 
-def test_a_refusal_names_the_time_that_the_measured_rate_gives() -> None:
+def test_a_refusal_states_a_retry_time_at_the_drain_rate() -> None:
     queue = FairQueue[str](FairQueueOptions(max_entries=30))
     for n in range(30):
         queue.push(0.0, f"{n}", caller="a", deadline=9.0)
@@ -121,7 +120,7 @@
     assert queue.wait_ms(0.95) == 30 * 50
 
 
-def test_a_caller_that_was_away_does_not_take_all_slots_when_it_returns() -> None:
+def test_a_caller_that_was_idle_does_not_take_all_slots() -> None:
     queue = FairQueue[str]()
     for n in range(50):
         queue.push(0.0, f"a{n}", caller="a", deadline=9.0)
@@ -135,22 +134,22 @@
 
 @settings(SETTINGS)
 @given(st.lists(st.floats(0.5, 8.0), min_size=5, max_size=20), st.integers(1, 5))
-def test_two_backlogged_callers_get_equal_work(costs: list[float], factor: int) -> None:
+def test_two_backlogged_callers_get_equal_service(costs: list[float], factor: int) -> None:
     queue = FairQueue[tuple[str, float]](FairQueueOptions(max_entries=1000))
     for n, cost in enumerate(costs * factor):
         queue.push(0.0, ("heavy", cost), caller="heavy", deadline=90.0 + n, cost=cost)
     for cost in costs:
         queue.push(0.0, ("light", cost), caller="light", deadline=90.0, cost=cost)
-    given_work = Counter[str]()
+    served_cost = Counter[str]()
     while queue.queued("light") and queue.queued("heavy"):
         popped = queue.pop(0.0, expected_service=0.0)
         assert popped.item is not None
-        given_work[popped.item[0]] += popped.item[1]  # type: ignore[assignment]
-        assert abs(given_work["light"] - given_work["heavy"]) <= max(costs) + 1e-9
+        served_cost[popped.item[0]] += popped.item[1]  # type: ignore[assignment]
+        assert abs(served_cost["light"] - served_cost["heavy"]) <= max(costs) + 1e-9
 
 
-class QueueMachine(RuleBasedStateMachine):
-    """Push, pop, remove and flush in any order; each item has exactly one end."""
+class FairQueueMachine(RuleBasedStateMachine):
+    """Push, pop, remove and flush in any order; each item leaves the queue exactly once."""
 
     queue_type: type[FairQueue[int]] = FairQueue
     limit = 6
@@ -159,38 +158,38 @@
         super().__init__()
         self.queue = self.queue_type(FairQueueOptions(max_entries=self.limit))
         self.now = 0.0
-        self.waiting: dict[int, tuple[str, float, float]] = {}
+        self.queued: dict[int, tuple[str, float, float]] = {}
         self.number = 0
 
-    def load(self, caller: str) -> float:
-        return sum(cost for name, _, cost in self.waiting.values() if name == caller)
+    def queued_cost(self, caller: str) -> float:
+        return sum(cost for name, _, cost in self.queued.values() if name == caller)
 
-    def end(self, items: list[int] | tuple[int, ...]) -> None:
+    def remove_all(self, items: list[int] | tuple[int, ...]) -> None:
         for item in items:
-            assert item in self.waiting, "doubled, or never taken"
-            del self.waiting[item]
+            assert item in self.queued, "returned twice, or never queued"
+            del self.queued[item]
 
     @rule(caller=st.sampled_from("abc"), left=st.floats(-0.1, 0.5), cost=st.sampled_from([1, 2, 6]))
     def push(self, caller: str, left: float, cost: float) -> None:
         self.number += 1
-        heaviest = max((self.load(other) for other in "abc" if other != caller), default=0.0)
-        mine = self.load(caller)
-        was_full = len(self.waiting) >= self.limit
+        heaviest = max((self.queued_cost(other) for other in "abc" if other != caller), default=0.0)
+        own_cost = self.queued_cost(caller)
+        was_full = len(self.queued) >= self.limit
         deadline = self.now + left
         result = self.queue.push(self.now, self.number, caller=caller, deadline=deadline, cost=cost)
         if isinstance(result, Refusal):
             assert result.run_state is RunState.NOT_RUN
-            # The heaviest gives up one entry, of 6 at most, before a lighter caller is refused.
-            fair = deadline <= self.now or (was_full and mine + cost > heaviest - 6)
-            assert fair, "refused, though another caller has far more"
+            # The heaviest caller loses an entry, of cost 6 at most, before a lighter is refused.
+            is_fair = deadline <= self.now or (was_full and own_cost + cost > heaviest - 6)
+            assert is_fair, "refused, though another caller has far more queued"
             return
         for victim in result.victims:
-            name = self.waiting[victim][0]
+            name = self.queued[victim][0]
             assert name != caller
-            assert self.load(name) > mine
-            assert victim == max(n for n, entry in self.waiting.items() if entry[0] == name)
-        self.end(result.victims)
-        self.waiting[self.number] = (caller, deadline, cost)
+            assert self.queued_cost(name) > own_cost
+            assert victim == max(n for n, entry in self.queued.items() if entry[0] == name)
+        self.remove_all(result.victims)
+        self.queued[self.number] = (caller, deadline, cost)
 
     @rule(long_running=st.integers(0, 3), slots=st.integers(1, 3))
     def pop(self, long_running: int, slots: int) -> None:
@@ -198,62 +197,62 @@
             self.now, expected_service=0.01, long_running=long_running, slots=slots
         )
         for item in popped.expired:
-            assert self.waiting[item][1] - self.now < 0.01 * self.waiting[item][2]
-        self.end(popped.expired)
+            assert self.queued[item][1] - self.now < 0.01 * self.queued[item][2]
+        self.remove_all(popped.expired)
         long_allowed = long_running < max(1, slots - 1)
         if popped.item is None:
-            assert not any(long_allowed or cost < 4 for _, _, cost in self.waiting.values())
+            assert not any(long_allowed or cost < 4 for _, _, cost in self.queued.values())
             return
-        _, deadline, cost = self.waiting[popped.item]
-        assert deadline - self.now >= 0.01 * cost, "work spent on what comes too late"
-        assert long_allowed or cost < 4, "long work in the last slot"
-        self.end([popped.item])
+        _, deadline, cost = self.queued[popped.item]
+        assert deadline - self.now >= 0.01 * cost, "ran an entry that can't meet its deadline"
+        assert long_allowed or cost < 4, "long entry in the last slot"
+        self.remove_all([popped.item])
 
     @rule(pick=st.integers(0, 50))
     def remove(self, pick: int) -> None:
-        assert self.queue.remove(pick) == (pick in self.waiting)
-        self.waiting.pop(pick, None)
+        assert self.queue.remove(pick) == (pick in self.queued)
+        self.queued.pop(pick, None)
 
     @rule()
     def flush(self) -> None:
         items = self.queue.flush()
-        assert items == sorted(items, key=lambda item: (self.waiting[item][1], item))
-        self.end(items)
-        assert not self.waiting, "lost"
+        assert items == sorted(items, key=lambda item: (self.queued[item][1], item))
+        self.remove_all(items)
+        assert not self.queued, "item lost"
 
     @rule(seconds=st.floats(0.0, 0.2))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
     @invariant()
-    def keeps_its_bound_and_counts(self) -> None:
-        assert len(self.queue) == len(self.waiting) <= self.limit
+    def size_and_counts_are_exact(self) -> None:
+        assert len(self.queue) == len(self.queued) <= self.limit
         for caller in "abc":
-            assert self.queue.queued(caller) == sum(e[0] == caller for e in self.waiting.values())
-        assert self.queue.cost == pytest.approx(sum(e[2] for e in self.waiting.values()))
+            assert self.queue.queued(caller) == sum(e[0] == caller for e in self.queued.values())
+        assert self.queue.cost == pytest.approx(sum(e[2] for e in self.queued.values()))
 
 
-def test_the_queue_loses_doubles_and_overfills_nothing() -> None:
-    run_state_machine_as_test(QueueMachine, settings=SETTINGS)  # type: ignore[no-untyped-call]
+def test_the_queue_neither_loses_nor_duplicates_items_and_keeps_its_limit() -> None:
+    run_state_machine_as_test(FairQueueMachine, settings=SETTINGS)  # type: ignore[no-untyped-call]
 
 
-class NoShareQueue(FairQueue[int]):
+class NoEvictionQueue(FairQueue[int]):
     def _choose_victim(self, caller: str, cost: float) -> None:  # type: ignore[override]
         return None
 
 
-class NoDropQueue(FairQueue[int]):
+class NoExpiryQueue(FairQueue[int]):
     def expire(self, now: float, *, expected_service: float) -> tuple[int, ...]:
         return ()
 
 
-class DoublingQueue(FairQueue[int]):
+class DuplicatingQueue(FairQueue[int]):
     def flush(self) -> list[int]:
         return super().flush() * 2
 
 
-@pytest.mark.parametrize("planted", [NoShareQueue, NoDropQueue, DoublingQueue])
-def test_the_machine_finds_planted_faults(planted: type[FairQueue[int]]) -> None:
-    machine = type("Planted", (QueueMachine,), {"queue_type": planted})
+@pytest.mark.parametrize("planted", [NoEvictionQueue, NoExpiryQueue, DuplicatingQueue])
+def test_the_state_machine_detects_planted_faults(planted: type[FairQueue[int]]) -> None:
+    machine = type("Planted", (FairQueueMachine,), {"queue_type": planted})
     with pytest.raises((AssertionError, KeyError, ExceptionGroup)):
         run_state_machine_as_test(machine, settings=PLANTED)  # type: ignore[no-untyped-call]
--- a/tests/decisions/test_load_forwarding.py
+++ b/tests/decisions/test_load_forwarding.py
@@ -1,4 +1,4 @@
-"""The decisions of forwarding under load: health, extra shares, hedge delays, parts."""
+"""Forwarding decisions under load: replica health, retry budget, hedge delay, partial results."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     return ReplicaHealth(**{"slots": 3, "is_local": False, **changes})
 
 
-def test_one_slow_replica_stops_mattering_within_a_second() -> None:
-    """Each search waits for the one replica of a shard that has turned ten times as slow.
+def test_a_slow_replica_loses_its_requests_within_a_second() -> None:
+    """Each search waits for the one replica of a shard that has become ten times as slow.
 
-    Eight searches a second choose between it and two sound ones; its answers take ten times as
-    long, so that only few of them can have told of it within the first second.
+    Eight searches per second choose between it and two healthy ones, so that only few of its slow
+    answers arrive within the first second.
     """
     replicas = [health() for _ in range(3)]
     rng = random.Random(1)
@@ -48,7 +48,7 @@
     assert min(chosen[1:]) >= 40
 
 
-def test_a_stalled_replica_gets_work_only_where_all_others_are_stalled() -> None:
+def test_a_stalled_replica_is_chosen_only_if_all_others_are_stalled() -> None:
     paused, other = health(is_local=True), health()
     paused.sent("a", late_at=0.05)
     assert paused.cost(0.04, u=0.5) < other.cost(0.04, u=0.5)
@@ -57,11 +57,11 @@
     assert not paused.is_stalled(0.1)
 
 
-def test_a_pause_does_not_send_a_replica_s_work_to_other_data_centres() -> None:
-    """Each pause of a tenth of a second doubles the bytes between data centres for seconds.
+def test_a_pause_does_not_move_requests_to_other_data_centres() -> None:
+    """A pause of a tenth of a second doubles the traffic between data centres for seconds.
 
-    Three searches wait at the near replica while it pauses, and are answered at its end, twelve
-    times as late as usual. It is as fast as ever from then on; all three tell of the one pause.
+    Three searches wait at the local replica during one pause and are answered at its end, twelve
+    times as late as usual. The replica is fast again afterwards.
     """
     near, far = health(is_local=True), health()
     near.sent("before", late_at=0.0)
@@ -73,8 +73,8 @@
     assert near.cost(0.12, u=0.9) < far.cost(0.12, u=0.0)
 
 
-def test_a_near_replica_that_stays_slow_loses_its_work_within_half_a_second() -> None:
-    """A replica turns ten times as slow and keeps its work, as if it had only paused."""
+def test_a_local_replica_that_stays_slow_loses_its_requests_within_half_a_second() -> None:
+    """A replica becomes ten times as slow and keeps its requests, as if it had only paused."""
     near, far = health(is_local=True), health()
     now = 0.0
     while near.cost(now, u=0.0) < far.cost(now, u=0.9):
@@ -84,11 +84,11 @@
     assert now <= 0.61
 
 
-def test_a_replica_that_is_seldom_asked_is_believed_to_be_slow_at_once() -> None:
-    """Each of eighty VMs meets the same slow replica again and again, two seconds apart.
+def test_one_slow_answer_of_a_seldom_used_replica_is_enough() -> None:
+    """Each of eighty VMs uses the same slow replica again and again, two seconds apart.
 
-    Its one answer is five times late, and none was fast just before. Taken for a pause, it keeps
-    the work of its data centre, and each VM learns anew that it is slow.
+    Its one answer takes five times as long and no recent one was fast. If that counts as a pause,
+    the replica keeps the requests of its data centre.
     """
     near, far = health(is_local=True), health()
     near.sent("a", late_at=0.05)
@@ -96,15 +96,15 @@
     assert near.cost(2.0, u=0.0) > far.cost(2.0, u=0.9)
 
 
-def test_a_near_replica_with_a_queue_shares_its_work_with_others() -> None:
+def test_a_local_replica_with_a_queue_shares_its_requests() -> None:
     near, far = health(is_local=True), health()
     for attempt in range(9):
         near.sent(attempt, late_at=1.0)
     assert near.cost(0.0, u=0.0) > far.cost(0.0, u=0.9)
 
 
-def test_a_replica_that_refuses_again_and_again_is_asked_ever_less() -> None:
-    """A replica that sheds costs each search an arrival and a round trip."""
+def test_a_replica_that_keeps_refusing_is_tried_less_and_less() -> None:
+    """A replica that sheds load costs each search an arrival and a round trip."""
     replica = health()
     now, asked = 0.0, []
     while now < 10.0:
@@ -118,9 +118,7 @@
     assert asked[-1] - asked[-2] > 2.0
 
 
-def test_a_replica_s_own_report_of_waiting_work_sends_requests_elsewhere_while_it_is_fresh() -> (
-    None
-):
+def test_a_fresh_report_of_queued_requests_moves_requests_elsewhere() -> None:
     busy, free = health(), health()
     busy.reported(1.0, running=3, waiting=6, slots=3)
     assert busy.cost(1.1, u=0.5) > 2 * free.cost(1.1, u=0.5)
@@ -135,27 +133,27 @@
     rate=st.floats(1, 60),
     bad=st.floats(0, 1),
 )
-def test_all_vms_together_stay_within_the_bound_in_every_window(
+def test_all_vms_together_stay_within_the_budget_in_every_window(
     seed: int, vms: int, rate: float, bad: float
 ) -> None:
-    """Eight VMs that hedge each on its own send a service twice its load while it is in trouble.
+    """VMs that hedge independently send a degraded service twice its load.
 
-    Requests come unevenly, each wants an extra with some probability or two, and every span of ten
-    seconds is looked at.
+    Requests are uneven over the VMs, each may need up to two extra attempts, and many windows of
+    ten seconds are checked.
     """
     rng = random.Random(seed)
-    shares = [SharedRetryBudget(BOUNDS, started=0.0) for _ in range(vms)]
+    budgets = [SharedRetryBudget(BOUNDS, started=0.0) for _ in range(vms)]
     weights = [rng.random() + 0.1 for _ in range(vms)]
     requests, extras = [], []
     now = 0.0
     while now < 30.0:
         now += rng.expovariate(rate)
-        share = rng.choices(shares, weights)[0]
-        share.on_request(now)
+        budget = rng.choices(budgets, weights)[0]
+        budget.on_request(now)
         requests.append(now)
         for _ in range(2):
-            if rng.random() < bad and share.may_take(now, vms=vms, hedge=rng.random() < 0.5):
-                share.take(now)
+            if rng.random() < bad and budget.may_take(now, vms=vms, hedge=rng.random() < 0.5):
+                budget.take(now)
                 extras.append(now)
     for start in (x / 4 for x in range(84)):
         end = start + BOUNDS.window
@@ -164,58 +162,58 @@
         assert spent <= BOUNDS.ratio * asked + BOUNDS.slack + 1
 
 
-def test_vms_that_spend_all_that_they_may_leave_a_twentieth_to_those_not_yet_counted() -> None:
-    """A service in trouble gets one arrival more than is allowed, on a day with steady load.
+def test_vms_that_spend_their_whole_budget_leave_a_twentieth_for_uncounted_vms() -> None:
+    """A degraded service gets one arrival more than the budget allows, at steady load.
 
-    Eight VMs get a hundred requests a second together and send again whatever they may.
+    Eight VMs get a hundred requests per second together and spend their whole budget.
     """
-    shares = [SharedRetryBudget(BOUNDS, started=-60.0) for _ in range(8)]
+    budgets = [SharedRetryBudget(BOUNDS, started=-60.0) for _ in range(8)]
     spent: list[float] = []
     for number in range(3000):
         now = number / 100
-        shares[number % 8].on_request(now)
-        for share in shares:
-            while share.may_take(now, vms=8, hedge=False):
-                share.take(now)
+        budgets[number % 8].on_request(now)
+        for budget in budgets:
+            while budget.may_take(now, vms=8, hedge=False):
+                budget.take(now)
                 spent.append(now)
     for start in (x / 4 for x in range(40, 80)):
         taken = sum(start <= t < start + BOUNDS.window for t in spent)
         assert taken <= 0.95 * (BOUNDS.ratio * 1000 + BOUNDS.slack)
 
 
-def test_hedges_leave_a_part_of_the_share_for_what_has_failed() -> None:
-    share = SharedRetryBudget(BOUNDS, started=-60.0)
+def test_hedges_leave_a_part_of_the_budget_for_retries() -> None:
+    budget = SharedRetryBudget(BOUNDS, started=-60.0)
     for _ in range(100):
-        share.on_request(0.0)
-    while share.may_take(0.0, vms=8, hedge=True):
-        share.take(0.0)
-    assert share.may_take(0.0, vms=8, hedge=False)
+        budget.on_request(0.0)
+    while budget.may_take(0.0, vms=8, hedge=True):
+        budget.take(0.0)
+    assert budget.may_take(0.0, vms=8, hedge=False)
 
 
-def spent_at(share: SharedRetryBudget, now: float) -> int:
+def spend_all_at(budget: SharedRetryBudget, now: float) -> int:
     count = 0
-    while share.may_take(now, vms=1, hedge=False):
-        share.take(now)
+    while budget.may_take(now, vms=1, hedge=False):
+        budget.take(now)
         count += 1
     return count
 
 
-def test_a_vm_that_has_just_started_may_not_spend_its_whole_slack() -> None:
-    """Eight VMs are killed and restarted, and each spends its whole slack once more.
+def test_a_vm_that_has_just_started_may_not_use_its_whole_slack() -> None:
+    """Eight VMs are killed and restarted, and each uses its whole slack once more.
 
-    What the last processes spent still counts; the new ones get less than half of it at once, and
-    all of it only when a window has passed.
+    The extra attempts of the previous processes still count, so a new process gets less than half
+    of the slack at once and all of it only after one window.
     """
-    first = spent_at(SharedRetryBudget(BOUNDS, started=0.0), 0.1)
-    assert 0.3 * BOUNDS.slack < first < 0.45 * BOUNDS.slack
-    assert spent_at(SharedRetryBudget(BOUNDS, started=0.0), 10.0) >= 0.9 * BOUNDS.slack
+    spent_at_start = spend_all_at(SharedRetryBudget(BOUNDS, started=0.0), 0.1)
+    assert 0.3 * BOUNDS.slack < spent_at_start < 0.45 * BOUNDS.slack
+    assert spend_all_at(SharedRetryBudget(BOUNDS, started=0.0), 10.0) >= 0.9 * BOUNDS.slack
 
 
-def test_a_replica_that_sheds_most_gets_little_while_others_of_its_service_are_sound() -> None:
-    """Searches spend the whole extra share on one replica that refuses six of ten.
+def test_a_replica_that_sheds_most_requests_gets_few_while_others_are_healthy() -> None:
+    """Searches spend the whole retry budget on one replica that refuses six of ten.
 
-    Each success frees it from being held off, so that by that alone it would get a third of all
-    work; its first refusals are to leave it a tenth at most.
+    Each success ends its backoff, which alone would leave it a third of all requests; it must get a
+    tenth at most.
     """
     replicas = [health() for _ in range(3)]
     rng = random.Random(3)
@@ -239,19 +237,19 @@
     return profile
 
 
-def test_the_hedge_delay_follows_each_kind_of_request() -> None:
-    """A delay that fits the long kind finds no straggler among the short ones."""
+def test_the_hedge_delay_fits_each_kind_of_request() -> None:
+    """A delay that fits long requests detects no straggler among short ones."""
     rng = random.Random(2)
     short = profile_of(*(rng.lognormvariate(1.5, 0.35) for _ in range(300)))
     long = profile_of(*(rng.lognormvariate(3.0, 0.35) for _ in range(300)))
-    first = hedge_times(short, aim_left_ms=60, aim_ms=60)
-    second = hedge_times(long, aim_left_ms=140, aim_ms=140)
-    assert 5 < first.delay_ms < 9
-    assert 25 < second.delay_ms < 40
-    assert first.usual_ms < first.delay_ms
+    short_timing = hedge_times(short, aim_left_ms=60, aim_ms=60)
+    long_timing = hedge_times(long, aim_left_ms=140, aim_ms=140)
+    assert 5 < short_timing.delay_ms < 9
+    assert 25 < long_timing.delay_ms < 40
+    assert short_timing.usual_ms < short_timing.delay_ms
 
 
-def test_a_hedge_that_could_not_be_in_time_later_is_started_sooner() -> None:
+def test_a_hedge_that_would_be_too_late_is_started_earlier() -> None:
     samples = [20.0] * 80 + [60.0] * 20
     wide = hedge_times(profile_of(*samples), aim_left_ms=200, aim_ms=200)
     tight = hedge_times(profile_of(*samples), aim_left_ms=70, aim_ms=200)
@@ -273,8 +271,10 @@
         (0, 0, True, PartsVerdict.WAIT),
     ],
 )
-def test_when_parts_go_out(parts: int, lost: int, aim_passed: bool, verdict: PartsVerdict) -> None:
-    """A search over ten shards, of which nine are enough."""
+def test_when_a_partial_result_is_sent(
+    parts: int, lost: int, aim_passed: bool, verdict: PartsVerdict
+) -> None:
+    """A search over ten shards that requires nine."""
     got = parts_verdict(asked=10, least=9, parts=parts, lost=lost, aim_passed=aim_passed)
     assert got is verdict
 
@@ -283,7 +283,7 @@
     ("shards", "share", "least"),
     [(10, 0.89, 9), (15, 0.89, 14), (10, 0.75, 8), (4, 0.75, 3), (100, 0.89, 89), (3, 0.0, 1)],
 )
-def test_how_many_shards_an_answer_needs(shards: int, share: float, least: int) -> None:
+def test_the_minimum_number_of_shards_of_an_answer(shards: int, share: float, least: int) -> None:
     names = tuple(f"s{number}" for number in range(shards))
     assert ShardSet(shards=names, top=1, least_share=share).least == least
 
@@ -292,7 +292,7 @@
 @given(
     answers=st.lists(st.binary(max_size=6 * RECORD_BYTES + 5), max_size=5), top=st.integers(0, 30)
 )
-def test_the_greatest_records_are_those_of_a_plain_sort(answers: list[bytes], top: int) -> None:
+def test_the_greatest_records_equal_those_of_a_full_sort(answers: list[bytes], top: int) -> None:
     whole = [
         answer[at : at + RECORD_BYTES]
         for answer in answers
@@ -303,7 +303,7 @@
 
 @settings(derandomize=True, deadline=None, database=None)
 @given(weights=st.lists(st.floats(0.5, 20), min_size=1, max_size=5), seed=st.integers(0, 99))
-def test_in_turns_no_service_is_off_its_share_by_more_than_a_request_or_two(
+def test_round_robin_keeps_every_service_within_two_requests_of_its_share(
     weights: list[float], seed: int
 ) -> None:
     rng = random.Random(seed)
@@ -311,9 +311,9 @@
         WeightedService(service=f"s{number}", weight=weight)
         for number, weight in enumerate(weights)
     ]
-    turns = WeightedTurns(targets, rng.random)
+    round_robin = WeightedTurns(targets, rng.random)
     got = dict.fromkeys((t.service for t in targets), 0)
     for _ in range(200):
-        got[turns.next()] += 1
+        got[round_robin.next()] += 1
     for target in targets:
         assert abs(got[target.service] - 200 * target.weight / sum(weights)) <= 2
--- a/tests/decisions/test_load_limiter.py
+++ b/tests/decisions/test_load_limiter.py
@@ -1,4 +1,4 @@
-"""The cap of one backend server: exact, cold on evidence, raised by successes alone."""
+"""Limit of one backend server: exact, reset to cold on evidence, raised by successes alone."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=60, stateful_step_count=50
 )
-# A planted fault has to be found, not to be made small.
+# A planted fault must be found, but need not be shrunk.
 PLANTED = settings(SETTINGS, phases=(Phase.generate,), max_examples=500)
 SLOTS, COLD = 4, 1
 STEP = 5
 
 
 def serve(limiter: ServerLimiter, now: float, rounds: int, latency_ms: float = 5.0) -> float:
-    """Keep the server full for some rounds, 20 ms apart, and return the time after them."""
+    """Use all slots for some rounds, 20 ms apart, and return the time after them."""
     for _ in range(rounds):
         now += 0.02
         while limiter.may_start(now):
@@ -36,17 +36,17 @@
     return now
 
 
-def warm() -> tuple[ServerLimiter, float]:
+def warm_limiter() -> tuple[ServerLimiter, float]:
     limiter = ServerLimiter(SLOTS, COLD)
     now = serve(limiter, 0.0, 100)
     assert limiter.limit(now) == SLOTS
     return limiter, now
 
 
-def test_a_fall_after_a_step_makes_the_next_steps_longer() -> None:
-    """A server needs more work to warm up than the steps allow, and falls over at each ramp.
+def test_a_reset_after_a_step_makes_the_next_steps_longer() -> None:
+    """A server warms up more slowly than the ramp and fails at each one.
 
-    Ramped in the same way each time it would never serve. The steps double with each fall.
+    With the same ramp each time it would never serve, so the steps double with each reset.
     """
     limiter = ServerLimiter(SLOTS, COLD)
     now = 0.0
@@ -60,15 +60,15 @@
     assert rounds == [30, 60, 120]
 
 
-def test_time_alone_gives_a_cold_server_nothing() -> None:
+def test_time_alone_does_not_raise_the_limit() -> None:
     limiter = ServerLimiter(SLOTS, COLD)
     assert limiter.limit(3600.0) == COLD
 
 
-def test_quick_answers_alone_give_a_cold_server_nothing() -> None:
-    """A server that has just started answers from a cache, thirty times within a few milliseconds.
+def test_quick_answers_alone_do_not_raise_the_limit() -> None:
+    """A server that has just started answers from a cache, thirty times in a few milliseconds.
 
-    That loads little of what a search touches. The step waits for its time as well.
+    That warms little of what a search uses, so a step also takes its minimum time.
     """
     limiter = ServerLimiter(SLOTS, COLD)
     for _ in range(30):
@@ -80,18 +80,18 @@
 
 
 @pytest.mark.parametrize("kind", [FailureKind.RESET, FailureKind.REFUSED])
-def test_a_lost_connection_means_a_cold_server(kind: FailureKind) -> None:
-    """A warm server restarts unannounced: its connections break, and new ones work at once.
+def test_a_lost_connection_resets_the_limit(kind: FailureKind) -> None:
+    """A warm server restarts without notice: its connections break, and new ones work at once.
 
-    Sent its full slots it would fall over again. The first broken connection takes all trust.
+    Sent its full slots it would fail again, so the first broken connection resets the limit.
     """
-    limiter, now = warm()
+    limiter, now = warm_limiter()
     limiter.on_lost(now, kind)
     assert limiter.limit(now) == COLD
 
 
-def test_one_slow_answer_is_no_evidence_but_most_of_them_are() -> None:
-    limiter, now = warm()
+def test_one_slow_answer_is_no_evidence_but_a_majority_is() -> None:
+    limiter, now = warm_limiter()
     now = serve(limiter, now, 1, latency_ms=5.0)
     limiter.on_start(now)
     limiter.on_success(now, 500.0)
@@ -101,18 +101,18 @@
 
 
 def test_a_server_that_stays_slow_gets_its_slots_back() -> None:
-    """A server turns slow for good, on a weaker machine.
+    """A server becomes slow permanently, for example on a weaker machine.
 
-    Held to what it once showed it would stay at one slot for ever, and its shard with it.
+    Compared with its old baseline it would stay at one slot forever.
     """
-    limiter, now = warm()
+    limiter, now = warm_limiter()
     now = serve(limiter, now, 3, latency_ms=100.0)
     now = serve(limiter, now, 150, latency_ms=100.0)
     assert limiter.limit(now) == SLOTS
 
 
-def test_one_shed_takes_a_step_and_a_second_takes_all() -> None:
-    limiter, now = warm()
+def test_one_rejection_takes_one_step_back_and_a_second_resets_the_limit() -> None:
+    limiter, now = warm_limiter()
     for expected in (SLOTS - 1, COLD):
         limiter.on_start(now)
         limiter.on_shed(now, retry_after_ms=100)
@@ -121,20 +121,20 @@
         assert limiter.limit(now) == expected
 
 
-def test_a_server_cannot_hold_work_off_for_long_by_one_answer() -> None:
-    limiter, now = warm()
+def test_the_hold_of_one_rejection_is_limited() -> None:
+    limiter, now = warm_limiter()
     limiter.on_start(now)
     limiter.on_shed(now, retry_after_ms=3_600_000)
     assert limiter.limit(now + 2.1) > 0
 
 
-def test_a_report_stuck_at_cold_cannot_hold_a_server_down() -> None:
+def test_a_report_stuck_at_cold_does_not_keep_the_limit_low() -> None:
     """A load report lags and says cold long after the server has warmed up.
 
-    Its change takes trust. Taken anew with each report, the server would stay at one slot for
-    as long as the report is stuck; it only makes the steps longer.
+    If each report reset the limit, the server would stay at one slot for as long as the report is
+    stuck. Only the change resets it; the report makes the steps longer.
     """
-    limiter, now = warm()
+    limiter, now = warm_limiter()
     limiter.on_report(now, ReportState.COLD)
     assert limiter.limit(now) == COLD
     for _ in range(130):
@@ -143,10 +143,10 @@
     assert limiter.limit(now) == SLOTS
 
 
-def test_a_server_that_says_it_is_cold_is_not_raised_by_a_few_quick_answers() -> None:
-    """A server that has just started is drowned after its first ten answers.
+def test_a_server_that_reports_cold_needs_more_successes_per_step() -> None:
+    """A server that has just started is overloaded after its first ten answers.
 
-    Its new owner reads its report, sends one request at a time, and the answers come quickly; the
+    Its new owner reads its report, sends one request at a time, and the answers are fast; the
     server is warm only after many more.
     """
     limiter = ServerLimiter(SLOTS, COLD)
@@ -155,26 +155,27 @@
     assert limiter.limit(now) == COLD
 
 
-def test_reported_work_of_others_lowers_the_limit_for_a_while() -> None:
-    """Two owners send to one server, because one of them was paused and woke up.
+def test_reported_external_work_lowers_the_limit_temporarily() -> None:
+    """Two owners send to one server, because one of them resumed after a pause.
 
-    The report shows more in flight than we ever had. We make room until the report is old.
+    The report shows more in flight than this owner sent, which lowers the limit until the report
+    is old.
     """
-    limiter, now = warm()
+    limiter, now = warm_limiter()
     limiter.on_report(now, ReportState.WARM, in_flight=SLOTS + 2)
     assert limiter.limit(now) == SLOTS - 2
     assert limiter.limit(now + 1.1) == SLOTS
 
 
-def test_a_draining_server_gets_nothing_and_returns_cold() -> None:
-    limiter, now = warm()
+def test_a_draining_server_gets_no_requests_and_returns_cold() -> None:
+    limiter, now = warm_limiter()
     limiter.on_report(now, ReportState.DRAINING)
     assert limiter.limit(now) == 0
     assert limiter.limit(now + 5.1) == COLD
 
 
-def test_a_new_owner_starts_cold_unless_trust_was_handed_over() -> None:
-    limiter, now = warm()
+def test_a_new_owner_starts_cold_unless_warm_up_state_was_handed_over() -> None:
+    limiter, now = warm_limiter()
     trust = limiter.trust
     limiter.on_takeover(now)
     assert limiter.limit(now) == COLD
@@ -184,13 +185,13 @@
     assert limiter.limit(now) == SLOTS
 
 
-def test_trust_lapses_without_work() -> None:
-    limiter, now = warm()
+def test_the_limit_is_reset_without_work() -> None:
+    limiter, now = warm_limiter()
     assert limiter.limit(now + 61.0) == COLD
 
 
 class LimiterMachine(RuleBasedStateMachine):
-    """Any order of outcomes and reports: the cap is exact and only successes raise it."""
+    """Any order of outcomes and reports: the limit is exact and only successes raise it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -199,12 +200,14 @@
         self.now = 0.0
         self.in_flight = 0
         self.successes = 0  # since the last evidence of coldness
-        self.handed = COLD
+        self.handed_cap = COLD
 
-    def cold(self) -> None:
+    def expect_cold(self) -> None:
         self.successes = 0
-        self.handed = COLD
-        assert self.limiter.limit(self.now) <= COLD, "evidence, and still trusted"
+        self.handed_cap = COLD
+        assert (
+            self.limiter.limit(self.now) <= COLD
+        ), "limit above the cold cap after evidence of a cold server"
 
     @rule(count=st.integers(1, 4))
     def start(self, count: int) -> None:
@@ -213,7 +216,7 @@
                 with pytest.raises(ValueError, match="in flight"):
                     self.limiter.on_start(self.now)
                 return
-            assert self.in_flight < min(SLOTS, max(self.handed, COLD + self.successes // STEP))
+            assert self.in_flight < min(SLOTS, max(self.handed_cap, COLD + self.successes // STEP))
             self.limiter.on_start(self.now)
             self.in_flight += 1
 
@@ -244,7 +247,7 @@
             self.limiter.on_failure(self.now, kind)
             self.in_flight -= 1
             if kind in (FailureKind.RESET, FailureKind.REFUSED):
-                self.cold()
+                self.expect_cold()
 
     @rule()
     def cancel(self) -> None:
@@ -256,42 +259,42 @@
     def report(self, state: ReportState, reported: int) -> None:
         before = self.limiter.trust.cap
         self.limiter.on_report(self.now, state, reported)
-        assert self.limiter.trust.cap <= before, "a report raised trust"
+        assert self.limiter.trust.cap <= before, "a report raised the cap"
 
     @rule(cap=st.none() | st.integers(0, 9))
     def take_over(self, cap: int | None) -> None:
         trust = Trust(cap=cap, shown_ms=5.0) if cap is not None else None
         self.limiter.on_takeover(self.now, trust)
         if trust is None:
-            self.cold()
+            self.expect_cold()
         else:
-            self.successes, self.handed = 0, max(COLD, min(trust.cap, SLOTS))
+            self.successes, self.handed_cap = 0, max(COLD, min(trust.cap, SLOTS))
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 6.0, 70.0]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
     @invariant()
-    def the_cap_is_earned_by_successes(self) -> None:
+    def only_successes_raise_the_limit(self) -> None:
         assert self.limiter.in_flight == self.in_flight <= SLOTS
-        earned = self.handed + self.successes // STEP
-        assert 0 <= self.limiter.limit(self.now) <= min(SLOTS, earned)
+        max_cap = self.handed_cap + self.successes // STEP
+        assert 0 <= self.limiter.limit(self.now) <= min(SLOTS, max_cap)
 
 
-def test_the_limiter_never_goes_over_its_cap() -> None:
+def test_the_limiter_never_exceeds_its_limit() -> None:
     run_state_machine_as_test(LimiterMachine, settings=SETTINGS)  # type: ignore[no-untyped-call]
 
 
-def _no_fall(self: WarmUp, now: float) -> None:
+def _no_reset(self: WarmUp, now: float) -> None:
     del self, now
 
 
-def _by_time(self: WarmUp, now: float) -> None:
+def _step_by_time(self: WarmUp, now: float) -> None:
     if now - self._step_started >= 0.25:
         self._cap = min(self._cap + 1, self._slots)
 
 
-def _always(self: ServerLimiter, now: float) -> bool:
+def _always_allowed(self: ServerLimiter, now: float) -> bool:
     del self, now
     return True
 
@@ -299,12 +302,12 @@
 @pytest.mark.parametrize(
     ("owner", "method", "planted"),
     [
-        (WarmUp, "_reset_to_cold", _no_fall),
-        (WarmUp, "_step_up", _by_time),
-        (ServerLimiter, "may_start", _always),
+        (WarmUp, "_reset_to_cold", _no_reset),
+        (WarmUp, "_step_up", _step_by_time),
+        (ServerLimiter, "may_start", _always_allowed),
     ],
 )
-def test_the_machine_finds_a_removed_guard(
+def test_the_state_machine_detects_a_removed_guard(
     monkeypatch: pytest.MonkeyPatch, owner: type, method: str, planted: object
 ) -> None:
     monkeypatch.setattr(owner, method, planted)
--- a/tests/decisions/test_load_overload.py
+++ b/tests/decisions/test_load_overload.py
@@ -1,4 +1,4 @@
-"""What is refused at once under a burst, what goes first, what a VM knows of replicas' queues."""
+"""Admission under a burst, priorities, and estimates of queues at replicas."""
 
 from __future__ import annotations
 
@@ -22,95 +22,99 @@
 from berylspindle_decisions.load_estimate import LoadEstimate
 from berylspindle_decisions.replica_health import ReplicaHealth
 
-URGENT = AdmissionRequest(group="shard", priority=1, pressure=0.0)
-LESS = AdmissionRequest(group="shard", priority=2, pressure=0.0)
+HIGH_PRIORITY = AdmissionRequest(group="shard", priority=1, pressure=0.0)
+LOW_PRIORITY = AdmissionRequest(group="shard", priority=2, pressure=0.0)
 
 
-def begun(
-    gate: AdmissionController, request: AdmissionRequest, *, tries: int = 400, now: float = 0.0
+def admitted_share(
+    controller: AdmissionController,
+    request: AdmissionRequest,
+    *,
+    requests: int = 400,
+    now: float = 0.0,
 ) -> float:
     rng = random.Random(7)
-    return sum(gate.admits(now, request, u=rng.random()) for _ in range(tries)) / tries
+    return sum(controller.admits(now, request, u=rng.random()) for _ in range(requests)) / requests
 
 
-def test_nothing_is_refused_while_queues_are_short():
-    gate = AdmissionController()
-    assert begun(gate, attrs.evolve(URGENT, pressure=0.5)) == 1.0
-    assert begun(gate, attrs.evolve(LESS, pressure=0.5)) == 1.0
+def test_nothing_is_rejected_while_queues_are_short():
+    controller = AdmissionController()
+    assert admitted_share(controller, attrs.evolve(HIGH_PRIORITY, pressure=0.5)) == 1.0
+    assert admitted_share(controller, attrs.evolve(LOW_PRIORITY, pressure=0.5)) == 1.0
 
 
-def test_all_is_refused_where_queues_take_the_whole_aim():
-    """Every answer of a burst is late, for each one waits behind the next that can't be in time."""
-    assert begun(AdmissionController(), attrs.evolve(URGENT, pressure=1.1)) == 0.0
+def test_everything_is_rejected_when_queues_take_the_whole_latency_target():
+    """In a burst every answer is late, because each request waits behind others that are late."""
+    assert admitted_share(AdmissionController(), attrs.evolve(HIGH_PRIORITY, pressure=1.1)) == 0.0
 
 
-def test_the_refused_share_grows_with_the_pressure():
-    """All VMs see the same queues; refusing at one level they would all refuse, then all admit."""
+def test_the_rejected_share_grows_with_the_pressure():
+    """All VMs see the same queues; with one threshold they would all reject, then all admit."""
     shares = [proportional_share(x / 100) for x in range(150)]
     assert shares == sorted(shares)
     assert max(b - a for a, b in itertools.pairwise(shares)) < 0.03
 
 
-def test_ever_more_is_refused_while_queues_stay_long():
-    """At twice what replicas bear, a share that only follows the queues settles at long ones.
+def test_the_rejected_share_grows_while_queues_stay_long():
+    """At twice the capacity, the proportional term alone settles at long queues.
 
-    Queues of six tenths of the aim alone refuse nobody; after a second of them half are refused.
+    Queues of 0.6 of the latency target reject nothing at first, but half after a second.
     """
-    gate = AdmissionController()
-    pressed = attrs.evolve(URGENT, pressure=0.6)
-    first = begun(gate, pressed, tries=5)
+    controller = AdmissionController()
+    overloaded = attrs.evolve(HIGH_PRIORITY, pressure=0.6)
+    first = admitted_share(controller, overloaded, requests=5)
     for step in range(200):
-        gate.admits(1.0 + step / 100, pressed, u=0.5)
+        controller.admits(1.0 + step / 100, overloaded, u=0.5)
     assert first == 1.0
-    assert begun(gate, pressed, now=3.0) < 0.5
+    assert admitted_share(controller, overloaded, now=3.0) < 0.5
 
 
-def test_a_vm_with_few_requests_refuses_nobody_half_a_second_after_a_burst():
-    """One of seventy VMs gets a request now and then, and refuses for seconds after the burst."""
-    gate = AdmissionController()
+def test_a_vm_with_few_requests_rejects_nothing_half_a_second_after_a_burst():
+    """One of seventy VMs gets few requests, and keeps rejecting for seconds after a burst."""
+    controller = AdmissionController()
     for step in range(300):
-        gate.admits(step / 100, attrs.evolve(URGENT, pressure=1.2), u=0.5)
-    assert gate.admits(3.6, attrs.evolve(URGENT, pressure=0.0), u=0.0)
+        controller.admits(step / 100, attrs.evolve(HIGH_PRIORITY, pressure=1.2), u=0.5)
+    assert controller.admits(3.6, attrs.evolve(HIGH_PRIORITY, pressure=0.0), u=0.0)
 
 
 @pytest.mark.parametrize("pressure", [0.7, 0.8, 0.9, 1.0, 1.3])
-def test_the_less_urgent_fare_no_better_than_the_urgent_and_are_not_starved(pressure: float):
-    """A foreman's search is refused while a quick check of the same shards, less urgent, begins.
+def test_low_priority_gets_no_more_than_high_priority_and_is_not_starved(pressure: float):
+    """A search is rejected while a check of lower priority on the same shards is admitted.
 
-    The check needs fewer shards, so that its own pressure is low; of it more has to be refused, and
-    yet one in four begins, however long the pressure lasts.
+    The check needs fewer shards, so its own pressure is low. More checks must be rejected, and yet
+    one in four admitted for as long as the pressure lasts.
     """
-    gate = AdmissionController()
-    urgent = attrs.evolve(URGENT, pressure=pressure)
+    controller = AdmissionController()
+    high_priority = attrs.evolve(HIGH_PRIORITY, pressure=pressure)
     rng = random.Random(5)
     counts = {1: 0, 2: 0}
     for number in range(2000):
-        request = urgent if number % 2 else LESS
-        counts[request.priority] += gate.admits(number / 100, request, u=rng.random())
+        request = high_priority if number % 2 else LOW_PRIORITY
+        counts[request.priority] += controller.admits(number / 100, request, u=rng.random())
     assert counts[2] <= max(counts[1] * 1.05, 1000 * (1 - LOW_PRIORITY_SHARE_MAX) * 1.2)
     assert counts[2] >= min(counts[1], 1000 * (1 - LOW_PRIORITY_SHARE_MAX)) * 0.8
 
 
-def test_the_less_urgent_begin_again_once_the_urgent_do():
-    gate = AdmissionController()
-    gate.admits(0.0, attrs.evolve(URGENT, pressure=1.0), u=0.5)
-    assert begun(gate, LESS, now=0.05) < 0.4
-    assert begun(gate, LESS, now=0.2) == 1.0
+def test_low_priority_is_admitted_again_once_high_priority_is():
+    controller = AdmissionController()
+    controller.admits(0.0, attrs.evolve(HIGH_PRIORITY, pressure=1.0), u=0.5)
+    assert admitted_share(controller, LOW_PRIORITY, now=0.05) < 0.4
+    assert admitted_share(controller, LOW_PRIORITY, now=0.2) == 1.0
 
 
-def test_the_urgent_do_not_wait_for_the_less_urgent():
-    gate = AdmissionController()
-    gate.admits(0.0, attrs.evolve(LESS, pressure=2.0), u=0.5)
-    assert begun(gate, attrs.evolve(URGENT, pressure=0.5)) == 1.0
+def test_low_priority_does_not_affect_high_priority():
+    controller = AdmissionController()
+    controller.admits(0.0, attrs.evolve(LOW_PRIORITY, pressure=2.0), u=0.5)
+    assert admitted_share(controller, attrs.evolve(HIGH_PRIORITY, pressure=0.5)) == 1.0
 
 
-def test_a_group_under_pressure_refuses_nothing_of_another():
-    gate = AdmissionController()
-    gate.admits(0.0, attrs.evolve(URGENT, pressure=2.0), u=0.5)
-    assert begun(gate, attrs.evolve(LESS, group="booking")) == 1.0
+def test_the_pressure_of_one_group_does_not_affect_another():
+    controller = AdmissionController()
+    controller.admits(0.0, attrs.evolve(HIGH_PRIORITY, pressure=2.0), u=0.5)
+    assert admitted_share(controller, attrs.evolve(LOW_PRIORITY, group="booking")) == 1.0
 
 
-def test_a_search_is_weighed_at_the_shard_that_decides_whether_enough_parts_are_there():
+def test_the_pressure_of_a_search_is_that_of_the_last_required_shard():
     added = [90.0, 5.0, 80.0, 10.0]
     assert pressure_of(added, least=4, aim_ms=100) == 0.9
     assert pressure_of(added, least=3, aim_ms=100) == 0.8
@@ -124,10 +128,10 @@
     left=st.floats(1, 10_000),
     rng=st.lists(st.floats(0, 0.999), min_size=2),
 )
-def test_refused_callers_come_back_in_their_time_and_apart(
+def test_rejected_callers_retry_within_their_time_and_spread_out(
     added: float, left: float, rng: list[float]
 ):
-    """Callers who are refused together and told one time come back together, and meet a burst."""
+    """Callers that are rejected together with one Retry-After return together as a burst."""
     waits = [return_after_ms(added_ms=added, left_ms=left, u=u) for u in rng]
     assert all(0 <= wait <= left * RETRY_AFTER_MAX_SHARE for wait in waits)
     assert all(wait >= min(added, left * RETRY_AFTER_MAX_SHARE) - 1 for wait in waits)
@@ -135,8 +139,8 @@
         assert max(waits) - min(waits) > left / 20
 
 
-def test_a_report_is_kept_apart_from_what_this_vm_has_sent_since():
-    """Eight VMs read that a replica is free and all send to it; none counts what it has sent."""
+def test_requests_sent_since_a_report_are_counted():
+    """Eight VMs see a report of an idle replica and all keep sending to it."""
     replica = ReplicaHealth(slots=2, is_local=False)
     replica.sent("a", late_at=9.0)
     replica.reported(0.0, running=1, waiting=0, slots=2)
@@ -146,8 +150,8 @@
     assert replica.busy(0.0) == 4.0
 
 
-def test_a_stale_report_gives_way_to_the_usual_load():
-    """A replica that is always busy looks free to a VM that asks it three times a second."""
+def test_the_estimate_decays_from_a_stale_report_to_the_mean():
+    """A replica that is always busy looks idle to a VM that uses it three times per second."""
     load = LoadEstimate()
     for step in range(40):
         load.reported(step / 3, total=6 if step % 4 else 0, own=0)
@@ -157,12 +161,12 @@
     assert load.at(last + 20.0) == 0.0
 
 
-def test_a_replica_that_tells_nothing_is_taken_for_free():
+def test_a_replica_without_reports_counts_as_idle():
     assert LoadEstimate().at(5.0) == 0.0
 
 
-def test_a_queue_that_explains_a_late_answer_is_not_held_against_the_replica():
-    """Under a burst all answers are late, and the replica with the longest queue looks slow too."""
+def test_latency_caused_by_a_queue_does_not_count_against_the_replica():
+    """In a burst all answers are late, and the replica with the longest queue looks slow."""
     replica = ReplicaHealth(slots=2, is_local=False)
     for attempt in range(6):
         replica.sent(attempt, late_at=9.0)
@@ -172,7 +176,7 @@
     assert replica.pace(0.1) == pytest.approx(1.0)
 
 
-def test_what_a_queue_adds_is_told_apart_from_a_slow_replica():
+def test_queueing_delay_is_distinguished_from_a_slow_replica():
     slow, queued = ReplicaHealth(slots=2, is_local=False), ReplicaHealth(slots=2, is_local=False)
     for attempt in range(12):
         slow.sent(attempt, late_at=99.0)
@@ -183,8 +187,8 @@
     assert queued.added_ms(1.1, usual_ms=20.0) > 100.0
 
 
-def test_a_replica_that_refuses_is_full_and_one_that_fails_is_not():
-    """A shard whose replicas all shed is taken for one without queues, and gets ever more."""
+def test_a_replica_that_refuses_is_full_and_one_that_fails_is_not_healthy():
+    """A shard whose replicas all shed load looks like one without queues, and gets more."""
     full, failing = ReplicaHealth(slots=2, is_local=False), ReplicaHealth(slots=2, is_local=False)
     for replica in (full, failing):
         replica.sent("a", late_at=9.0)
@@ -195,7 +199,7 @@
     assert not failing.is_sound(0.05)
 
 
-def test_a_paused_or_failing_replica_is_no_measure_of_the_queues():
+def test_paused_failing_and_cold_replicas_are_not_used_to_estimate_queues():
     paused, failing, cold = (ReplicaHealth(slots=2, is_local=False) for _ in range(3))
     paused.sent("a", late_at=0.05)
     failing.sent("a", late_at=9.0)
