--- a/libs/decisions/berylspindle_decisions/guarding.py
+++ b/libs/decisions/berylspindle_decisions/guarding.py
@@ -1,21 +1,23 @@
 """Decide, as a guardian, when to probe a ward, when to suspect it and when to remove it.
 
 Terms:
-  guardian   probes a ward once a second, confirms its rights, and alone may propose its removal
-  ward       a member that this VM guards
-  helper     another VM that probes a ward for a guardian that does not hear it
-  silent     a guardian that proposed a removal and confirms nothing to that ward any more
-
-Flow: `due` says whom to probe and with which confirmation, `judge` whom to suspect and remove;
-answers come in by `heard` and `answered`, the words of helpers by `heard` and `missed`.
-
-The pattern: VMs crash, hang, are paused, and links fail one way or lose a fifth of what they carry.
-Why the thresholds: at a loss of 20% a probe and its answer both arrive in 64%. A guardian probes
-twice a second once an answer is missing and asks three helpers, so 2.2 s without a word happen by
-chance less than once in a hundred rounds and 3.2 s with helpers less than once in a hundred
-thousand. A suspicion only stops traffic; a removal moves ownership. Without helpers a link that
-fails one way would remove a live VM; without `forgive` a guardian that was paused would remove all
-of its wards when it wakes.
+  guardian     probes a ward once a second, confirms its rights, and alone may propose its removal
+  ward         a member that this VM guards
+  helper       another VM that sends an indirect probe to a ward on behalf of a guardian
+  silence      time since the last answer of a ward to this VM or to a helper
+  unconfirmed  a ward to which confirmations have stopped, since its removal was proposed
+
+Flow: `due` returns the probes to send with their confirmations, `unresponsive` the wards to suspect
+and `removals` those to remove; answers are recorded by `on_ack` and `on_alive`, the results of
+indirect probes by `on_alive` and `on_indirect_timeout`.
+
+VMs crash, hang or pause, and links fail in one direction or lose a fifth of their packets. At a
+packet loss of 20%, a probe and its answer both arrive in 64% of cases. A guardian probes twice a
+second once an answer is missing and asks three helpers, so a silence of 2.2 s occurs by chance less
+than once in a hundred rounds, and one of 3.2 s with helpers less than once in a hundred thousand. A
+suspicion only stops traffic; a removal moves ownership. Without helpers, a link that fails in one
+direction would remove a live VM; without `reset_silences`, a guardian that resumes after a pause
+would remove all of its wards.
 """
 
 from __future__ import annotations
@@ -33,20 +35,24 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeLimits:
-    """The times of probing, in seconds.
+    """Intervals and timeouts of probing, in seconds.
 
     Attributes:
-        interval: between two probes of a ward that answers.
-        retry: after which an unanswered probe is sent again.
-        ask_helpers: silence after which helpers are asked, `ask_again` how often; longer than
-            `interval` and `retry`, or helpers are asked while nothing is wrong.
+        interval: time between two probes of a ward that answers.
+        retry: time after which an unanswered probe is sent again.
+        ask_helpers: silence after which helpers are asked for indirect probes; longer than
+            `interval` and `retry`, or helpers would be asked without a failure.
+        ask_again: time between two requests to helpers.
         suspect: silence after which a ward is suspected.
-        remove: silence after which its removal is proposed; `propose_again` how often.
-        stall: a gap between two ticks that shows that this VM itself did not run.
-        unhelped: silence after which no helper needs to have answered: the others of the data
-            centre may all be gone, and the store, which must take the removal, shows the rest.
+        remove: silence after which its removal is proposed.
+        propose_again: time between two proposals.
+        stall: gap between two ticks that shows that this VM itself did not run.
+        unhelped: silence after which no helper's result is needed: all other VMs of the data centre
+            may have failed, and an isolated VM can't write a removal to the store.
         orphan: silence after which a ward is removed that no guardian may remove by the rule of
-            epochs, if the VM list does not name it either; see `_may_remove`.
+            epochs, if it is missing from the VM list too; see `_may_remove`.
+        helpers: number of helpers that are asked at a time.
+        guardians: number of guardians of each member.
     """
 
     interval: float = 1.0
@@ -65,7 +71,7 @@
 
 @attrs.frozen
 class Removal:
-    """The proposal to remove a member from the view with this epoch."""
+    """A proposal to remove a member from the view with this epoch."""
 
     vm: str
     epoch: int
@@ -73,7 +79,7 @@
 
 @attrs.frozen
 class Probe:
-    """A probe that is due, and the number of the answer that it confirms."""
+    """A probe that is due, with the number of the answer that it confirms."""
 
     vm: Vm
     confirms: int
@@ -82,16 +88,16 @@
 @attrs.define
 class _Ward:
     vm: Vm
-    guarded_since: int
-    acked: int
-    heard_at: float
+    guarded_since_epoch: int
+    acked_epoch: int
+    answered_at: float
     sent_at: float = -math.inf
     ask_at: float = -math.inf
     propose_at: float = -math.inf
-    missed_at: float = -math.inf
-    number: int = 0
-    answered: int = NOT_CONFIRMED
-    silent: bool = False
+    indirect_timeout_at: float = -math.inf
+    last_number: int = 0
+    last_answered: int = NOT_CONFIRMED
+    unconfirmed: bool = False
 
 
 class Wards:
@@ -105,107 +111,108 @@
 
     @property
     def vms(self) -> tuple[Vm, ...]:
-        """Return the VMs that are guarded."""
+        """Return the guarded VMs."""
         return tuple(ward.vm for ward in self._wards.values())
 
     @property
-    def silent(self) -> frozenset[str]:
-        """Return the wards to which nothing is confirmed since their removal was proposed."""
-        return frozenset(name for name, ward in self._wards.items() if ward.silent)
+    def unconfirmed(self) -> frozenset[str]:
+        """Return the unconfirmed wards, whose removal was proposed."""
+        return frozenset(name for name, ward in self._wards.items() if ward.unconfirmed)
 
     def orphans(self, now: float) -> frozenset[str]:
-        """Return the silent wards that only the VM list can help to remove."""
+        """Return the silent wards that can only be removed if the VM list doesn't name them."""
         return frozenset(
             name
             for name, ward in self._wards.items()
-            if now - ward.heard_at > self._limits.orphan / 2 and ward.acked < ward.guarded_since
+            if now - ward.answered_at > self._limits.orphan / 2
+            and ward.acked_epoch < ward.guarded_since_epoch
         )
 
     def adopt(self, view: View, now: float) -> None:
-        """Take a newer view of the own data centre."""
+        """Adopt a newer view of the own data centre."""
         old, self._view = self._view, view
-        before, self._wards = self._wards, {}
+        old_wards, self._wards = self._wards, {}
         one_step = old is not None and view.epoch == old.epoch + 1
         for vm in wards_of(view, self._me.id, self._limits.guardians):
             joined = view.joined_at(vm.id) or 0
-            ward = before.get(vm.id)
+            ward = old_wards.get(vm.id)
             if ward is None or joined == view.epoch:
                 ward = _Ward(vm, view.epoch, joined, now)
             elif not one_step:
-                # In the epochs between, this VM may not have been a guardian of it.
-                ward.guarded_since = view.epoch
-            # The proposal expected the old epoch and fails now, so confirming is safe again.
-            ward.silent = False
+                # This VM may not have been its guardian in the skipped epochs.
+                ward.guarded_since_epoch = view.epoch
+            # A proposal for the old epoch fails from now on, so confirming is safe again.
+            ward.unconfirmed = False
             ward.propose_at = -math.inf
             self._wards[vm.id] = ward
 
     def due(self, now: float) -> list[Probe]:
-        """Return the probes to send now; report each by `sent`."""
+        """Return the probes to send now; the caller reports each one to `on_sent`."""
         probes: list[Probe] = []
         for ward in self._wards.values():
-            answered = ward.answered >= ward.number
-            wait = self._limits.interval if answered else self._limits.retry
+            is_answered = ward.last_answered >= ward.last_number
+            wait = self._limits.interval if is_answered else self._limits.retry
             if now - ward.sent_at >= wait:
-                confirms = NOT_CONFIRMED if ward.silent else ward.answered
+                confirms = NOT_CONFIRMED if ward.unconfirmed else ward.last_answered
                 probes.append(Probe(ward.vm, confirms))
         return probes
 
-    def sent(self, vm_id: str, number: int, now: float) -> None:
-        """Note the number of a probe that was sent."""
+    def on_sent(self, vm_id: str, number: int, now: float) -> None:
+        """Record the number of a probe that was sent."""
         ward = self._wards[vm_id]
-        ward.number, ward.sent_at = number, now
+        ward.last_number, ward.sent_at = number, now
 
-    def answered(self, vm_id: str, number: int) -> None:
-        """Note the answer to a probe of this VM's own; the next probe confirms it."""
+    def on_ack(self, vm_id: str, number: int) -> None:
+        """Record the answer to a direct probe; the next probe confirms it."""
         ward = self._wards.get(vm_id)
         if ward is not None:
-            ward.answered = max(ward.answered, min(number, ward.number))
+            ward.last_answered = max(ward.last_answered, min(number, ward.last_number))
 
-    def heard(self, vm_id: str, epoch: int, now: float) -> None:
-        """Note that a ward lives and knows this epoch, from itself or from a helper."""
+    def on_alive(self, vm_id: str, epoch: int, now: float) -> None:
+        """Record that a ward answered this VM or a helper, with the epoch that it knows."""
         ward = self._wards.get(vm_id)
         if ward is None:
             return
-        ward.heard_at = now
-        ward.missed_at = -math.inf
-        ward.acked = max(ward.acked, epoch)
+        ward.answered_at = now
+        ward.indirect_timeout_at = -math.inf
+        ward.acked_epoch = max(ward.acked_epoch, epoch)
 
-    def missed(self, vm_id: str, now: float) -> None:
-        """Note that a helper doesn't hear a ward either."""
+    def on_indirect_timeout(self, vm_id: str, now: float) -> None:
+        """Record that an indirect probe of a ward timed out."""
         ward = self._wards.get(vm_id)
         if ward is not None:
-            ward.missed_at = now
+            ward.indirect_timeout_at = now
 
     def withdraw(self, vm_id: str) -> None:
-        """Confirm to a ward again: the proposal to remove it surely took no effect."""
+        """Resume confirmations to a ward; its removal must be known to have had no effect."""
         ward = self._wards.get(vm_id)
         if ward is not None:
-            ward.silent = False
+            ward.unconfirmed = False
 
-    def forgive(self, now: float) -> None:
-        """Begin all silences anew, after a time in which this VM itself did not run."""
+    def reset_silences(self, now: float) -> None:
+        """Reset all silences to zero after a time in which this VM itself did not run."""
         for ward in self._wards.values():
-            ward.heard_at = now
-            ward.missed_at = -math.inf
+            ward.answered_at = now
+            ward.indirect_timeout_at = -math.inf
 
-    def unheard(self, now: float) -> list[Vm]:
-        """Return the wards about which helpers are to be asked now."""
-        asked: list[Vm] = []
+    def due_for_helpers(self, now: float) -> list[Vm]:
+        """Return the wards for which helpers are to be asked now."""
+        due: list[Vm] = []
         for ward in self._wards.values():
-            if now - ward.heard_at > self._limits.ask_helpers and now >= ward.ask_at:
+            if now - ward.answered_at > self._limits.ask_helpers and now >= ward.ask_at:
                 ward.ask_at = now + self._limits.ask_again
-                asked.append(ward.vm)
-        return asked
+                due.append(ward.vm)
+        return due
 
-    def quiet(self, now: float, *, alone: bool) -> dict[str, float]:
-        """Return the wards to suspect, with the seconds for which they were not heard.
+    def unresponsive(self, now: float, *, alone: bool) -> dict[str, float]:
+        """Return the wards to suspect, with their silence in seconds.
 
-        `alone` tells that there is no other VM that could help.
+        `alone` is set if no other VM can act as a helper.
         """
         return {
-            name: now - ward.heard_at
+            name: now - ward.answered_at
             for name, ward in self._wards.items()
-            if now - ward.heard_at > self._limits.suspect and self._has_witness(ward, now, alone)
+            if now - ward.answered_at > self._limits.suspect and self._has_witness(ward, now, alone)
         }
 
     def removals(
@@ -213,37 +220,38 @@
     ) -> list[Removal]:
         """Return the removals to propose, and stop confirming to those wards.
 
-        `suspected` are those that `quiet` returned, `unlisted` those the VM list doesn't name.
+        `suspected` are the wards returned by `unresponsive`, `unlisted` those missing from the VM
+        list.
         """
         chosen: list[Removal] = []
         for name in suspected:
             ward = self._wards[name]
-            late = now - ward.heard_at > self._limits.remove and now >= ward.propose_at
-            if not late or not self._may_remove(ward, name in unlisted, now):
+            is_due = now - ward.answered_at > self._limits.remove and now >= ward.propose_at
+            if not is_due or not self._may_remove(ward, name in unlisted, now):
                 continue
-            # From here on no confirmation goes to this ward, so that its lease ends whatever
-            # becomes of the proposal: its reply may be lost though it took effect.
-            ward.silent = True
+            # Without further confirmations the ward's lease ends even if the proposal took effect
+            # and only its reply was lost.
+            ward.unconfirmed = True
             ward.propose_at = now + self._limits.propose_again
             chosen.append(Removal(name, self._view.epoch if self._view is not None else 0))
         return chosen
 
     def _may_remove(self, ward: _Ward, unlisted: bool, now: float) -> bool:
-        """Tell whether this VM's silence is sure to end the lease of a ward.
+        """Return whether a ward's lease is certain to end without confirmations of this VM.
 
-        The ward may stand on any epoch since the last that it told. If this VM was not a guardian
-        in one of them, the guardians of that epoch may be cut off together with the ward and keep
-        its lease alive, and two VMs would dispatch. Where all guardians that could tell are gone,
-        the VM list and half a minute of silence decide.
+        The ward's view may have any epoch since the last one it reported. If this VM was not a
+        guardian in one of them, the guardians of that epoch may be isolated together with the ward
+        and keep renewing its lease, and two VMs would dispatch. If all of those guardians are gone,
+        the VM list and a silence of `orphan` seconds decide.
         """
-        if ward.acked >= ward.guarded_since:
+        if ward.acked_epoch >= ward.guarded_since_epoch:
             return True
-        return unlisted and now - ward.heard_at > self._limits.orphan
+        return unlisted and now - ward.answered_at > self._limits.orphan
 
     def _has_witness(self, ward: _Ward, now: float, alone: bool) -> bool:
-        # A VM that is itself cut off hears nobody and must not blame its wards; the answer of a
-        # helper shows that this VM is heard.
-        fresh = 2 * self._limits.ask_again + self._limits.retry
-        if alone or now - ward.missed_at <= fresh:
+        # An isolated VM gets no answers either and must not suspect its wards; a helper's result
+        # shows that this VM is reachable.
+        freshness = 2 * self._limits.ask_again + self._limits.retry
+        if alone or now - ward.indirect_timeout_at <= freshness:
             return True
-        return now - ward.heard_at > self._limits.unhelped
+        return now - ward.answered_at > self._limits.unhelped
--- a/libs/decisions/berylspindle_decisions/membership.py
+++ b/libs/decisions/berylspindle_decisions/membership.py
@@ -1,13 +1,14 @@
-"""Answer and send the probes of one VM, and keep its rights and suspicions up to date by them.
+"""Send and answer the probes of one VM, and update its dispatch rights and suspicions from them.
 
 Terms:
-  guardian, ward, helper   see guarding
-  favour                   a probe that this VM makes for a guardian that asked it to help
+  guardian, ward, helper   see `guarding`
+  indirect probe           a probe by a helper on behalf of a guardian
   cross probe              a probe of a VM of another data centre
 
-Flow: `tick` sends what is due and returns removals to propose; the handlers answer messages and
-feed `Wards`, `Ownership` and `Suspicions`. Each VM sends and answers a number of messages a second
-that does not grow with the fleet: three probes, three answers, and a share of the cross probes.
+Flow: `tick` sends the probes that are due and returns the removals to propose; the handlers answer
+messages and update `Wards`, `Ownership` and `Suspicions`. The number of messages that a VM sends
+and answers per second doesn't grow with the fleet: three probes, three answers, and a share of the
+cross probes.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
 
 Address = tuple[str, int]
 
-# Answers whose sending time is kept for a confirmation; a guardian confirms the last that arrived.
-_KEPT_ANSWERS: Final = 64
-# With only two VMs there is no helper, and neither can tell which of them is cut off.
-_PAIR: Final = 2
+# Answers whose send time is kept; a guardian confirms the latest answer that arrived.
+_MAX_KEPT_ANSWERS: Final = 64
+# Two VMs have no helper, and neither can determine which of them is isolated.
+_TWO_VMS: Final = 2
 
 
 @attrs.frozen
@@ -51,17 +52,17 @@
 
 
 @attrs.define
-class _Favour:
+class _IndirectProbe:
     requester: Address
     target: str
-    until: float
+    deadline: float
 
 
 class Prober:
-    """The probing of one VM; every method is one step and returns what to send.
+    """The probing of one VM; every method is one step and returns the messages to send.
 
-    `pick` returns a random whole number below its argument; `digest` what this VM knows, for the
-    VM that it goes to.
+    `pick` returns a random integer below its argument; `digest` the digest of this VM's state to
+    send to a VM.
     """
 
     def __init__(
@@ -84,12 +85,12 @@
         self._views: dict[str, View] = {}
         self._vms: dict[str, Vm] = {}
         self._number = 0
-        self._sent: dict[str, dict[int, float]] = {}
-        self._favours: dict[int, _Favour] = {}
+        self._answer_sent_at: dict[str, dict[int, float]] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._unlisted: frozenset[str] = frozenset()
         self._last_tick: float | None = None
-        self._ask_earlier_at = -math.inf
-        self._cross_at = -math.inf
+        self._probe_awaited_at = -math.inf
+        self._cross_probe_at = -math.inf
         self._leaving = False
 
     @property
@@ -102,19 +103,21 @@
         return self._vms.get(vm_id)
 
     def adopt(self, view: View, now: float) -> None:
-        """Take a newer view of any data centre."""
+        """Adopt a newer view of any data centre."""
         old = self._views.get(view.data_centre)
         self._views[view.data_centre] = view
         self._vms = {vm.id: vm for known in self._views.values() for vm in known.members}
         self._suspicions.keep_only(frozenset(self._vms))
-        self._sent = {name: sent for name, sent in self._sent.items() if name in self._vms}
+        self._answer_sent_at = {
+            name: sent_at for name, sent_at in self._answer_sent_at.items() if name in self._vms
+        }
         if view.data_centre == self._me.data_centre:
             self._wards.adopt(view, now)
         elif old is None or not old.members:
-            self._suspicions.heard_centre(view.data_centre, now)
+            self._suspicions.record_contact(view.data_centre, now)
 
     def peers(self, count: int) -> tuple[Vm, ...]:
-        """Return random VMs to tell news to: most of this data centre, at least one of another."""
+        """Return random VMs to gossip to: most of this data centre, at least one of another."""
         near = self._others(self._me.data_centre)
         elsewhere = (name for name in self._views if name != self._me.data_centre)
         far = [vm for name in elsewhere for vm in self._others(name)]
@@ -122,11 +125,11 @@
         return (*chosen, *self._sample(far, count - len(chosen)))
 
     def unlisted(self, vm_ids: Iterable[str]) -> None:
-        """Note which of the orphans the VM list does not name."""
+        """Set which of the orphans are missing from the VM list."""
         self._unlisted = frozenset(vm_ids)
 
     def leave(self) -> list[Send]:
-        """Stop guarding, and tell the wards so: no proposal comes from here any more."""
+        """Stop guarding; return the messages that announce it, as no proposal follows them."""
         self._leaving = True
         return [self._ping(vm, NOT_CONFIRMED) for vm in self._wards.vms]
 
@@ -135,32 +138,32 @@
         return [self._ping(vm, NOT_CONFIRMED) for vm in vms]
 
     def tick(self, now: float) -> tuple[list[Send], list[Removal]]:
-        """Send what is due; return also the removals to propose. Call it ten times a second."""
+        """Return the messages due and the removals to propose; called ten times a second."""
         last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._limits.stall:
-            self._wards.forgive(now)
-            self._suspicions.heard_all(now)
-        sends = self._expired_favours(now)
+            self._wards.reset_silences(now)
+            self._suspicions.reset_ages(now)
+        sends = self._expired_indirect_probes(now)
         removals: list[Removal] = []
         if not self._leaving:
             sends.extend(self._probe(now))
-            removals = self._judge(now)
-        sends.extend(self._ask_earlier(now))
-        sends.extend(self._cross(now))
+            removals = self._evaluate_wards(now)
+        sends.extend(self._probe_awaited(now))
+        sends.extend(self._cross_probe(now))
         return sends, removals
 
     def on_ping(self, ping: Ping, source: Address, now: float) -> Send:
-        """Answer a probe, and take the confirmation that it may bring."""
-        sent = self._sent.setdefault(ping.sender, {})
+        """Return the answer to a probe, and apply the confirmation that the probe may carry."""
+        sent_at = self._answer_sent_at.setdefault(ping.sender, {})
         if ping.resigns:
-            self._ownership.resigned(ping.sender)
-        elif ping.confirms in sent:
-            self._ownership.confirmed(ping.sender, ping.epoch, sent[ping.confirms])
-        # The time is taken before the answer goes out: the lease counts from no later than this.
-        sent[ping.number] = now
-        for old in [number for number in sent if number <= ping.number - _KEPT_ANSWERS]:
-            del sent[old]
-        self._heard_vm(ping.sender, ping.incarnation, now)
+            self._ownership.on_resignation(ping.sender)
+        elif ping.confirms in sent_at:
+            self._ownership.on_confirmation(ping.sender, ping.epoch, sent_at[ping.confirms])
+        # The lease counts from the send time of the answer, so it is taken before sending.
+        sent_at[ping.number] = now
+        for old in [number for number in sent_at if number <= ping.number - _MAX_KEPT_ANSWERS]:
+            del sent_at[old]
+        self._record_alive(ping.sender, ping.incarnation, now)
         view = self._ownership.view
         return Send(
             source,
@@ -169,64 +172,66 @@
                 ping.number,
                 view.epoch if view is not None else 0,
                 self._suspicions.incarnation,
-                math.ceil(self._ownership.settling(now) * 1000),
+                math.ceil(self._ownership.remaining_settle_time(now) * 1000),
                 self._digest(ping.sender),
             ),
         )
 
     def on_ack(self, ack: Ack, now: float) -> list[Send]:
-        """Take the answer to a probe of this VM's own or of one made for another guardian."""
-        self._heard_vm(ack.sender, ack.incarnation, now)
-        self._ownership.settled(ack.sender, ack.epoch, ack.settling_ms / 1000, now)
-        self._wards.heard(ack.sender, ack.epoch, now)
-        self._wards.answered(ack.sender, ack.number)
-        favour = self._favours.pop(ack.number, None)
-        if favour is None or favour.target != ack.sender:
+        """Handle the answer to a direct or an indirect probe of this VM."""
+        self._record_alive(ack.sender, ack.incarnation, now)
+        self._ownership.on_epoch_ack(ack.sender, ack.epoch, ack.settling_ms / 1000, now)
+        self._wards.on_alive(ack.sender, ack.epoch, now)
+        self._wards.on_ack(ack.sender, ack.number)
+        probe = self._indirect_probes.pop(ack.number, None)
+        if probe is None or probe.target != ack.sender:
             return []
         reached = Reached(self._me.id, ack.sender, ack.epoch, ack.incarnation, ack.settling_ms)
-        return [Send(favour.requester, reached)]
+        return [Send(probe.requester, reached)]
 
     def on_request(self, request: PingRequest, source: Address, now: float) -> list[Send]:
-        """Probe a VM for a guardian that does not hear it."""
+        """Start an indirect probe of a VM that left a guardian's probes unanswered."""
         target = self._vms.get(request.target)
         if target is None:
             return []
         send = self._ping(target, NOT_CONFIRMED)
-        self._favours[self._number] = _Favour(source, target.id, now + self._limits.retry)
+        self._indirect_probes[self._number] = _IndirectProbe(
+            source, target.id, now + self._limits.retry
+        )
         return [send]
 
     def on_reached(self, reached: Reached, now: float) -> None:
-        """Take word of a helper that a VM answered it."""
-        self._suspicions.alive(reached.target, reached.incarnation)
-        self._ownership.settled(reached.target, reached.epoch, reached.settling_ms / 1000, now)
-        self._wards.heard(reached.target, reached.epoch, now)
+        """Record that an indirect probe of a VM was answered."""
+        self._suspicions.record_alive(reached.target, reached.incarnation)
+        self._ownership.on_epoch_ack(reached.target, reached.epoch, reached.settling_ms / 1000, now)
+        self._wards.on_alive(reached.target, reached.epoch, now)
 
     def on_missed(self, missed: Missed, now: float) -> None:
-        """Take word of a helper that a VM did not answer it either."""
-        self._wards.missed(missed.target, now)
+        """Record that an indirect probe of a VM also timed out."""
+        self._wards.on_indirect_timeout(missed.target, now)
 
     def _probe(self, now: float) -> list[Send]:
         sends: list[Send] = []
         for probe in self._wards.due(now):
             sends.append(self._ping(probe.vm, probe.confirms))
-            self._wards.sent(probe.vm.id, self._number, now)
-        for ward in self._wards.unheard(now):
+            self._wards.on_sent(probe.vm.id, self._number, now)
+        for ward in self._wards.due_for_helpers(now):
             for helper in self._helpers(ward):
                 request = PingRequest(self._me.id, ward.id, self._number)
                 sends.append(Send((helper.host, helper.peer_port), request))
         return sends
 
-    def _judge(self, now: float) -> list[Removal]:
-        quiet = self._wards.quiet(now, alone=len(self._vms) <= _PAIR)
-        for name, seconds in quiet.items():
+    def _evaluate_wards(self, now: float) -> list[Removal]:
+        unresponsive = self._wards.unresponsive(now, alone=len(self._vms) <= _TWO_VMS)
+        for name, seconds in unresponsive.items():
             self._suspicions.raise_suspicion(name, int(seconds), now)
-        return self._wards.removals(quiet, self._unlisted, now)
+        return self._wards.removals(unresponsive, self._unlisted, now)
 
-    def _heard_vm(self, vm_id: str, incarnation: int, now: float) -> None:
-        self._suspicions.alive(vm_id, incarnation)
+    def _record_alive(self, vm_id: str, incarnation: int, now: float) -> None:
+        self._suspicions.record_alive(vm_id, incarnation)
         vm = self._vms.get(vm_id)
         if vm is not None:
-            self._suspicions.heard_centre(vm.data_centre, now)
+            self._suspicions.record_contact(vm.data_centre, now)
 
     def _ping(self, vm: Vm, confirms: int) -> Send:
         self._number += 1
@@ -242,17 +247,19 @@
         )
         return Send((vm.host, vm.peer_port), ping)
 
-    def _expired_favours(self, now: float) -> list[Send]:
-        late = [number for number, favour in self._favours.items() if favour.until < now]
-        favours = [self._favours.pop(number) for number in late]
-        return [Send(f.requester, Missed(self._me.id, f.target)) for f in favours]
-
-    def _ask_earlier(self, now: float) -> list[Send]:
-        # A VM that joined asks those who were there before whether they know its epoch, and asks
-        # through another VM as well, in case only its own link to one of them is broken.
-        if now < self._ask_earlier_at or not self._ownership.awaited:
+    def _expired_indirect_probes(self, now: float) -> list[Send]:
+        expired = [
+            number for number, probe in self._indirect_probes.items() if probe.deadline < now
+        ]
+        probes = [self._indirect_probes.pop(number) for number in expired]
+        return [Send(probe.requester, Missed(self._me.id, probe.target)) for probe in probes]
+
+    def _probe_awaited(self, now: float) -> list[Send]:
+        # A VM that joined probes the earlier members until they acknowledge its epoch, and sends
+        # indirect probes as well, in case only its own link to one of them is broken.
+        if now < self._probe_awaited_at or not self._ownership.awaited:
             return []
-        self._ask_earlier_at = now + self._limits.retry
+        self._probe_awaited_at = now + self._limits.retry
         sends: list[Send] = []
         for name in sorted(self._ownership.awaited):
             vm = self._vms.get(name)
@@ -265,16 +272,16 @@
                     sends.append(Send((helper.host, helper.peer_port), request))
         return sends
 
-    def _cross(self, now: float) -> list[Send]:
-        # The more members this data centre has, the fewer other ones each of them has to probe.
-        if now < self._cross_at:
+    def _cross_probe(self, now: float) -> list[Send]:
+        # The members share the cross probes: the more there are, the fewer each of them sends.
+        if now < self._cross_probe_at:
             return []
-        self._cross_at = now + self._limits.interval
+        self._cross_probe_at = now + self._limits.interval
         others = [name for name in sorted(self._views) if name != self._me.data_centre]
-        here = self._views.get(self._me.data_centre)
-        members = len(here.members) if here is not None else 0
-        if here is not None and here.member(self._me.id) is None:
-            # Nobody probes a VM before it has joined, so it asks for what it lacks by itself.
+        local_view = self._views.get(self._me.data_centre)
+        members = len(local_view.members) if local_view is not None else 0
+        if local_view is not None and local_view.member(self._me.id) is None:
+            # No guardian probes a VM before it has joined; its own probes bring it the state.
             others.append(self._me.data_centre)
         count = math.ceil(len(others) / max(1, members))
         sends: list[Send] = []
--- a/libs/decisions/berylspindle_decisions/ownership.py
+++ b/libs/decisions/berylspindle_decisions/ownership.py
@@ -1,27 +1,28 @@
 """Decide whether this VM may dispatch to a backend server now.
 
 Terms:
-  owner      the member of the view of its data centre with the highest weight for a server
-  lease      the time on this VM's own monotonic clock until which its rights hold
-  confirm    a guardian's statement that the epoch is the one it knows, in answer to a message of
-             this VM; it renews the lease from the time that message was sent
-  settle     of a removal: the time after which the removed member's rights have surely lapsed
-
-Flow: the control plane feeds views, confirmations and the replies of earlier members; the data
-plane asks `level` before every dispatch, in the step that writes the request.
-
-The pattern: views of who lives differ for a while, and an owner may be paused, cut off, or run on
-though it was replaced. Without this code a server in a cold start gets the cold cap from two VMs at
-once and falls over. Why two VMs never hold one server's right:
-  * A guardian stops confirming before it proposes a removal, and every guardian must confirm, so
-    a removed member's lease ends within LEASE of the change of the view. So does a lease by the
-    store, counted from when a read was sent that still found the old epoch. Whoever adopts a view
-    after an unsettled removal waits SETTLE, which is longer by the drift of two clocks.
-  * A member that joined takes servers from live members. It waits until each member that was there
-    before has said that it knows the new epoch, and for the settle time which that member knows
-    of; one that never says so is removed in the end, and the rule above holds.
-  * Other members gain servers through removals alone, since rendezvous moves nothing else.
-What remains: a pause between the check and the write lets one step's requests through.
+  owner         the member of a data centre's view with the highest rendezvous weight for a server
+  lease         the time on this VM's own monotonic clock until which its rights are valid
+  confirmation  a guardian's statement that it knows the same epoch, in answer to a message of this
+                VM; it renews the lease from the time that message was sent
+  settle time   after a removal, the time until the removed member's rights have certainly expired
+
+Flow: the control plane passes views, confirmations and the replies of earlier members; the data
+plane calls `level` before every dispatch, in the same step that writes the request.
+
+Views of the membership differ for a while, and an owner may be paused, isolated, or still running
+after it was replaced. Without leases, a server in a cold start would get its cold limit from two
+VMs at once and be overloaded. Two VMs never hold the right to one server, because:
+  * A guardian stops confirming before it proposes a removal, and every guardian must confirm, so a
+    removed member's lease ends within `lease` of the change of the view. A lease confirmed by the
+    store does too: it counts from the send time of a read that still found the old epoch. A VM that
+    adopts a view after an unsettled removal waits for `settle`, which exceeds `lease` by the drift
+    of two clocks.
+  * A member that joined takes servers from live members. It waits until each earlier member has
+    acknowledged the new epoch, and for the settle time that this member reports; a member that
+    never acknowledges is removed in the end, and the rule above applies.
+  * Other members gain servers through removals alone, since rendezvous hashing moves no others.
+Limitation: a pause between the check and the write lets the requests of one step through.
 """
 
 from __future__ import annotations
@@ -41,8 +42,8 @@
 class RightLevel(enum.StrEnum):
     """How much a VM may dispatch to a backend server.
 
-    HELD: it is the only one that dispatches. DEGRADED: nobody can confirm that; only warm servers,
-    with at most half their slots. NONE: nothing at all.
+    HELD: it is the only VM that dispatches. DEGRADED: it can't get this confirmed, and uses warm
+    servers only, with at most half their slots. NONE: it must not dispatch.
     """
 
     HELD = "held"
@@ -51,7 +52,7 @@
 
 
 class DispatchRights(ABC):
-    """What the data plane asks before it dispatches."""
+    """The rights that the data plane checks before it dispatches."""
 
     @abstractmethod
     def level(self, server_id: str, now: float) -> RightLevel:
@@ -59,22 +60,23 @@
 
     @abstractmethod
     def usable_from(self, server_id: str) -> float:
-        """Return from when a server that this VM owns may be used; infinity where not known."""
+        """Return the time from which an owned server may be used; infinity if not known."""
 
 
 @attrs.frozen(kw_only=True)
 class LeaseLimits:
-    """The times of the lease, in seconds.
+    """Durations of the lease, in seconds.
 
     Attributes:
-        lease: how long a confirmation holds. Probes go once a second; four in a row are lost in
-            1.7% of cases at a loss of 20%, and the store fills in. Longer, and the servers of a
-            crashed VM stay without owner for longer.
-        settle: how long whoever takes over waits; longer than `lease` by a drift of two clocks of
-            5% and the step of a timer.
-        ask_store: what is left of the lease when the store is asked to confirm instead.
-        degraded: how long a failed read of the store lets a VM go on that is cut off; longer than
-            the time between two reads with their timeout.
+        lease: validity of a confirmation. Probes are sent once a second; at a packet loss of 20%,
+            four in a row are lost in 1.7% of cases, and the store confirms instead. A longer lease
+            leaves the servers of a crashed VM without an owner for longer.
+        settle: waiting time before taking over servers; longer than `lease` by a drift of two
+            clocks of 5% and one timer step.
+        ask_store: remaining lease below which the store is asked to confirm instead.
+        degraded: validity of the degraded right of an isolated VM after a failed read of the store;
+            longer than the time between two reads with their timeout.
+        guardians: number of guardians of each member.
     """
 
     lease: float = 4.0
@@ -101,53 +103,53 @@
         self._settle_at = _NEVER
         self._awaited: set[str] = set()
         self._released = False
-        # Servers owned by this VM in the current epoch; a choice costs one hash a member.
+        # Whether this VM owns a server in the current epoch; computing it costs a hash per member.
         self._owned: dict[str, bool] = {}
         self._usable: dict[str, float] = {}
 
     @property
     def view(self) -> View | None:
-        """Return the view that the rights stand on."""
+        """Return the view that the rights are based on."""
         return self._view
 
     @property
     def is_member(self) -> bool:
-        """Tell whether this VM is a member of that view."""
+        """Return whether this VM is a member of that view."""
         return self._view is not None and self._view.member(self._me.id) is not None
 
     @property
     def lease_until(self) -> float:
-        """Return until when the rights hold."""
+        """Return the time at which the lease ends."""
         required = [until for name, until in self._deadlines.items() if name not in self._resigned]
         return max(self._store_until, min(required, default=_NEVER))
 
     @property
     def awaited(self) -> frozenset[str]:
-        """Return the earlier members that have not yet said that they know this VM joined."""
+        """Return the earlier members that haven't acknowledged the epoch of this VM's join."""
         return frozenset(self._awaited)
 
     def adopt(self, view: View, now: float) -> bool:
-        """Take a view of a higher epoch; return False for any other, which changes nothing."""
+        """Adopt a view with a higher epoch; return False, without a change, for any other."""
         old = self._view
         if old is not None and view.epoch <= old.epoch:
             return False
         joined = view.joined_at(self._me.id)
         stayed = old is not None and joined is not None and joined <= old.epoch
         carried = self.lease_until if stayed else _NEVER
-        self._usable = self._kept(view) if stayed else {}
+        self._usable = self._kept_usable(view) if stayed else {}
         self._view = view
         self._owned = {}
-        self._renew_guardians(view, carried)
-        self._renew_settling(old, view, now)
+        self._reset_deadlines(view, carried)
+        self._reset_settle_time(old, view, now)
         if not stayed:
             self._await_earlier(view, joined, now)
         return True
 
-    def confirmed(self, guardian: str, epoch: int, sent_at: float) -> None:
-        """Renew the lease from the time of the message that a guardian has answered.
+    def on_confirmation(self, guardian: str, epoch: int, sent_at: float) -> None:
+        """Renew the lease from the send time of the message that a guardian has confirmed.
 
-        A confirmation of another epoch counts for nothing: the guardian may not yet know that this
-        VM owns less, or already know that it owns nothing.
+        A confirmation of another epoch is ignored: the guardian's view may be older, from before
+        this VM lost servers, or newer, from after this VM was removed.
         """
         if self._view is None or epoch != self._view.epoch or guardian not in self._deadlines:
             return
@@ -157,65 +159,69 @@
         if self.lease_until > before:
             self._degraded_until = _NEVER
 
-    def resigned(self, guardian: str) -> None:
-        """Need this guardian no longer; it leaves and has promised never to propose a removal."""
+    def on_resignation(self, guardian: str) -> None:
+        """Stop requiring a guardian that leaves; it never proposes a removal after that."""
         self._resigned.add(guardian)
 
     def store_confirmed(self, epoch: int, sent_at: float) -> None:
-        """Renew the lease from the time a read was sent that found this epoch in the store."""
+        """Renew the lease from the send time of a read that found this epoch in the store."""
         if self._view is None or epoch != self._view.epoch or not self.is_member:
             return
         self._store_until = max(self._store_until, sent_at + self._limits.lease)
         self._degraded_until = _NEVER
 
     def store_failed(self, sent_at: float, now: float) -> None:
-        """Note a read that failed; one sent after the lease ended shows that this VM is cut off.
+        """Record a failed read; one sent after the end of the lease shows that this VM is isolated.
 
-        A VM that wakes from a pause has a lapsed lease too, and most likely was replaced while it
-        slept. So the degraded right needs a failure after the lease ended, and ends soon after the
-        last one: a VM paused while it was cut off must ask again when it wakes.
+        A VM that resumes after a pause has an expired lease too, and most likely was replaced
+        during the pause. So the degraded right requires a failure after the end of the lease, and
+        ends soon after the last failure: a VM that was paused while isolated has to read again.
         """
         if sent_at > self.lease_until:
             self._degraded_until = now + self._limits.degraded
 
-    def settled(self, member: str, epoch: int, settling: float, now: float) -> None:
-        """Note that a member knows this epoch, and how long it still waits for removed members."""
+    def on_epoch_ack(
+        self, member: str, epoch: int, remaining_settle_time: float, now: float
+    ) -> None:
+        """Record that a member knows this epoch, and its remaining settle time in seconds."""
         if self._view is None or member not in self._awaited:
             return
         joined = self._view.joined_at(self._me.id)
         if joined is None or epoch < joined:
             return
         self._awaited.discard(member)
-        self._settle_at = max(self._settle_at, now + settling)
+        self._settle_at = max(self._settle_at, now + remaining_settle_time)
 
-    def settling(self, now: float) -> float:
-        """Return for how long this VM still waits for the rights of removed members to lapse."""
+    def remaining_settle_time(self, now: float) -> float:
+        """Return the remaining seconds until the rights of removed members have expired."""
         if self._awaited:
             return self._limits.settle
         return max(0.0, self._settle_at - now)
 
     def wants_store(self, now: float) -> bool:
-        """Tell whether the store must be asked because a guardian has not confirmed lately."""
+        """Return whether to ask the store for a confirmation, since a guardian's is missing."""
         return self.is_member and self.lease_until - now < self._limits.ask_store
 
     def release(self) -> None:
-        """Give up all rights for good; called before this VM leaves its view."""
+        """Release all rights permanently; called before this VM leaves its view."""
         self._released = True
 
     def owns(self, server_id: str) -> bool:
-        """Tell whether this VM is the owner of a server in the current view."""
-        known = self._owned.get(server_id)
-        if known is None:
+        """Return whether this VM is the owner of a server in the current view."""
+        is_owner = self._owned.get(server_id)
+        if is_owner is None:
             view = self._view
-            member = view is not None and self.is_member
-            known = (
-                member and view is not None and owner_of(server_id, view.members).id == self._me.id
+            is_member = view is not None and self.is_member
+            is_owner = (
+                is_member
+                and view is not None
+                and owner_of(server_id, view.members).id == self._me.id
             )
-            self._owned[server_id] = known
-        return known
+            self._owned[server_id] = is_owner
+        return is_owner
 
     def usable_from(self, server_id: str) -> float:
-        """Return from when a server that this VM owns may be used; infinity where not known."""
+        """Return the time from which an owned server may be used; infinity if not known."""
         if self._awaited or not self.owns(server_id):
             return math.inf
         return self._usable.get(server_id, self._settle_at)
@@ -229,13 +235,13 @@
             return RightLevel.NONE
         if now < self.lease_until:
             return RightLevel.HELD
-        # Cut off: go on with what was usable while the lease held, with nothing gained since.
+        # Isolated: continue with the servers that were usable during the lease, without later ones.
         if now < self._degraded_until and usable < self.lease_until:
             return RightLevel.DEGRADED
         return RightLevel.NONE
 
-    def _kept(self, view: View) -> dict[str, float]:
-        # A server that was this VM's and stays so needs no second wait, whoever was removed.
+    def _kept_usable(self, view: View) -> dict[str, float]:
+        # A server that this VM owned before and still owns needs no further wait.
         if self._awaited:
             return {}
         return {
@@ -244,9 +250,9 @@
             if owned and owner_of(server, view.members).id == self._me.id
         }
 
-    def _renew_guardians(self, view: View, carried: float) -> None:
-        # The lease that holds now ends by itself within LEASE, so a new guardian starts with it:
-        # it may propose a removal only after this VM has told it that it knows the epoch.
+    def _reset_deadlines(self, view: View, carried: float) -> None:
+        # A new guardian starts with the current lease, which ends within `lease` by itself: the
+        # guardian may propose a removal only after this VM has acknowledged the epoch.
         guardians = guardians_of(view, self._me.id, self._limits.guardians)
         old = self._deadlines if carried > _NEVER else {}
         members = guardians if self.is_member else ()
@@ -254,11 +260,11 @@
         self._store_until = min(self._store_until, carried)
         self._degraded_until = _NEVER
 
-    def _renew_settling(self, old: View | None, view: View, now: float) -> None:
+    def _reset_settle_time(self, old: View | None, view: View, now: float) -> None:
         members = {vm.id for vm in view.members}
-        # An awaited member that is gone took what it knew of earlier removals with it.
-        unheard = bool(self._awaited - members)
-        if unheard or view.unsettled > (old.epoch if old is not None else 0):
+        # An awaited member that was removed can't report its settle time any more.
+        is_incomplete = bool(self._awaited - members)
+        if is_incomplete or view.unsettled > (old.epoch if old is not None else 0):
             self._settle_at = now + self._limits.settle
         self._awaited &= members
 
@@ -266,8 +272,8 @@
         if joined is None:
             self._awaited = set()
             return
-        earlier = {vm.id for vm in view.members if (view.joined_at(vm.id) or 0) < joined}
-        self._awaited = earlier
-        # Those who were there before say how long to wait; without any, wait for all of it.
-        if earlier:
+        earlier_members = {vm.id for vm in view.members if (view.joined_at(vm.id) or 0) < joined}
+        self._awaited = earlier_members
+        # Earlier members report how long to wait; without any, the full settle time applies.
+        if earlier_members:
             self._settle_at = _NEVER
--- a/libs/decisions/berylspindle_decisions/reach.py
+++ b/libs/decisions/berylspindle_decisions/reach.py
@@ -1,33 +1,35 @@
-"""Track which other data centres this VM reaches, and whether it is cut off from all of them.
+"""Track the reachability of other data centres, and detect isolation from all of them.
 
-Pattern of load: a data centre is cut off from the others for some seconds, and callers still reach
-its VMs. A quarter of the shards have no replica in it. Its VMs send what they can't answer to
-replicas that they can't reach, and callers wait until their deadlines; a balancer that saw the VMs
-unready would have sent them to another data centre.
+In a network partition a data centre can be isolated for some seconds while callers still reach its
+VMs. A quarter of the shards may have no replica in it. VMs that stayed ready would send
+sub-requests to unreachable replicas until the callers' deadlines; once all of them are unready, the
+load balancer sends callers to another data centre.
 
 Terms:
-  heard      a reply or a new connection of a replica or VM of a data centre
-  dark       tried for some time, and not heard since
-  silent     VMs of a data centre were probed, none has answered, and nothing else was heard
-  quiet      an attempt elsewhere is overdue and nothing was heard from anywhere meanwhile
-  cut off    two data centres are dark or silent, or the only other one, and none was heard
-  suspected  another VM of the own data centre has said that it is cut off
-
-Flow: `tried`, `probed` and `heard` follow every attempt; `is_dark` and `is_cut_off` are asked
-before each choice and by the readiness of this VM. A VM that `is_quiet` probes the other data
-centres; probes are answered in milliseconds whatever replicas do, so that their silence is believed
-after `CUT_AFTER` in place of `DARK_AFTER`. A suspected VM counts as cut off until it hears another
-data centre; it probes them while `should_probe`, so that its own evidence decides.
-
-Guards: the VMs of a cut off data centre follow each other's mirrors, some of which have seen no cut
-yet. Where their word ended a suspicion, VMs were ready and unready by turns each second, and the
-balancer, which needs all of them unready, never sent callers elsewhere. A VM that has heard nothing
-since its start does not trust probes: after a loss of power its peers have not started either.
-
-Thresholds: `DARK_AFTER` is over twice a replica's pause; a data centre in which all replicas are
-ten times as slow still answers within it. `TRIES` of 3 keeps a single lost packet, or one crashed
-replica, from darkening a data centre. A wrong alarm ends with the next answer from outside, and a
-balancer that asks every second and counts two misses does not see one that short.
+  contact      a reply or a new connection of a replica or VM of a data centre
+  unreachable  attempts have gone unanswered for some time, without a contact since
+  unanswered   VMs of a data centre were probed, without an answer or another contact since
+  overdue      an attempt at another data centre is late, without a contact from any since
+  isolated     two other data centres, or the only one, are unreachable or unanswered, without a
+               contact from any
+
+Flow: `tried`, `probed` and `heard` record each attempt, probe and contact; `is_dark` and
+`is_cut_off` are read before each choice of replica and by the readiness check. While a response is
+overdue (`is_quiet`), the VM probes the other data centres. VMs answer probes within milliseconds
+whatever the load of their replicas, so unanswered probes count after `ISOLATED_AFTER_S` in place of
+`UNREACHABLE_AFTER_S`. If a VM of the same data centre reports isolation (`suspect`), this VM counts
+as isolated until its next contact, and probes the other data centres while `should_probe`.
+
+Guards: only this VM's own contacts end the effect of a report. VMs of an isolated data centre read
+each other's mirrors, some of which haven't detected the isolation yet; if their state ended a
+report, VMs would alternate between ready and unready each second, and the load balancer, which
+needs all of them unready, would never divert callers. A VM without any contact since its start
+ignores unanswered probes: after a power failure its peers have not started either.
+
+Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause; a data centre whose
+replicas are all ten times as slow still answers within it. `TRIES` of 3 tolerates a single lost
+packet or one crashed replica. A false detection ends with the next contact, too soon for a load
+balancer that checks every second and acts on two failed checks.
 """
 
 from __future__ import annotations
@@ -37,114 +39,118 @@
 
 import attrs
 
-DARK_AFTER: Final = 0.4
+UNREACHABLE_AFTER_S: Final = 0.4
 TRIES: Final = 3
 
-QUIET_AFTER: Final = 0.08
-"""Seconds without a word from outside after which an attempt is overdue; most take half of it."""
+OVERDUE_AFTER_S: Final = 0.08
+"""Seconds without a contact after which an attempt is overdue; most attempts take half of it."""
 
-SILENT_AFTER: Final = 0.1
-CUT_AFTER: Final = 0.18
-"""Seconds after which probes are overdue, and seconds without a word for which their silence has to
-last."""
+PROBE_TIMEOUT_S: Final = 0.1
+ISOLATED_AFTER_S: Final = 0.18
+"""Seconds after which a probe counts as unanswered, and seconds without a contact after which
+unanswered probes show isolation."""
 
 
 @attrs.define
-class _Reached:
-    heard_at: float = -math.inf
-    tried_since: float = math.inf
-    tries: int = 0
-    probed_since: float = math.inf
+class _DataCentre:
+    last_contact_at: float = -math.inf
+    first_attempt_at: float = math.inf
+    attempts: int = 0
+    first_probe_at: float = math.inf
 
 
 class Reach:
-    """What one VM knows of its ways to other data centres; times are seconds of its clock."""
+    """Reachability of other data centres from one VM; times are in seconds of its clock."""
 
     def __init__(self, own: str) -> None:
         self._own: Final = own
-        self._others: dict[str, _Reached] = {}
-        self._heard_at = -math.inf
-        self._suspected_since = -math.inf
-        self._suspected_until = -math.inf
+        self._remotes: dict[str, _DataCentre] = {}
+        self._last_contact_at = -math.inf
+        self._reported_since = -math.inf
+        self._reported_until = -math.inf
 
     def tried(self, now: float, data_centre: str) -> None:
-        """Note an attempt at something in a data centre."""
+        """Record an attempt at a replica or VM of a data centre."""
         if data_centre == self._own:
             return
-        reached = self._others.setdefault(data_centre, _Reached())
-        if not reached.tries:
-            reached.tried_since = now
-        reached.tries += 1
+        remote = self._remotes.setdefault(data_centre, _DataCentre())
+        if not remote.attempts:
+            remote.first_attempt_at = now
+        remote.attempts += 1
 
     def probed(self, now: float, data_centre: str) -> None:
-        """Note a probe of VMs of a data centre."""
+        """Record a probe of VMs of a data centre."""
         self.tried(now, data_centre)
-        reached = self._others[data_centre]
-        reached.probed_since = min(reached.probed_since, now)
+        remote = self._remotes[data_centre]
+        remote.first_probe_at = min(remote.first_probe_at, now)
 
     def heard(self, now: float, data_centre: str) -> None:
-        """Note a sign of life from a data centre."""
+        """Record a contact: a reply or a new connection from a data centre."""
         if data_centre == self._own:
             return
-        reached = self._others.setdefault(data_centre, _Reached())
-        reached.heard_at = self._heard_at = now
-        reached.tries = 0
-        reached.tried_since = reached.probed_since = math.inf
+        remote = self._remotes.setdefault(data_centre, _DataCentre())
+        remote.last_contact_at = self._last_contact_at = now
+        remote.attempts = 0
+        remote.first_attempt_at = remote.first_probe_at = math.inf
 
     @property
     def is_waiting(self) -> bool:
-        """Return whether an attempt elsewhere has not been followed by a word from there."""
-        return any(one.tries for one in self._others.values())
+        """Return whether an attempt at another data centre is unanswered."""
+        return any(one.attempts for one in self._remotes.values())
 
     def is_quiet(self, now: float) -> bool:
-        """Return whether an attempt elsewhere is overdue and nothing was heard since it began."""
-        since = min((one.tried_since for one in self._others.values()), default=math.inf)
-        return math.isfinite(self._heard_at) and now - max(since, self._heard_at) >= QUIET_AFTER
+        """Return whether an attempt is unanswered for `OVERDUE_AFTER_S` without any contact."""
+        since = min((one.first_attempt_at for one in self._remotes.values()), default=math.inf)
+        return (
+            math.isfinite(self._last_contact_at)
+            and now - max(since, self._last_contact_at) >= OVERDUE_AFTER_S
+        )
 
     def is_dark(self, now: float, data_centre: str) -> bool:
-        """Tell whether a data centre has been tried for some time and not heard since."""
-        reached = self._others.get(data_centre)
-        if reached is None:
+        """Return whether a data centre has left attempts unanswered for `UNREACHABLE_AFTER_S`."""
+        remote = self._remotes.get(data_centre)
+        if remote is None:
             return False
-        return reached.tries >= TRIES and now - reached.tried_since >= DARK_AFTER
+        return remote.attempts >= TRIES and now - remote.first_attempt_at >= UNREACHABLE_AFTER_S
 
     def heard_since(self, data_centre: str, at: float) -> bool:
-        """Return whether a data centre gave a sign of life since; the own one always has."""
+        """Return whether there was a contact since the time `at`; always True for the own one."""
         if data_centre == self._own:
             return True
-        reached = self._others.get(data_centre)
-        return reached is not None and reached.heard_at >= at
+        remote = self._remotes.get(data_centre)
+        return remote is not None and remote.last_contact_at >= at
 
     def suspect(self, now: float, *, until: float) -> None:
-        """Note that another VM of the own data centre has said that it is cut off."""
-        if now >= self._suspected_until:
-            self._suspected_since = now
-        self._suspected_until = max(self._suspected_until, until)
+        """Record that another VM of the own data centre reports isolation, valid until `until`."""
+        if now >= self._reported_until:
+            self._reported_since = now
+        self._reported_until = max(self._reported_until, until)
 
     def end_suspicion(self) -> None:
-        """Note that whoever raised the suspicion reaches other data centres again."""
-        self._suspected_until = -math.inf
+        """Clear the report: the VM that sent it reaches other data centres again."""
+        self._reported_until = -math.inf
 
     def should_probe(self, now: float) -> bool:
         """Return whether to probe other data centres."""
-        return now < self._suspected_until or self._sees_cut(now)
+        return now < self._reported_until or self._has_own_evidence(now)
 
     def is_cut_off(self, now: float) -> bool:
-        """Return whether no other data centre is reached, by own evidence or by suspicion."""
-        suspected = self._heard_at < self._suspected_since and now < self._suspected_until
-        return suspected or self._sees_cut(now)
-
-    def _sees_cut(self, now: float) -> bool:
-        # One that is dark may be the one that is cut off, while the others are seldom tried.
-        enough = min(2, max(1, len(self._others)))
-        unheard = now - self._heard_at
-        dark = (self.is_dark(now, name) for name in self._others)
-        if unheard >= DARK_AFTER and sum(dark) >= enough:
+        """Return whether this VM is isolated, by its own evidence or by another VM's report."""
+        reported = self._last_contact_at < self._reported_since and now < self._reported_until
+        return reported or self._has_own_evidence(now)
+
+    def _has_own_evidence(self, now: float) -> bool:
+        # A single unreachable data centre may itself be the isolated one, while attempts at the
+        # others are rare.
+        required = min(2, max(1, len(self._remotes)))
+        since_contact = now - self._last_contact_at
+        unreachable = (self.is_dark(now, name) for name in self._remotes)
+        if since_contact >= UNREACHABLE_AFTER_S and sum(unreachable) >= required:
             return True
-        silent = (now - one.probed_since >= SILENT_AFTER for one in self._others.values())
-        return CUT_AFTER <= unheard < math.inf and sum(silent) >= enough
+        unanswered = (now - one.first_probe_at >= PROBE_TIMEOUT_S for one in self._remotes.values())
+        return ISOLATED_AFTER_S <= since_contact < math.inf and sum(unanswered) >= required
 
     @property
     def others(self) -> tuple[str, ...]:
-        """Return the other data centres that were ever tried or heard."""
-        return tuple(self._others)
+        """Return the other data centres with any attempt or contact so far."""
+        return tuple(self._remotes)
--- a/tests/decisions/test_load_reach.py
+++ b/tests/decisions/test_load_reach.py
@@ -1,12 +1,12 @@
-"""Whether a VM is cut off from other data centres, told from its own attempts."""
+"""Detection of isolation from other data centres by a VM's own attempts, probes and reports."""
 
 from __future__ import annotations
 
-from berylspindle_decisions.reach import DARK_AFTER, TRIES, Reach
+from berylspindle_decisions.reach import TRIES, UNREACHABLE_AFTER_S, Reach
 
 
-def trying(reach: Reach, start: float, end: float, *names: str) -> None:
-    """Try each data centre ten times a second."""
+def record_attempts(reach: Reach, start: float, end: float, *names: str) -> None:
+    """Record ten attempts a second at each data centre."""
     now = start
     while now < end:
         for name in names:
@@ -14,22 +14,22 @@
         now += 0.1
 
 
-def test_a_vm_whose_attempts_elsewhere_all_go_unheard_is_cut_off() -> None:
-    """A data centre is cut off; its VMs go on sending to replicas that they can't reach."""
+def test_a_vm_whose_attempts_at_other_data_centres_all_fail_is_isolated() -> None:
+    """Guards against VMs of an isolated data centre that keep sending to unreachable replicas."""
     reach = Reach("a")
     for name in "bcd":
         reach.heard(0.0, name)
-    trying(reach, 0.0, 0.35, "b", "c")
+    record_attempts(reach, 0.0, 0.35, "b", "c")
     assert not reach.is_cut_off(0.35)
-    trying(reach, 0.4, 0.6, "b", "c")
+    record_attempts(reach, 0.4, 0.6, "b", "c")
     assert reach.is_cut_off(0.5)
-    # One answer from anywhere else ends it, also from where nothing was tried.
+    # One contact with any other data centre ends it, even without an attempt there.
     reach.heard(0.55, "d")
     assert not reach.is_cut_off(0.6)
     assert reach.is_dark(0.6, "b")
 
 
-def test_one_data_centre_that_is_gone_is_dark_and_the_vm_is_not_cut_off() -> None:
+def test_one_unreachable_data_centre_does_not_isolate_the_vm() -> None:
     reach = Reach("a")
     for tenth in range(20):
         now = tenth / 10
@@ -41,10 +41,10 @@
     assert not reach.is_dark(1.9, "c")
 
 
-def test_a_vm_with_little_to_do_elsewhere_is_not_cut_off_by_the_cut_of_another() -> None:
-    """A VM turns its callers away since one data centre is cut off and it asks no other just then.
+def test_rare_attempts_at_reachable_data_centres_do_not_count_as_isolation() -> None:
+    """Guards against a VM that refuses callers because one other data centre is isolated.
 
-    It has just started, prefers its own data centre, and hears from one other now and then.
+    The VM has just started, prefers its own data centre, and has rare contacts with the others.
     """
     reach = Reach("a")
     for name in "bd":
@@ -58,15 +58,15 @@
         assert not reach.is_cut_off(now)
 
 
-def test_a_vm_that_knows_one_other_data_centre_is_cut_off_with_that() -> None:
+def test_the_only_other_data_centre_being_unreachable_means_isolation() -> None:
     reach = Reach("a")
     reach.heard(0.0, "b")
-    trying(reach, 0.0, 1.0, "b")
+    record_attempts(reach, 0.0, 1.0, "b")
     assert reach.is_cut_off(1.0)
 
 
-def test_a_slow_or_seldom_tried_data_centre_is_not_dark() -> None:
-    """Replicas ten times as slow, or one lost packet, make a VM turn all its callers away."""
+def test_a_slow_or_rarely_used_data_centre_is_not_unreachable() -> None:
+    """Guards against a VM that refuses all callers for slow replicas or one lost packet."""
     reach = Reach("a")
     for tenth in range(40):
         now = tenth / 10
@@ -76,18 +76,18 @@
     seldom = Reach("a")
     for number in range(TRIES - 1):
         seldom.tried(float(number), "b")
-    assert not seldom.is_cut_off(float(TRIES) + DARK_AFTER)
+    assert not seldom.is_cut_off(float(TRIES) + UNREACHABLE_AFTER_S)
 
 
-def test_nothing_of_the_own_data_centre_counts() -> None:
+def test_attempts_within_the_own_data_centre_do_not_count() -> None:
     reach = Reach("a")
-    trying(reach, 0.0, 5.0, "a")
+    record_attempts(reach, 0.0, 5.0, "a")
     assert not reach.is_cut_off(5.0)
     assert reach.others == ()
 
 
-def test_a_suspicion_holds_until_another_data_centre_is_heard() -> None:
-    """Guards against VMs of a cut off data centre that are ready and unready by turns."""
+def test_an_isolation_report_holds_until_the_next_contact() -> None:
+    """Guards against VMs of an isolated data centre that alternate between ready and unready."""
     reach = Reach("a")
     reach.heard(0.0, "b")
     reach.suspect(1.0, until=3.5)
@@ -100,8 +100,8 @@
     assert not reach.is_cut_off(4.6)
 
 
-def test_a_vm_that_hears_others_is_not_cut_off_by_the_word_of_one_that_does_not() -> None:
-    """Guards against one VM with a broken link that takes its whole data centre out."""
+def test_a_vm_with_contacts_ignores_an_isolation_report() -> None:
+    """Guards against one VM with a broken link that makes its whole data centre unready."""
     reach = Reach("a")
     reach.suspect(1.0, until=3.5)
     reach.heard(1.2, "b")
@@ -109,13 +109,13 @@
         reach.suspect(tenth / 10, until=tenth / 10 + 2.5)
         assert not reach.is_cut_off(tenth / 10)
         assert reach.should_probe(tenth / 10)
-    # The probes' own evidence still finds a cut that comes later.
-    trying(reach, 6.0, 6.6, "b", "c")
+    # The VM's own attempts still detect a later isolation.
+    record_attempts(reach, 6.0, 6.6, "b", "c")
     assert reach.is_cut_off(6.6)
 
 
-def probed_reach(now: float, *names: str) -> Reach:
-    """Return a reach that has heard each data centre and then probed them once."""
+def reach_with_probes(now: float, *names: str) -> Reach:
+    """Return a `Reach` with one contact and then one probe of each data centre."""
     reach = Reach("a")
     for name in names:
         reach.heard(now, name)
@@ -124,9 +124,9 @@
     return reach
 
 
-def test_silent_probes_show_a_cut_before_attempts_do() -> None:
-    """Guards against callers of a cut off data centre who are refused for a second more."""
-    reach = probed_reach(1.0, "b", "c", "d")
+def test_unanswered_probes_show_isolation_before_attempts_do() -> None:
+    """Guards against detecting an isolation so late that callers are refused a second longer."""
+    reach = reach_with_probes(1.0, "b", "c", "d")
     assert not reach.is_cut_off(1.15)
     assert reach.is_cut_off(1.21)
     assert not reach.is_dark(1.21, "b")
@@ -134,15 +134,15 @@
     assert not reach.is_cut_off(1.25)
 
 
-def test_one_silent_data_centre_of_several_is_no_cut() -> None:
-    reach = probed_reach(1.0, "b", "c", "d")
+def test_one_data_centre_with_unanswered_probes_is_no_isolation() -> None:
+    reach = reach_with_probes(1.0, "b", "c", "d")
     reach.heard(1.11, "c")
     reach.heard(1.12, "d")
     assert not reach.is_cut_off(1.5)
 
 
-def test_a_vm_that_has_heard_nothing_since_its_start_does_not_trust_probes() -> None:
-    """Guards against VMs that refuse all callers after a loss of power: no peer listens yet."""
+def test_unanswered_probes_are_ignored_before_the_first_contact() -> None:
+    """Guards against VMs that refuse all callers after a power failure: no peer listens yet."""
     reach = Reach("a")
     for name in "bc":
         reach.probed(0.0, name)
@@ -150,7 +150,7 @@
     assert not reach.is_cut_off(0.3)
 
 
-def test_an_attempt_elsewhere_is_overdue_only_while_nothing_is_heard() -> None:
+def test_an_attempt_is_overdue_only_without_a_contact() -> None:
     reach = Reach("a")
     reach.heard(0.0, "b")
     assert not reach.is_quiet(5.0)
