--- a/libs/decisions/berylspindle_decisions/drain.py
+++ b/libs/decisions/berylspindle_decisions/drain.py
@@ -1,21 +1,20 @@
-"""Measure how fast work drains, so that a refusal can say truthfully when to come back.
+"""Estimate the drain rate of a queue or server, for the Retry-After of refusals.
 
-Pattern of load: saturation. Without a measure, a refusal names a fixed time: too short and callers
-come back into the same full queue, too long and the backend servers stand idle.
+With a fixed Retry-After, callers of a saturated service return to the same full queue if it is too
+short, and backend servers are idle if it is too long.
 
 Terms:
-  drain rate   pieces of work finished a second, measured over the last ones
+  drain rate   work finished per second, over the latest completions
+  reservation  the time at which a refused request should be retried; each refusal gets its own
 
-  promise      the time at which a refused request was told to come back
+Flow: `DrainRate.on_done` records finished work; `wait_ms` converts the work ahead into a time, and
+`promise_ms` reserves a retry time for each refused request.
 
-Flow: each finished piece is told to `DrainRate.on_done`; `wait_ms` turns the work ahead into a
-time, `promise_ms` gives each refused request a time of its own.
-
-Thresholds: the last 32 pieces, since a queue here holds some dozens and an older rate says nothing
-about a server that has just turned slow. The time since the last finish counts too: a server that
-stands still has a rate that falls, not the one that it had. Promises run 5 s ahead at most, since
-not all come back. In the trials clients told the time of the next free place sent 37 times until
-they were let in; with a time of their own twice, at the same work served and the same wait.
+Thresholds: the rate covers the last 32 completions, as queues hold some dozens of requests and an
+older rate doesn't apply to a server that has just become slow. The time since the last completion
+counts too, so that the rate of a stalled server falls. Reservations reach 5 s ahead at most, since
+some callers don't retry. If all refusals name the time of the next free place, a caller sends 37
+times until it is admitted; with reservations it sends twice, at the same throughput and wait.
 """
 
 from __future__ import annotations
@@ -26,30 +25,30 @@
 WINDOW: Final = 32
 MAX_WAIT_MS: Final = 10_000
 MIN_WAIT_MS: Final = 1
-MAX_PROMISE_MS: Final = 5_000
+MAX_RESERVATION_MS: Final = 5_000
 
 
 class DrainRate:
-    """The measured drain rate of one queue or one server."""
+    """The drain rate of one queue or one server."""
 
     def __init__(self, window: int = WINDOW) -> None:
-        # Each entry is a time and the work finished at it.
+        # Time of a completion, and the work it finished.
         self._done: deque[tuple[float, float]] = deque(maxlen=window)
-        self._promised = float("-inf")
+        self._reserved_until = float("-inf")
 
     def on_done(self, now: float, work: float = 1.0) -> None:
-        """Count work that finished at `now`."""
+        """Record work that finished at `now`."""
         self._done.append((now, work))
 
     def rate(self, now: float) -> float | None:
-        """Return the work finished a second, or None where too little is known."""
+        """Return the work finished per second, or None with fewer than two completions."""
         if len(self._done) < 2:
             return None
         first = self._done[0][0]
-        # The first finish only opens the span: its work was done before.
+        # The first completion only starts the interval; its work was done before.
         work = sum(part for _, part in self._done) - self._done[0][1]
-        # With a finish every `gap` seconds the next is due one gap after the last; waiting for it
-        # is no sign of slowness before that.
+        # With a completion every `gap` seconds, the next one is due one gap after the last; only
+        # idle time beyond that lowers the rate.
         span = self._done[-1][0] - first
         idle = now - self._done[-1][0]
         gap = span / (len(self._done) - 1)
@@ -57,23 +56,23 @@
         return work / span if span > 0 else None
 
     def promise_ms(self, now: float, *, ahead: float = 1.0, work: float = 1.0) -> int | None:
-        """Return when there is room for refused work, after all that was told a time before it.
+        """Reserve a retry time for refused work; return the milliseconds until then.
 
-        `ahead` is the work that must be done until there is room for `work`. Told the same time,
-        all that were refused together would come back together, for the one place that is free by
-        then. Each promise therefore takes its part of the drain for itself. None if not known.
+        `ahead` is the work that must finish until there is room for `work`. Each reservation
+        follows the earlier ones: with a common time, all callers refused together would retry
+        together for a single free place. Return None if the drain rate is not known.
         """
         rate = self.rate(now)
         if rate is None:
             return None
         earliest = now + max(0.0, ahead - work) / rate
-        # Not all come back; the longest time bounds how far the promises can run ahead.
-        longest = now + MAX_PROMISE_MS / 1000
-        self._promised = min(max(self._promised, earliest) + work / rate, longest)
-        return max(MIN_WAIT_MS, round((self._promised - now) * 1000))
+        # Some callers don't retry, so reservations must not accumulate without a limit.
+        latest = now + MAX_RESERVATION_MS / 1000
+        self._reserved_until = min(max(self._reserved_until, earliest) + work / rate, latest)
+        return max(MIN_WAIT_MS, round((self._reserved_until - now) * 1000))
 
     def wait_ms(self, now: float, ahead: float) -> int | None:
-        """Return the milliseconds until `ahead` pieces of work are done, or None if not known."""
+        """Return the milliseconds until `ahead` units of work are done, or None if not known."""
         rate = self.rate(now)
         if rate is None:
             return None
--- a/libs/decisions/berylspindle_decisions/follower_count.py
+++ b/libs/decisions/berylspindle_decisions/follower_count.py
@@ -1,18 +1,18 @@
-"""How many VMs follow this one without an entry of their own in the store.
+"""Count the VMs that follow this one without an entry of their own in the store.
 
-Pattern of load: 940 VMs that each keep a lease and an entry make most of the calls to the store,
-and all of them at once when their power returns. The few that others follow can speak for them.
+If 940 VMs each kept a lease and an entry, these would cause most of the calls to the store, all at
+once after a power failure. Instead the few VMs with followers announce the number of followers.
 
 Terms:
   follower  a VM that reads this one's mirror and has no entry of its own
 
-Flow: `seen` is told of each read; `count` is what this VM's entry says. `is_due` says when that has
-to be written anew.
+Flow: `seen` records each read; `count` is the number for this VM's entry, and `is_due` returns
+whether the entry has to be written again.
 
-Thresholds: a follower reads once a second, so that one is gone after `FOLLOWER_S`. What all VMs
-share is divided by the count, so that it rises at once and falls only after `FALL_S`: a follower
-that is restarted, or reads another mirror for a moment, is still there. `restore` takes the count
-of the process before this one.
+Thresholds: a follower reads once a second, and expires after `FOLLOWER_TIMEOUT_S`. Cluster-wide
+limits are divided by the count, so it rises at once but falls only after `DECREASE_DELAY_S`: a
+follower that restarts, or reads another mirror for a moment, still sends traffic. `restore` sets
+the count of the previous process of this VM.
 """
 
 from __future__ import annotations
@@ -20,46 +20,52 @@
 import math
 from typing import Final
 
-FOLLOWER_S: Final = 4.0
-FALL_S: Final = 20.0
-RISE_SHARE: Final = 0.1
-"""Part by which a count has to have changed before the entry is written again."""
+FOLLOWER_TIMEOUT_S: Final = 4.0
+DECREASE_DELAY_S: Final = 20.0
+MIN_RELATIVE_CHANGE: Final = 0.1
+"""Relative change of the count from which the entry is written again."""
 
 
 class FollowerCount:
     """The followers of one VM; times are in seconds of the caller's clock."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, tuple[float, float]] = {}
+        self._followers: dict[str, tuple[float, float]] = {}
         self._floor = 0
-        self._floor_bears = math.inf
+        self._floor_capacity = math.inf
         self._floor_until = -math.inf
 
     def seen(self, now: float, follower: str, *, bears: float) -> None:
-        """Note that a follower has read this VM's mirror."""
-        self._seen[follower] = (now, bears)
+        """Record that a follower with capacity `bears` has read this VM's mirror."""
+        self._followers[follower] = (now, bears)
 
     def restore(self, now: float, count: int, *, bears: float) -> None:
-        """Take what the last process of this VM had counted."""
-        self._raise_floor(now, count, bears)
+        """Restore the count, and the lowest capacity, of the previous process of this VM."""
+        self._set_floor(now, count, bears)
 
     def count(self, now: float) -> int:
-        """Return how many followers there are, or were within `FALL_S`."""
-        gone = [name for name, (at, _) in self._seen.items() if at < now - FOLLOWER_S]
-        for name in gone:
-            del self._seen[name]
-        if now >= self._floor_until or len(self._seen) >= self._floor:
-            least = min((bears for _, bears in self._seen.values()), default=math.inf)
-            self._raise_floor(now, len(self._seen), least)
+        """Return the number of followers, or the highest one within `DECREASE_DELAY_S`."""
+        expired = [
+            name for name, (at, _) in self._followers.items() if at < now - FOLLOWER_TIMEOUT_S
+        ]
+        for name in expired:
+            del self._followers[name]
+        if now >= self._floor_until or len(self._followers) >= self._floor:
+            lowest = min((capacity for _, capacity in self._followers.values()), default=math.inf)
+            self._set_floor(now, len(self._followers), lowest)
         return self._floor
 
     def least_bears(self) -> float:
-        """Return the least that a follower bears; 0 where there is none."""
-        return 0.0 if math.isinf(self._floor_bears) else self._floor_bears
+        """Return the lowest capacity of a follower in cores; 0 without followers."""
+        return 0.0 if math.isinf(self._floor_capacity) else self._floor_capacity
 
     def is_due(self, now: float, written: int) -> bool:
-        """Return whether an entry that says `written` is to be written anew."""
-        return abs(self.count(now) - written) > RISE_SHARE * written
-
-    def _raise_floor(self, now: float, count: int, bears: float) -> None:
-        self._floor, self._floor_bears, self._floor_until = count, bears, now + FALL_S
+        """Return whether an entry with the count `written` has to be written again."""
+        return abs(self.count(now) - written) > MIN_RELATIVE_CHANGE * written
+
+    def _set_floor(self, now: float, count: int, capacity: float) -> None:
+        self._floor, self._floor_capacity, self._floor_until = (
+            count,
+            capacity,
+            now + DECREASE_DELAY_S,
+        )
--- a/libs/decisions/berylspindle_decisions/loss_reports.py
+++ b/libs/decisions/berylspindle_decisions/loss_reports.py
@@ -1,19 +1,19 @@
-"""Which replicas have lost answers lately, as all VMs together have seen it.
+"""Share among VMs which replicas have lost responses recently.
 
-Pattern of load: a replica runs requests and loses their answers for some seconds. A request that
-may not be repeated is lost with its answer. Where each of 195 VMs sends a replica one such request
-in twenty seconds, each has to lose one of its own to learn of it.
+A replica may execute requests and lose their responses for some seconds. A request that must not be
+repeated fails with its response. If each of 195 VMs sends a replica one such request in twenty
+seconds, each VM would have to lose one of its own to detect the failure.
 
 Terms:
-  loss    an attempt whose connection ended, or whose reply broke, after it had been sent
-  report  replicas with the age of their last loss, as VMs tell each other
+  loss    an attempt whose connection closed, or whose response was malformed, after it was sent
+  report  replicas with the ages of their last losses, exchanged between VMs
 
-Flow: `lost` is told of this VM's own losses, `merge` of others' reports; `report` is what it tells
-them. `is_lossy` is asked when a replica is chosen for what may not be repeated.
+Flow: `lost` records this VM's own losses and `merge` the reports of others; `report` returns this
+VM's report. `is_lossy` is read when a replica is chosen for a request that must not be repeated.
 
-Thresholds: a loss counts for `LOSS_S`, as long as such troubles mostly last; a sound replica that
-lost one answer has its part of the work again after that. A report names `MOST` replicas at most,
-the latest ones, and ages rather than times, since clocks differ.
+Thresholds: a loss counts for `LOSS_TTL_S`, the usual duration of such failures; a healthy replica
+that lost a single response gets its share of requests again after that. A report holds the latest
+`MAX_REPORTED` replicas at most, with ages rather than times, since clocks differ.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
 from collections.abc import Mapping
 from typing import Final
 
-LOSS_S: Final = 5.0
-MOST: Final = 32
+LOSS_TTL_S: Final = 5.0
+MAX_REPORTED: Final = 32
 
 
 class LossReports:
-    """The last losses that one VM knows; times are in seconds of its clock."""
+    """The latest losses known to one VM; times are in seconds of its clock."""
 
     def __init__(self) -> None:
         self._lost_at: dict[str, float] = {}
 
     def lost(self, now: float, replica: str) -> None:
-        """Note an answer that this VM has lost."""
+        """Record a loss by this VM."""
         self._lost_at[replica] = now
 
     def merge(self, now: float, report: Mapping[str, int]) -> None:
-        """Take another VM's report: replicas with the ages of their losses in milliseconds."""
+        """Merge another VM's report: replicas with the ages of their losses in milliseconds."""
         for replica, age_ms in report.items():
             lost_at = now - max(0, age_ms) / 1000
-            if lost_at > self._lost_at.get(replica, now - LOSS_S):
+            if lost_at > self._lost_at.get(replica, now - LOSS_TTL_S):
                 self._lost_at[replica] = lost_at
 
     def report(self, now: float) -> dict[str, int]:
         """Return the latest losses with their ages in milliseconds."""
-        self._lost_at = {name: at for name, at in self._lost_at.items() if at > now - LOSS_S}
+        self._lost_at = {name: at for name, at in self._lost_at.items() if at > now - LOSS_TTL_S}
         latest = sorted(self._lost_at.items(), key=lambda item: item[1], reverse=True)
-        return {name: int((now - at) * 1000) for name, at in latest[:MOST]}
+        return {name: int((now - at) * 1000) for name, at in latest[:MAX_REPORTED]}
 
     def is_lossy(self, now: float, replica: str) -> bool:
-        """Return whether a replica has lost an answer within `LOSS_S`."""
+        """Return whether a replica has had a loss within `LOSS_TTL_S`."""
         lost_at = self._lost_at.get(replica)
-        return lost_at is not None and now - lost_at < LOSS_S
+        return lost_at is not None and now - lost_at < LOSS_TTL_S
--- a/libs/decisions/berylspindle_decisions/plans.py
+++ b/libs/decisions/berylspindle_decisions/plans.py
@@ -1,18 +1,18 @@
-"""Work out what an intent changes, and apply a plan to a configuration.
+"""Compute the plan of an intent, and apply a plan to a configuration.
 
 Terms:
-  usable       a backend server that operators want active in a data centre that is in
-  warming      a usable server that starts cold: it counts with its cold slots until it is warm
-  broken       a promise that a plan breaks: a shard without replica, or less capacity left than is
-               taken away or in use
-
-Flow: `make_plan` is pure, so the VM that confirms works the plan out again from the configuration
-that the store holds and accepts only the same one. A plan made on an older revision is refused even
-if it came out the same on the newer one: the operator decided on what the plan showed, and with two
-operators at work the second must see what the first one did. Planning again costs seconds.
-
-The pattern: two operators each take one of two data centres out, at the same time, each with a plan
-that is safe by itself. Without the check of the base both are accepted and nothing is left.
+  usable     an active backend server in a data centre that is in
+  warming    a usable server that starts cold: it counts with its cold slots until it is warm
+  violation  a shard without a replica, or a capacity lower than what is taken away or in use
+
+Flow: `make_plan` is pure, so the VM that confirms a plan computes it again from the configuration
+in the store and accepts only an equal one. A plan that is based on an older revision is refused
+even if it is equal on the newer one: the operator decided on what the plan showed, and with two
+operators the second must see the change by the first. Planning again takes seconds.
+
+The check of the base revision guards against two operators who each take out one of two data
+centres at the same time, each with a plan that is safe by itself: both would be accepted, and no
+capacity would be left.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 from berylspindle_model.faults import faults_of
 from berylspindle_model.intents import Intent, IntentKind, Plan, PlanStep, ServiceLoad
 
-# The records settle lost replies and show who did what; 4,100 changes a day fill it in 90 minutes.
-KEPT_INTENTS: Final = 256
+# Records resolve lost replies and show who changed what; at 4,100 changes a day, 256 records cover
+# 90 minutes.
+MAX_INTENT_RECORDS: Final = 256
 
 
 def make_plan(
@@ -46,19 +47,19 @@
 ) -> Plan:
     """Return the plan of an intent on this configuration.
 
-    `busy` are the slots in use by service, where known; they count for safety but not for the id.
-    Raises RefusalError: BAD_REQUEST where the intent names what isn't there, and
-    INVALID_CONFIGURATION with every fault of what would come out.
+    `busy` are the known slots in use by service; they count for safety but not for the id. Raises
+    RefusalError: BAD_REQUEST if the intent refers to something that doesn't exist, and
+    INVALID_CONFIGURATION with all faults of the resulting configuration.
     """
     target = _target(current, intent)
     _require_faultless(target)
-    touched = _touched(current, target)
+    changed_services = _changed_services(current, target)
     used = busy or {}
-    before = _loads(current, touched, used)
-    steps = _steps(current, target, intent, touched, used)
-    breaks = _breaks(before, steps)
+    before = _loads(current, changed_services, used)
+    steps = _steps(current, target, intent, changed_services, used)
+    breaks = _violations(before, steps)
     return Plan(
-        id=_identity(current.revision, intent),
+        id=_plan_id(current.revision, intent),
         base=current.revision,
         intent=intent,
         before=before,
@@ -69,7 +70,7 @@
 
 
 def find_record(current: Configuration, plan_id: str) -> IntentRecord | None:
-    """Return the record of a plan that was confirmed, or None."""
+    """Return the record of a confirmed plan, or None."""
     return next((record for record in current.intents if record.id == plan_id), None)
 
 
@@ -83,14 +84,14 @@
 ) -> Configuration:
     """Return the next configuration, with the intent's record.
 
-    Raises RefusalError: STALE_PLAN where the configuration has changed since or the plan is not
-    the one that this intent has, UNSAFE_PLAN where it breaks a promise and `override` is not set.
+    Raises RefusalError: STALE_PLAN if the configuration has changed since or the plan differs from
+    the one computed now, UNSAFE_PLAN if it has violations and `override` is not set.
     """
     if current.revision != plan.base:
-        raise refuse(ErrorKind.STALE_PLAN, _since(current, plan.base))
+        raise refuse(ErrorKind.STALE_PLAN, _stale_detail(current, plan.base))
     again = make_plan(current, plan.intent, busy)
     if again.id != plan.id or [s.text for s in again.steps] != [s.text for s in plan.steps]:
-        raise refuse(ErrorKind.STALE_PLAN, "the plan is not the one that this intent has now")
+        raise refuse(ErrorKind.STALE_PLAN, "the plan differs from the current plan of its intent")
     if (again.needs_override or plan.needs_override) and not override:
         raise refuse(ErrorKind.UNSAFE_PLAN, "; ".join(again.breaks or plan.breaks))
     target = _target(current, plan.intent)
@@ -102,26 +103,28 @@
         operator=operator,
         revision=revision,
     )
-    kept = current.intents[-(KEPT_INTENTS - 1) :]
+    kept = current.intents[-(MAX_INTENT_RECORDS - 1) :]
     return attrs.evolve(target, revision=revision, intents=(*kept, record))
 
 
-def _identity(base: int, intent: Intent) -> str:
+def _plan_id(base: int, intent: Intent) -> str:
     return xxhash.xxh3_128_hexdigest(to_json((base, intent)))
 
 
-def _since(current: Configuration, base: int) -> str:
+def _stale_detail(current: Configuration, base: int) -> str:
     newer = [record for record in current.intents if record.revision > base]
-    told = ", ".join(f"{r.operator}: {r.kind} {r.subject} at {r.revision}" for r in newer[-3:])
-    return f"made on revision {base}, now {current.revision}" + (f" ({told})" if told else "")
+    described = ", ".join(f"{r.operator}: {r.kind} {r.subject} at {r.revision}" for r in newer[-3:])
+    return f"made on revision {base}, now {current.revision}" + (
+        f" ({described})" if described else ""
+    )
 
 
 def _target(current: Configuration, intent: Intent) -> Configuration:
     match intent.kind:
         case IntentKind.TAKE_OUT:
-            return _with_centre(current, intent.subject, DataCentreState.OUT)
+            return _with_data_centre_state(current, intent.subject, DataCentreState.OUT)
         case IntentKind.RETURN:
-            return _with_centre(current, intent.subject, DataCentreState.IN)
+            return _with_data_centre_state(current, intent.subject, DataCentreState.IN)
         case IntentKind.RETIRE:
             return _with_retired(current, intent.subject)
         case IntentKind.STAND_UP:
@@ -129,13 +132,15 @@
         case IntentKind.REPLACE:
             if intent.configuration is None:
                 raise refuse(ErrorKind.BAD_REQUEST, "the intent lacks the configuration")
-            # History is not part of a snapshot: a restore must not forget what was confirmed.
+            # The records are not part of a snapshot: a restore must keep those of confirmed plans.
             return attrs.evolve(
                 intent.configuration, revision=current.revision, intents=current.intents
             )
 
 
-def _with_centre(current: Configuration, name: str, state: DataCentreState) -> Configuration:
+def _with_data_centre_state(
+    current: Configuration, name: str, state: DataCentreState
+) -> Configuration:
     found = current.data_centre(name)
     if found is None:
         raise refuse(ErrorKind.BAD_REQUEST, f"no data centre {name!r}")
@@ -161,11 +166,14 @@
 def _with_service(current: Configuration, intent: Intent) -> Configuration:
     service = intent.service
     if service is None or service.name != intent.subject:
-        raise refuse(ErrorKind.BAD_REQUEST, "the intent lacks the service that it names")
+        raise refuse(ErrorKind.BAD_REQUEST, "the intent's service is missing or not its subject")
     if current.service(service.name) is not None:
-        raise refuse(ErrorKind.BAD_REQUEST, f"there is a service {service.name} already")
+        raise refuse(ErrorKind.BAD_REQUEST, f"service {service.name} exists already")
     if any(server.service != service.name for server in intent.servers):
-        raise refuse(ErrorKind.BAD_REQUEST, f"a backend server is not of {service.name}")
+        raise refuse(
+            ErrorKind.BAD_REQUEST,
+            f"a backend server belongs to another service than {service.name}",
+        )
     return attrs.evolve(
         current,
         services=(*current.services, service),
@@ -174,11 +182,11 @@
 
 
 def _require_faultless(target: Configuration) -> None:
-    # Revision 0 is the base of the very first configuration, and no fault of the plan.
+    # Revision 0 is the valid base of the first configuration, but not a valid revision itself.
     faults = faults_of(attrs.evolve(target, revision=max(1, target.revision)))
     if faults:
-        told = "; ".join(f"{fault.path}: {fault.text}" for fault in faults)
-        raise refuse(ErrorKind.INVALID_CONFIGURATION, told)
+        described = "; ".join(f"{fault.path}: {fault.text}" for fault in faults)
+        raise refuse(ErrorKind.INVALID_CONFIGURATION, described)
 
 
 def _usable(configuration: Configuration) -> dict[str, Server]:
@@ -190,7 +198,7 @@
     }
 
 
-def _touched(current: Configuration, target: Configuration) -> frozenset[str]:
+def _changed_services(current: Configuration, target: Configuration) -> frozenset[str]:
     old, new = _usable(current), _usable(target)
     changed = {name for name in old.keys() | new.keys() if old.get(name) != new.get(name)}
     services = {(new.get(name) or old[name]).service for name in changed}
@@ -238,18 +246,20 @@
     current: Configuration,
     target: Configuration,
     intent: Intent,
-    touched: Collection[str],
+    changed_services: Collection[str],
     busy: Mapping[str, float],
 ) -> tuple[PlanStep, ...]:
     gained = _usable(target).keys() - _usable(current).keys()
     lost = _usable(current).keys() - _usable(target).keys()
-    steps = [PlanStep(text=_accepted(intent), services=_loads(target, touched, busy, gained))]
+    steps = [
+        PlanStep(text=_accepted(intent), services=_loads(target, changed_services, busy, gained))
+    ]
     if lost:
         text = f"{len(lost)} backend servers get no new work; what runs there ends"
-        steps.append(PlanStep(text=text, services=_loads(target, touched, busy, gained)))
+        steps.append(PlanStep(text=text, services=_loads(target, changed_services, busy, gained)))
     if gained:
         text = f"{len(gained)} backend servers go from their cold slots to all their slots"
-        steps.append(PlanStep(text=text, services=_loads(target, touched, busy)))
+        steps.append(PlanStep(text=text, services=_loads(target, changed_services, busy)))
     return tuple(steps)
 
 
@@ -269,16 +279,16 @@
             return f"the configuration of {intent.subject} is replaced"
 
 
-def _breaks(before: Iterable[ServiceLoad], steps: Iterable[PlanStep]) -> tuple[str, ...]:
+def _violations(before: Iterable[ServiceLoad], steps: Iterable[PlanStep]) -> tuple[str, ...]:
     old = {load.service: load for load in before}
-    broken: dict[str, None] = {}
+    violations: dict[str, None] = {}
     for step in steps:
         for load in step.services:
-            broken.update(dict.fromkeys(_broken(load, old.get(load.service))))
-    return tuple(broken)
+            violations.update(dict.fromkeys(_violations_of(load, old.get(load.service))))
+    return tuple(violations)
 
 
-def _broken(load: ServiceLoad, old: ServiceLoad | None) -> list[str]:
+def _violations_of(load: ServiceLoad, old: ServiceLoad | None) -> list[str]:
     found: list[str] = []
     if old is None or load.covered < old.covered:
         missing = load.shards - load.covered
@@ -286,9 +296,9 @@
             found.append(f"{load.service}: {missing} of {load.shards} shards without a replica")
     if old is None:
         return found
-    taken = old.slots - load.slots
-    if taken > load.slots:
-        found.append(f"{load.service}: takes {taken} slots away and leaves {load.slots}")
-    if load.busy > load.slots and taken > 0:
+    removed_slots = old.slots - load.slots
+    if removed_slots > load.slots:
+        found.append(f"{load.service}: takes {removed_slots} slots away and leaves {load.slots}")
+    if load.busy > load.slots and removed_slots > 0:
         found.append(f"{load.service}: {load.busy:.0f} slots are in use and {load.slots} left")
     return found
--- a/libs/decisions/berylspindle_decisions/propagation.py
+++ b/libs/decisions/berylspindle_decisions/propagation.py
@@ -1,17 +1,16 @@
-"""Keep what a VM knows of the configuration and the views, and tell others what they lack.
+"""Keep the configuration and the views known to a VM, and compute what other VMs lack.
 
 Terms:
-  knowledge   the configuration in force here and the latest view of each data centre
-  digest      sum and hash of what is known; see control_messages
-  history     the last deltas, so that a VM that lags a little needs no whole document
+  digest   sum and hash of the known state; see `control_messages`
+  history  the latest deltas, so that a VM that lags a little needs no whole document
 
-Flow: a change comes from the store or from a peer into `Knowledge.offer*`; what was adopted is
-passed on at once to a few random VMs, and every probe carries the digest so that what got lost
-heals within a round of probes.
+Flow: a change from the store or from a peer goes to the `offer` methods; what was adopted is passed
+on at once to a few random VMs. Every probe carries the digest, so a lost change is repaired within
+a round of probes.
 
-The pattern: old watch events, lagging reads, and a fresh VM that hears an old peer first. Without
-the one rule here, adopt only what is higher, a data centre that operators took out would take work
-again. The rule needs no clock and no order of messages, so it holds under any loss or delay.
+Only a higher revision or epoch is adopted. Otherwise an old watch event, a lagging read, or an
+outdated peer of a new VM could bring back a data centre that operators took out. The rule needs no
+clock and no order of messages, so it holds under any loss or delay.
 """
 
 from __future__ import annotations
@@ -35,13 +34,13 @@
 )
 from berylspindle_model.topology import View
 
-# 4,100 changes a day are three a minute: 64 deltas reach twenty minutes back.
-HISTORY: Final = 64
+# 4,100 changes a day are three a minute: 64 deltas cover twenty minutes.
+MAX_DELTAS: Final = 64
 
 
 @attrs.frozen(kw_only=True)
 class Adopted:
-    """What changed here through one offer."""
+    """The changes adopted from one offer."""
 
     configuration: bool = False
     views: tuple[str, ...] = ()
@@ -51,45 +50,45 @@
 
 
 class Knowledge:
-    """The configuration and the views that one VM knows; neither ever goes back."""
+    """The configuration and the views known to one VM; revisions and epochs only grow."""
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
         self._views: dict[str, View] = {}
-        self._deltas: deque[ConfigurationDelta] = deque(maxlen=HISTORY)
+        self._deltas: deque[ConfigurationDelta] = deque(maxlen=MAX_DELTAS)
         self._view_deltas: dict[str, deque[ViewDelta]] = {}
         self._mark: tuple[int, int] | None = None
 
     @property
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force, or None before one is known."""
+        """Return the current configuration, or None before the first one."""
         return self._configuration
 
     @property
     def revision(self) -> int:
-        """Return the revision in force, or 0 before one is known."""
+        """Return the current revision, or 0 before the first one."""
         return self._configuration.revision if self._configuration is not None else 0
 
     @property
     def views(self) -> tuple[View, ...]:
-        """Return the latest view of each data centre, by name."""
+        """Return the latest view of each data centre, ordered by name."""
         return tuple(self._views[name] for name in sorted(self._views))
 
     def view(self, data_centre: str) -> View | None:
-        """Return the latest view of a data centre, or None."""
+        """Return the latest view of a data centre, or None if not known."""
         return self._views.get(data_centre)
 
     def epoch(self, data_centre: str) -> int:
-        """Return the epoch of the latest view of a data centre, or 0."""
+        """Return the epoch of the latest view of a data centre, or 0 if not known."""
         view = self._views.get(data_centre)
         return view.epoch if view is not None else 0
 
     def offer_configuration(
         self, configuration: Configuration, delta: ConfigurationDelta | None = None
     ) -> bool:
-        """Adopt a configuration if its revision is higher; tell whether it was adopted.
+        """Adopt a configuration if its revision is higher; return whether it was adopted.
 
-        `delta` is the way to it from the one in force, where the caller has it already.
+        `delta` is the delta from the current configuration, if the caller already has it.
         """
         old = self._configuration
         if configuration.revision <= self.revision:
@@ -100,26 +99,26 @@
         return True
 
     def offer_view(self, view: View) -> bool:
-        """Adopt a view if its epoch is higher; tell whether it was adopted."""
+        """Adopt a view if its epoch is higher; return whether it was adopted."""
         old = self._views.get(view.data_centre)
         if old is not None and view.epoch <= old.epoch:
             return False
         if old is not None:
-            history = self._view_deltas.setdefault(view.data_centre, deque(maxlen=HISTORY))
+            history = self._view_deltas.setdefault(view.data_centre, deque(maxlen=MAX_DELTAS))
             history.append(view_delta(old, view))
         self._views[view.data_centre] = view
         self._mark = None
         return True
 
     def offer(self, changes: Changes) -> Adopted:
-        """Adopt what is higher of all that a message brings; what doesn't fit is left out."""
+        """Adopt the higher revisions and epochs of a message; skip deltas that don't apply."""
         adopted = False
         if changes.configuration is not None:
             adopted = self.offer_configuration(changes.configuration)
         for delta in changes.configuration_deltas:
             current = self._configuration
-            following = apply_configuration(current, delta) if current is not None else None
-            if following is not None and self.offer_configuration(following, delta):
+            updated = apply_configuration(current, delta) if current is not None else None
+            if updated is not None and self.offer_configuration(updated, delta):
                 adopted = True
         names = {view.data_centre for view in changes.views if self.offer_view(view)}
         for step in changes.view_deltas:
@@ -130,7 +129,7 @@
         return Adopted(configuration=adopted, views=tuple(sorted(names)))
 
     def digest(self) -> Digest:
-        """Return the digest of all that is known, without ages and suspicions."""
+        """Return the digest of the known state, without ages and suspicions."""
         if self._mark is None:
             text = "/".join(f"{view.data_centre}:{view.epoch}" for view in self.views)
             mark = xxhash.xxh32_intdigest(text.encode())
@@ -138,24 +137,24 @@
         return Digest(self.revision, *self._mark)
 
     def lacks(self, other: Digest) -> bool:
-        """Tell whether the sender of a digest knows something that is not known here."""
+        """Return whether the sender of a digest has state that this VM lacks."""
         mine = self.digest()
         if other.revision > mine.revision or other.epochs > mine.epochs:
             return True
         return other.epochs == mine.epochs and other.mark != mine.mark
 
     def request(self, sender: str) -> PullRequest:
-        """Return the question for what is not known here."""
+        """Return the request for the state that this VM lacks."""
         epochs = {view.data_centre: view.epoch for view in self.views}
         return PullRequest(sender=sender, revision=self.revision, epochs=epochs)
 
     def changes_since(self, revision: int, epochs: dict[str, int]) -> Changes:
-        """Return what a VM lacks that knows this revision and these epochs."""
-        whole: Configuration | None = None
+        """Return the changes that a VM with this revision and these epochs lacks."""
+        full_configuration: Configuration | None = None
         deltas: tuple[ConfigurationDelta, ...] = ()
         if self.revision > revision:
             deltas = self._deltas_from(revision)
-            whole = None if deltas else self._configuration
+            full_configuration = None if deltas else self._configuration
         views: list[View] = []
         steps: list[ViewDelta] = []
         for view in self.views:
@@ -167,7 +166,7 @@
             if not found:
                 views.append(view)
         return Changes(
-            configuration=whole,
+            configuration=full_configuration,
             configuration_deltas=deltas,
             views=tuple(views),
             view_deltas=tuple(steps),
--- a/libs/decisions/berylspindle_decisions/quarantine.py
+++ b/libs/decisions/berylspindle_decisions/quarantine.py
@@ -1,31 +1,32 @@
-"""Keep requests that crash backend servers from crashing more of them.
+"""Quarantine requests that crash backend servers.
 
-Pattern of load: one request that crashes each server that runs it, sent again by its caller. A
-fan-out takes one replica of every shard down at once; retries, hedges and the caller's next
-tries take the second and third ones.
+A request that crashes each server that runs it is retried by its caller. The first scatter-gather
+crashes one replica of every shard; retries, hedged requests and the caller's next attempts crash
+the second and third ones.
 
 Terms:
-  fingerprint   hash of what a backend server would run; the same search has the same one
-  strike        a connection was lost under an attempt of this fingerprint
+  fingerprint   hash of what a backend server would run; equal searches have the same one
+  strike        a connection that was lost during an attempt of this fingerprint
   suspect       a fingerprint with strikes and no success since
-  canary        a run on one shard first; the others follow when it has answered
-  quarantined   refused, because it struck again when it ran as a canary
-  known good    a fingerprint that has run without harm lately
-  alert         the time after any strike, in which first-seen fingerprints run as canaries too
-
-Flow: `decide` before a fan-out; `on_lost`, `on_success` and `on_unsettled` after attempts;
-`export` and `merge` carry records between VMs, with the time left, since clocks differ.
-
-Thresholds: a fan-out strikes on all shards at once, and so does all that was in flight on these
-servers with it. Therefore attempts that were dispatched before the first strike make a suspect
-and no more; only one dispatched after it counts as a second event, whichever VM sent it. An event
-weighs 1 over the attempts that were lost together, and later events that weigh half quarantine:
-alone on the server, or with one other, once; in a crowd, twice. Counting by a window of time
-instead, the trials lost 21 servers to one request, as its caller came back within the window. A
-quarantine lasts 60 s, then twice as long each time, to an hour. A success clears: a request that
-crashes each server that runs it never has one. First-seen fingerprints run as canaries only in an
-alert of 30 s: always would add a shard's round trip to most searches, never lets the next bad
-one take a replica of each shard again. docs/LOAD.md has the figures.
+  canary        a run on one shard first; the other shards follow after its response
+  quarantined   refused, since it had another strike when it ran as a canary
+  known good    a fingerprint that succeeded recently
+  alert         the time after any strike in which first-seen fingerprints run as canaries too
+
+Flow: `decide` is called before a scatter-gather; `on_lost`, `on_success` and `on_unsettled` after
+attempts; `export` and `merge` exchange records between VMs, with remaining times, since clocks
+differ.
+
+Thresholds: a scatter-gather gets strikes on all shards at once, and so do all other requests in
+flight on these servers. Attempts dispatched before the first strike therefore only make a suspect;
+one dispatched after it, by any VM, counts as a second event. An event weighs 1 over the number of
+attempts lost together, and later events that add up to 0.5 lead to quarantine: one event if the
+request was alone on the server or with one other, two if with two or three. Counting strikes within
+a time window instead misses a caller that retries within the window: 21 servers were lost to one
+request. A quarantine lasts 60 s and doubles each time up to an hour. A success clears a suspect,
+since a request that crashes each server that runs it never succeeds. First-seen fingerprints run as
+canaries only in an alert of 30 s: always doing so would add a round trip to most searches, and
+never doing so would let the next bad request crash a replica of each shard again.
 """
 
 from __future__ import annotations
@@ -39,15 +40,15 @@
 
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 
-ENOUGH_WEIGHT: Final = 0.5
-# Taken for the age of an attempt where it isn't known: strikes of one fan-out come closer together.
+QUARANTINE_WEIGHT: Final = 0.5
+# Assumed age of an attempt if not known; the strikes of one scatter-gather come closer together.
 UNKNOWN_ELAPSED_MS: Final = 1000.0
-# Halves made of sixths and thirds do not sum up exactly in floating point.
-_ROUNDING: Final = 1e-9
+# Sums of thirds and sixths are not exact in floating point.
+_TOLERANCE: Final = 1e-9
 
 
 class FirstSeen(enum.StrEnum):
-    """When fingerprints that were never seen to succeed run as canaries."""
+    """When fingerprints without a known success run as canaries."""
 
     NEVER = "never"
     ALERT = "alert"
@@ -55,7 +56,7 @@
 
 
 class Level(enum.StrEnum):
-    """What is held against a fingerprint."""
+    """The state of a fingerprint."""
 
     CLEARED = "cleared"
     SUSPECT = "suspect"
@@ -63,7 +64,7 @@
 
 
 class RunMode(enum.Enum):
-    """How a request may run."""
+    """How an admitted request runs."""
 
     PLAIN = "plain"
     CANARY = "canary"
@@ -71,17 +72,17 @@
 
 @attrs.frozen(kw_only=True)
 class QuarantineOptions:
-    """Times and bounds.
+    """Durations and limits of the quarantine.
 
     Attributes:
         first_seen: when first-seen fingerprints run as canaries.
-        suspect_s: seconds until suspicion lapses.
+        suspect_s: seconds until a suspicion expires.
         base_s: seconds of the first quarantine.
-        max_s: seconds of the longest.
+        max_s: seconds of the longest quarantine.
         alert_s: seconds of alert after a strike.
         canary_s: seconds after which a canary without an outcome no longer blocks the next.
-        max_known_good: fingerprints remembered as good.
-        max_records: fingerprints held as suspect or quarantined.
+        max_known_good: number of fingerprints kept as known good.
+        max_records: number of fingerprints kept as suspect or quarantined.
     """
 
     first_seen: FirstSeen = FirstSeen.ALERT
@@ -96,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class SuspectRecord:
-    """What one VM tells others about one fingerprint; a higher generation replaces a lower one.
+    """The exchanged record of one fingerprint; a higher generation replaces a lower one.
 
     `struck_ms` and `dispatched_ms` are the ages of the first strike and of the attempt in it.
     """
@@ -126,49 +127,51 @@
 
 
 class Quarantine:
-    """The fingerprints that one VM holds as suspect, and those it knows to be good."""
+    """The suspect, quarantined and known good fingerprints of one VM."""
 
     def __init__(self, options: QuarantineOptions | None = None) -> None:
         self._options = options or QuarantineOptions()
         self._records: OrderedDict[str, _Record] = OrderedDict()
-        self._good: OrderedDict[str, None] = OrderedDict()
+        self._known_good: OrderedDict[str, None] = OrderedDict()
         self._alert_until = float("-inf")
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing is held against any fingerprint."""
+        """Return whether there is no record of any fingerprint."""
         return not self._records
 
     def level(self, now: float, fingerprint: str) -> Level:
-        """Return what is held against a fingerprint."""
-        record = self._current(now, fingerprint)
+        """Return the state of a fingerprint."""
+        record = self._unexpired(now, fingerprint)
         return record.level if record is not None else Level.CLEARED
 
     def servers(self, now: float, fingerprint: str) -> frozenset[str]:
-        """Return the backend servers that were lost under a fingerprint."""
-        record = self._current(now, fingerprint)
+        """Return the backend servers that were lost during attempts of a fingerprint."""
+        record = self._unexpired(now, fingerprint)
         return frozenset(record.servers) if record is not None else frozenset()
 
     def decide(self, now: float, fingerprint: str) -> RunMode | Refusal:
         """Return how a request may run; CANARY reserves the one canary of a suspect."""
-        record = self._current(now, fingerprint)
+        record = self._unexpired(now, fingerprint)
         if record is None or record.level is Level.CLEARED:
             return self._decide_first_seen(now, fingerprint)
         if record.level is Level.QUARANTINED:
             return Refusal(ErrorKind.QUARANTINED, "it has crashed backend servers")
         if now < record.canary_until:
-            # The caller asks again while its first try is still out. A second canary would
-            # strike a second server before the first one has told us anything.
+            # The caller retries while its first request is outstanding. A second canary could
+            # crash another server before the outcome of the first is known.
             wait_ms = max(1, int((record.canary_until - now) * 1000))
-            return Refusal(ErrorKind.QUARANTINED, "it is being tried", RunState.NOT_RUN, wait_ms)
+            return Refusal(
+                ErrorKind.QUARANTINED, "its canary is running", RunState.NOT_RUN, wait_ms
+            )
         record.canary_until = now + self._options.canary_s
         return RunMode.CANARY
 
     def allows(self, now: float, fingerprint: str, *, canary: bool) -> Refusal | None:
-        """Return an owner's refusal of an attempt, or None where it may be dispatched.
+        """Return an owner's refusal of an attempt, or None if it may be dispatched.
 
-        An owner has seen for itself which requests took its servers down. An entry that has
-        not heard of it yet sends a whole fan-out; the owners stop it without waiting for gossip.
+        An owner has the strikes of its own servers. An entry VM without these records yet sends a
+        whole scatter-gather, and the owners refuse it without waiting for gossip.
         """
         level = self.level(now, fingerprint)
         if level is Level.CLEARED or (level is Level.SUSPECT and canary):
@@ -176,19 +179,19 @@
         return Refusal(ErrorKind.QUARANTINED, "it has crashed backend servers")
 
     def on_suspected(self, now: float, fingerprint: str) -> None:
-        """Note that an owner refused it as a suspect; it runs as a canary from here on."""
-        record = self._current(now, fingerprint)
+        """Record that an owner refused a fingerprint as a suspect; it runs as a canary next."""
+        record = self._unexpired(now, fingerprint)
         self._alert_until = now + self._options.alert_s
         if record is None or record.level is Level.CLEARED:
-            self._suspect(now, fingerprint, None, now, record)
+            self._add_suspect(now, fingerprint, None, now, record)
 
     def on_success(self, now: float, fingerprint: str) -> None:
-        """Note that a backend server ran it and lived."""
-        self._good[fingerprint] = None
-        self._good.move_to_end(fingerprint)
-        if len(self._good) > self._options.max_known_good:
-            self._good.popitem(last=False)
-        record = self._current(now, fingerprint)
+        """Record that a backend server completed an attempt of a fingerprint."""
+        self._known_good[fingerprint] = None
+        self._known_good.move_to_end(fingerprint)
+        if len(self._known_good) > self._options.max_known_good:
+            self._known_good.popitem(last=False)
+        record = self._unexpired(now, fingerprint)
         if record is not None and record.level is Level.SUSPECT:
             record.level = Level.CLEARED
             record.generation += 1
@@ -204,34 +207,35 @@
         elapsed_ms: float = UNKNOWN_ELAPSED_MS,
         in_flight: int = 1,
     ) -> None:
-        """Note that the connection broke under it; `in_flight` attempts were lost together.
+        """Record a strike: the connection to a server was lost during an attempt.
 
-        `elapsed_ms` is how long ago the attempt was dispatched.
+        `elapsed_ms` is the time since the attempt was dispatched, `in_flight` the number of
+        attempts that were lost together.
         """
         self._alert_until = now + self._options.alert_s
         dispatched = now - elapsed_ms / 1000
-        record = self._current(now, fingerprint)
+        record = self._unexpired(now, fingerprint)
         if record is None or record.level is Level.CLEARED:
-            self._suspect(now, fingerprint, server, dispatched, record)
+            self._add_suspect(now, fingerprint, server, dispatched, record)
             return
         record.canary_until = float("-inf")
         is_second_event = dispatched > record.struck and server not in record.servers
         record.servers.add(server)
         if not is_second_event:
-            # Strikes of one event prove little, and neither does one server that keeps dying.
+            # Further strikes of one event are weak evidence, as are crashes of a single server.
             return
         record.weight += 1.0 / max(1, in_flight)
         record.generation += 1
-        self._judge(now, record)
+        self._quarantine_if_due(now, record)
 
     def on_unsettled(self, fingerprint: str) -> None:
-        """Note that a canary ended with neither success nor loss, so that another may run."""
+        """Record that a canary ended with neither success nor loss; another one may run."""
         record = self._records.get(fingerprint)
         if record is not None:
             record.canary_until = float("-inf")
 
     def export(self, now: float, *, limit: int = 100) -> tuple[SuspectRecord, ...]:
-        """Return the newest records for peers."""
+        """Return the latest records to send to peers, at most `limit`."""
         records: list[SuspectRecord] = []
         for fingerprint in reversed(self._records):
             record = self._records[fingerprint]
@@ -255,70 +259,74 @@
         return tuple(records)
 
     def merge(self, records: Iterable[SuspectRecord], now: float) -> bool:
-        """Take peers' records; return whether anything was new and should be passed on."""
+        """Merge peers' records; return whether any was new and should be passed on."""
         changed = False
         for record in records:
             changed = self._merge_one(now, record) or changed
         return changed
 
-    def _merge_one(self, now: float, news: SuspectRecord) -> bool:
-        record = self._current(now, news.fingerprint)
-        if record is not None and news.generation < record.generation:
+    def _merge_one(self, now: float, received: SuspectRecord) -> bool:
+        record = self._unexpired(now, received.fingerprint)
+        if record is not None and received.generation < record.generation:
             return False
-        if record is not None and news.generation == record.generation:
-            return self._merge_equal(now, record, news)
-        if news.level is not Level.CLEARED:
+        if record is not None and received.generation == record.generation:
+            return self._merge_equal(now, record, received)
+        if received.level is not Level.CLEARED:
             self._alert_until = max(self._alert_until, now + self._options.alert_s)
-            self._good.pop(news.fingerprint, None)
-        self._put(
-            news.fingerprint,
+            self._known_good.pop(received.fingerprint, None)
+        self._store(
+            received.fingerprint,
             _Record(
-                level=news.level,
-                generation=news.generation,
-                servers=set(news.servers),
-                struck=now - news.struck_ms / 1000,
-                dispatched=now - news.dispatched_ms / 1000,
-                until=now + news.left_ms / 1000,
-                weight=news.weight,
-                times=news.times,
+                level=received.level,
+                generation=received.generation,
+                servers=set(received.servers),
+                struck=now - received.struck_ms / 1000,
+                dispatched=now - received.dispatched_ms / 1000,
+                until=now + received.left_ms / 1000,
+                weight=received.weight,
+                times=received.times,
             ),
         )
         return True
 
-    def _merge_equal(self, now: float, record: _Record, news: SuspectRecord) -> bool:
-        # Two VMs struck at the same time. The shorter time is kept: with the longer one, each
-        # exchange between two VMs would add its own transit time, and no record would lapse.
-        had_struck = bool(record.servers)
-        servers = record.servers | set(news.servers)
+    def _merge_equal(self, now: float, record: _Record, received: SuspectRecord) -> bool:
+        # Two VMs had a strike at the same time. The shorter remaining time is kept: with the longer
+        # one, each exchange would add its transit time, and records would never expire.
+        had_strike = bool(record.servers)
+        servers = record.servers | set(received.servers)
         changed = servers != record.servers
         record.servers = servers
-        record.until = min(record.until, now + news.left_ms / 1000)
-        if record.level is not Level.SUSPECT or news.level is Level.CLEARED:
+        record.until = min(record.until, now + received.left_ms / 1000)
+        if record.level is not Level.SUSPECT or received.level is Level.CLEARED:
             return changed
-        struck, dispatched = now - news.struck_ms / 1000, now - news.dispatched_ms / 1000
-        if not had_struck:
-            # Made suspect here by an owner's refusal alone: the peer's strike is the first one,
-            # and taken for a second one it would quarantine whatever a dying server ran.
+        struck, dispatched = now - received.struck_ms / 1000, now - received.dispatched_ms / 1000
+        if not had_strike:
+            # A suspect by an owner's refusal alone: the peer's strike is the first one. Counted as
+            # a second one it would quarantine every request of a server that crashed once.
             record.struck, record.dispatched = struck, dispatched
         elif (
-            changed and news.servers and (dispatched > record.struck or record.dispatched > struck)
+            changed
+            and received.servers
+            and (dispatched > record.struck or record.dispatched > struck)
         ):
-            # Neither VM knew of the other's strike, and one sent the request after it: the same
-            # request has taken servers down twice.
+            # Neither VM had the other's record, and one dispatched its attempt after the other's
+            # strike: these are two events.
             record.weight += 1.0
             record.generation += 1
-        record.weight = max(record.weight, news.weight)
-        self._judge(now, record)
+        record.weight = max(record.weight, received.weight)
+        self._quarantine_if_due(now, record)
         return changed
 
     def _decide_first_seen(self, now: float, fingerprint: str) -> RunMode:
         mode = self._options.first_seen
-        wary = mode is FirstSeen.ALWAYS or (mode is FirstSeen.ALERT and now < self._alert_until)
-        if wary and fingerprint not in self._good:
+        needs_canary = mode is FirstSeen.ALWAYS or (
+            mode is FirstSeen.ALERT and now < self._alert_until
+        )
+        if needs_canary and fingerprint not in self._known_good:
             return RunMode.CANARY
         return RunMode.PLAIN
 
-    def _suspect(
+    def _add_suspect(
         self,
         now: float,
         fingerprint: str,
@@ -326,8 +334,8 @@
         dispatched: float,
         old: _Record | None,
     ) -> None:
-        self._good.pop(fingerprint, None)
-        self._put(
+        self._known_good.pop(fingerprint, None)
+        self._store(
             fingerprint,
             _Record(
                 level=Level.SUSPECT,
@@ -340,20 +348,20 @@
             ),
         )
 
-    def _judge(self, now: float, record: _Record) -> None:
-        if record.level is not Level.SUSPECT or record.weight < ENOUGH_WEIGHT - _ROUNDING:
+    def _quarantine_if_due(self, now: float, record: _Record) -> None:
+        if record.level is not Level.SUSPECT or record.weight < QUARANTINE_WEIGHT - _TOLERANCE:
             return
         seconds = min(self._options.base_s * 2**record.times, self._options.max_s)
         record.level = Level.QUARANTINED
         record.times += 1
         record.until = now + seconds
 
-    def _current(self, now: float, fingerprint: str) -> _Record | None:
+    def _unexpired(self, now: float, fingerprint: str) -> _Record | None:
         record = self._records.get(fingerprint)
         if record is None or now < record.until:
             return record
         if record.level is Level.QUARANTINED:
-            # Its time is over: one canary shows whether it still crashes.
+            # The quarantine has expired; one canary shows whether the request still crashes.
             record.level = Level.SUSPECT
             record.generation += 1
             record.weight = 0.0
@@ -364,7 +372,7 @@
         del self._records[fingerprint]
         return None
 
-    def _put(self, fingerprint: str, record: _Record) -> None:
+    def _store(self, fingerprint: str, record: _Record) -> None:
         self._records[fingerprint] = record
         self._records.move_to_end(fingerprint)
         if len(self._records) > self._options.max_records:
--- a/libs/decisions/berylspindle_decisions/relay_choice.py
+++ b/libs/decisions/berylspindle_decisions/relay_choice.py
@@ -1,28 +1,28 @@
-"""Whether a VM passes a request over many shards to a bigger one, or to one near the replicas.
+"""Choose whether a larger VM, or one near the replicas, executes a scatter-gather for this VM.
 
-Pattern of load: a balancer that spreads callers evenly over VMs of half a core with 20 Mbit/s and
-of two cores with 200. A request over 36 shards takes 20 ms of a core and brings 40 KB of parts, of
-which a kilobyte goes to the caller. On a small VM its parts queue on the VM's own link and
-processor, its hedges are sent for delays of the VM's own making, and half of its time is gone. A
-data centre without replicas of the shards gets each part over the links between data centres: 42
-requests and parts for one answer of a kilobyte.
+A load balancer spreads callers evenly over VMs of half a core with 20 Mbit/s and VMs of two cores
+with 200 Mbit/s. A request over 36 shards takes 20 ms of a core and receives 40 KB of partial
+results, of which 1 KB goes to the caller. On a small VM the partial results queue on its own link
+and processor, which triggers hedged requests and takes half of the request's time. A data centre
+without replicas of the shards receives each partial result over the links between data centres: 42
+requests and partial results for one response of 1 KB.
 
 Terms:
-  bears     what a VM can work on, in cores; less where its link is what binds it
-  merger    the bigger VM that carries a request out and merges its parts
-  missing   share of a request's shards that have no usable replica in a VM's data centre
-  load      requests that a merger has under way, as it said last, and those sent since
-  doubted   a merger that failed, refused or was slow, until a time
-
-Flow: `pick` is asked for each request over shards; `sent`, `answered` and `failed` follow it. The
-request goes where the work under way over what the VM bears is least, and `FAR_COST` for what is
-missing; the own VM counts like any.
-
-Thresholds: only a VM that bears `BIGGER` times as much is asked, since the hop costs about a
-millisecond on both, or one that bears as much where less is missing by `NEARER`: what came from
-there part by part comes as one answer. A merger that failed is left alone for `DOUBT_LONG`, as long
-as a process takes to start and load; one that refused, or is late by the route's whole aim, for
-`DOUBT_SHORT`.
+  capacity  cores of a VM, or fewer if its link is the bottleneck
+  merger    the VM that executes a relayed scatter-gather and merges the partial results
+  missing   share of a request's shards without a usable replica in a VM's data centre
+  load      requests in progress at a merger, by its last report or by the requests sent to it
+  back-off  the time in which no request goes to a merger that failed, refused or was slow
+
+Flow: `pick` is called for each scatter-gather; `sent`, `ended`, `reported` and `doubt` record its
+course. The request goes to the VM with the lowest cost: requests in progress over capacity, plus
+`MISSING_COST` times the missing share. The VM itself is one of the candidates.
+
+Thresholds: the extra hop costs about a millisecond on both VMs, so a merger needs
+`MIN_CAPACITY_RATIO` times the capacity. One of equal capacity is enough if its missing share is
+lower by `NEARER`, as one merged response then replaces many partial results between data centres.
+A merger that failed is avoided for `FAILURE_BACKOFF_S`, the time that a process takes to start and
+load; one that refused, or was late by the route's whole latency target, for `REFUSAL_BACKOFF_S`.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 
 import attrs
 
-BIGGER: Final = 2.0
-DOUBT_LONG: Final = 3.0
-DOUBT_SHORT: Final = 1.0
+MIN_CAPACITY_RATIO: Final = 2.0
+FAILURE_BACKOFF_S: Final = 3.0
+REFUSAL_BACKOFF_S: Final = 1.0
 NEARER: Final = 0.5
-FAR_COST: Final = 8.0
-"""Requests under way for each core by which a merger near the replicas may be busier than this VM;
-a request takes a merger some 20 ms of a core."""
+MISSING_COST: Final = 8.0
+"""Requests in progress per core by which a merger near the replicas may be busier than this VM; a
+request takes about 20 ms of a merger's core."""
 
-LOAD_FRESH: Final = 0.5
-"""Seconds for which a merger's word of its load counts; its requests take some tenths of them."""
+LOAD_REPORT_TTL_S: Final = 0.5
+"""Seconds for which a merger's load report is valid; its requests take some tenths of a second."""
 
 MBPS_PER_CORE: Final = 16.0
-"""Link that keeps one core busy: 45 requests over 36 shards a second bring 2 MB in."""
+"""Link bandwidth that keeps one core busy: 45 requests/s over 36 shards receive 2 MB/s."""
 
 
 @attrs.frozen
 class RelayVm:
-    """Another VM; `missing` is 0 where its data centre has a replica of each shard."""
+    """A candidate: `bears` is its capacity in cores, `missing` the share of missing shards."""
 
     name: str
     bears: float
@@ -60,50 +60,54 @@
 class _Merger:
     outstanding: int = 0
     load: float = 0.0
-    load_at: float = float("-inf")
-    doubted_until: float = float("-inf")
+    reported_at: float = float("-inf")
+    backoff_until: float = float("-inf")
 
 
 def bears_of(*, cores: float, link_mbps: float) -> float:
-    """Return what a VM bears, in cores."""
+    """Return the capacity of a VM, in cores."""
     return max(0.01, min(cores, link_mbps / MBPS_PER_CORE))
 
 
-def least_merger(bears: Iterable[float]) -> float:
-    """Return what a VM must bear to merge the requests of other data centres.
+def least_merger(capacities: Iterable[float]) -> float:
+    """Return the capacity from which VMs merge the requests of other data centres.
 
-    The bigger VMs do; where all are alike, any does.
+    Only the larger VMs do so, or all of them if they have similar capacities.
     """
-    known = list(bears)
+    known = list(capacities)
     least = min(known, default=0.0)
-    return BIGGER * least if max(known, default=0.0) >= BIGGER * least else least
+    return (
+        MIN_CAPACITY_RATIO * least
+        if max(known, default=0.0) >= MIN_CAPACITY_RATIO * least
+        else least
+    )
 
 
 def count_alike(own: float, others: Mapping[float, int]) -> int:
-    """Return by how many VMs like this one what all VMs share is to be divided.
+    """Return the divisor that yields this VM's part of a cluster-wide limit.
 
-    `others` counts the other VMs by what they bear.
+    `others` maps a capacity to the number of other VMs that have it.
 
-    What a replica takes of all VMs together (connections, extra arrivals, requests while it is
-    cold) is mostly used by the mergers. So they have one half of it, and the other VMs the other;
-    divided by 81 each VM would have one connection to a replica, and on a merger searches would
-    wait for each other. Of VMs that are all alike each has its even part.
+    A replica's limits for all VMs together (connections, extra attempts, requests while it is cold)
+    are mostly used by the mergers. So mergers share one half of a limit, and the other VMs the
+    other half; an even split among 81 VMs would leave each VM one connection to a replica, and
+    searches on a merger would queue for it. VMs of similar capacity get equal parts.
     """
     least = min((own, *others))
     known = 1 + sum(others.values())
-    mergers = (own >= BIGGER * least) + sum(
-        count for bears, count in others.items() if bears >= BIGGER * least
+    mergers = (own >= MIN_CAPACITY_RATIO * least) + sum(
+        count for capacity, count in others.items() if capacity >= MIN_CAPACITY_RATIO * least
     )
     if not mergers:
         return known
-    return 2 * mergers if own >= BIGGER * least else 2 * (known - mergers)
+    return 2 * mergers if own >= MIN_CAPACITY_RATIO * least else 2 * (known - mergers)
 
 
 class RelayChoice:
-    """What one VM knows of the bigger ones; times are seconds of its clock."""
+    """The choice of mergers by one VM; times are in seconds of its clock."""
 
-    def __init__(self, bears: float) -> None:
-        self._bears: Final = bears
+    def __init__(self, capacity: float) -> None:
+        self._capacity: Final = capacity
         self._mergers: dict[str, _Merger] = {}
 
     def pick(
@@ -115,45 +119,46 @@
         u: float,
         missing: float = 0.0,
     ) -> str | None:
-        """Return the merger for a request, or None where this VM carries it out itself.
+        """Return the merger for a request, or None if this VM executes it itself.
 
-        `in_flight` is what this VM works on, with the request, and `missing` what its own data
-        centre lacks; `u` in [0, 1) spreads VMs that know the same.
+        `in_flight` is the number of requests in progress on this VM, including this one, `missing`
+        the share of missing shards in its data centre, and `u` a uniform random number in [0, 1)
+        that spreads the choices of VMs with equal state.
         """
-        best, best_cost = None, in_flight / self._bears + FAR_COST * missing
+        best, best_cost = None, in_flight / self._capacity + MISSING_COST * missing
         for vm in vms:
             is_nearer = vm.missing <= missing - NEARER
-            if vm.bears < self._bears * (1.0 if is_nearer else BIGGER):
+            if vm.bears < self._capacity * (1.0 if is_nearer else MIN_CAPACITY_RATIO):
                 continue
             merger = self._mergers.get(vm.name) or _Merger()
-            if now < merger.doubted_until:
+            if now < merger.backoff_until:
                 continue
-            load = merger.load if now - merger.load_at < LOAD_FRESH else 0.0
+            load = merger.load if now - merger.reported_at < LOAD_REPORT_TTL_S else 0.0
             cost = (max(load, merger.outstanding) + 1.0 + 0.2 * u) / vm.bears
-            cost += FAR_COST * vm.missing
+            cost += MISSING_COST * vm.missing
             if cost < best_cost:
                 best, best_cost = vm.name, cost
         return best
 
     def sent(self, name: str) -> None:
-        """Note a request that goes to a merger."""
-        self._of(name).outstanding += 1
+        """Record a request that is sent to a merger."""
+        self._merger(name).outstanding += 1
 
     def ended(self, name: str) -> None:
-        """Note that a request is over, however it ended."""
-        self._of(name).outstanding -= 1
+        """Record the end of a request, with or without a response."""
+        self._merger(name).outstanding -= 1
 
     def reported(self, now: float, name: str, load: float) -> None:
-        """Take what a merger says of its work under way."""
-        merger = self._of(name)
-        merger.load, merger.load_at = load, now
-        merger.doubted_until = float("-inf")
+        """Record a merger's report of its requests in progress; it ends the back-off."""
+        merger = self._merger(name)
+        merger.load, merger.reported_at = load, now
+        merger.backoff_until = float("-inf")
 
     def doubt(self, now: float, name: str, *, long: bool) -> None:
-        """Send nothing to a merger for a while."""
-        until = now + (DOUBT_LONG if long else DOUBT_SHORT)
-        merger = self._of(name)
-        merger.doubted_until = max(merger.doubted_until, until)
+        """Send nothing to a merger for `FAILURE_BACKOFF_S` if `long`, else `REFUSAL_BACKOFF_S`."""
+        until = now + (FAILURE_BACKOFF_S if long else REFUSAL_BACKOFF_S)
+        merger = self._merger(name)
+        merger.backoff_until = max(merger.backoff_until, until)
 
-    def _of(self, name: str) -> _Merger:
+    def _merger(self, name: str) -> _Merger:
         return self._mergers.setdefault(name, _Merger())
--- a/libs/decisions/berylspindle_decisions/replica_choice.py
+++ b/libs/decisions/berylspindle_decisions/replica_choice.py
@@ -1,25 +1,24 @@
-"""Choose a backend server for each shard of a fan-out.
+"""Choose a backend server for each shard of a scatter-gather.
 
-Pattern of load: a slow server among good ones, and many entries that choose at once. A random
-choice sends a third of all work to the slow one of three replicas, and at ten shards nearly every
-answer waits for one. When all entries take the one that looks best, they drown it together.
+A random choice sends a third of all sub-requests to the slow one of three replicas, and over ten
+shards nearly every response waits for a slow one. If all entry VMs choose the replica with the best
+score, they overload it together.
 
 Terms:
-  score       expected milliseconds until the reply: queue and service time, and the way there
-  spill-over  leaving the own data centre because its replica is that much busier
-  grouping    taking a replica whose owner gets a message of this request anyway
-  last resort a replica that is tried only when all others of its shard are worse off
-
-Flow: the entry calls `choose` for each shard with what it knows of the replicas, a random number,
-and the owners it has chosen already. The first of the returned order gets the sub-request, the
-others are for hedges and retries.
-
-Thresholds: of two picked at random the better score wins, so that entries with the same stale view
-spread over at least two replicas. Another data centre costs 1 ms there and back, so that locality
-yields as soon as the queue does. Grouping is worth 2 ms: in the trials a search over ten shards
-needs 4.8 messages instead of 5.6, and the 99th percentile stays; 4 ms raised it at 70% load.
-Retired servers and data centres that are out get nothing, also when
-nothing else is left: the promise that they get no new work is worth more than one shard.
+  score        expected milliseconds until the response: queueing, service time and round trip
+  grouping     preferring a replica whose owner gets a message for this request anyway
+  last resort  a replica that is tried only after the other replicas of its shard
+
+Flow: the entry VM calls `choose` for each shard with the state of the replicas, a random number and
+the owners chosen so far. The first replica of the returned order gets the sub-request, the others
+are for hedged requests and retries.
+
+Thresholds: of two replicas drawn at random the better score wins, so that entry VMs with the same
+stale state spread over at least two replicas. The round trip to another data centre costs 1 ms, so
+a queue in the own data centre outweighs locality soon. Grouping is worth 2 ms: a search over ten
+shards needs 4.8 messages instead of 5.6, without an effect on the 99th percentile latency, which
+4 ms raises at 70% load. Retired servers and data centres that are out get nothing even if no other
+replica is left: the guarantee that they get no new work outweighs one shard.
 """
 
 from __future__ import annotations
@@ -31,12 +30,12 @@
 
 @attrs.frozen(kw_only=True)
 class ChoiceOptions:
-    """Costs that enter the score, in milliseconds.
+    """Components of the score, in milliseconds.
 
     Attributes:
-        remote_ms: way to another data centre and back.
-        grouping_ms: what one message less is worth.
-        default_latency_ms: service time of a server that has shown none.
+        remote_ms: round trip to another data centre.
+        grouping_ms: benefit of one message less.
+        default_latency_ms: assumed latency of a server without a response so far.
     """
 
     remote_ms: float = 1.0
@@ -46,21 +45,21 @@
 
 @attrs.frozen(kw_only=True)
 class ReplicaView:
-    """What an entry knows of one replica.
+    """The state of one replica as known to an entry VM.
 
     Attributes:
         server: id of the backend server.
-        data_centre: where it stands.
+        data_centre: data centre of the server.
         owner: id of the VM that owns it.
-        is_local: whether it stands in the entry's own data centre.
-        is_reachable: whether its owner is reachable as far as this entry knows.
-        is_usable: False for a retired server, a data centre that is out, a draining server.
-        is_ejected: whether `ejection` has taken it out, or lets no trial through now.
-        holds_snapshot: whether it is known to hold the pinned snapshot; None if not known.
-        latency_ms: smoothed time of its replies, None if it has shown none.
-        outstanding: attempts of this entry that it has not answered.
-        slots: work that it does at once.
-        refused_until: time until which it, or its owner, asked to be left alone.
+        is_local: whether it is in the entry VM's own data centre.
+        is_reachable: whether its owner is reachable from the entry VM.
+        is_usable: False for a retired or draining server, or a data centre that is out.
+        is_ejected: whether `ejection` excludes it, or allows no trial now.
+        holds_snapshot: whether it holds the pinned snapshot; None if not known.
+        latency_ms: smoothed latency of its responses; None without one so far.
+        outstanding: attempts of this entry VM without a response yet.
+        slots: number of requests that it executes concurrently.
+        refused_until: end of the Retry-After that it or its owner requested.
     """
 
     server: str
@@ -85,55 +84,56 @@
     owners: Collection[str] = (),
     options: ChoiceOptions | None = None,
 ) -> tuple[ReplicaView, ...]:
-    """Return the usable replicas in the order in which to try them; `u` is random in [0, 1).
+    """Return the usable replicas in the order in which to try them.
 
-    Empty where no replica may be used at all (NO_REPLICA).
+    `u` is a uniform random number in [0, 1). The result is empty if no replica may be used
+    (NO_REPLICA).
     """
     chosen = options or ChoiceOptions()
     usable = [view for view in candidates if view.is_usable]
     if len(usable) < 2:
         return tuple(usable)
     ranked = sorted(
-        (_resort(view, now), _score(view, owners, chosen), view.server, n)
-        for n, view in enumerate(usable)
+        (_last_resort_rank(view, now), _score(view, owners, chosen), view.server, index)
+        for index, view in enumerate(usable)
     )
-    best_resort = ranked[0][0]
-    peers = sum(1 for place in ranked if place[0] == best_resort)
-    ranked.insert(0, ranked.pop(_pick_of_two(peers, u)))
-    return tuple(usable[place[3]] for place in ranked)
+    best_rank = ranked[0][0]
+    equally_ranked = sum(1 for entry in ranked if entry[0] == best_rank)
+    ranked.insert(0, ranked.pop(_pick_of_two(equally_ranked, u)))
+    return tuple(usable[entry[3]] for entry in ranked)
 
 
 def _pick_of_two(count: int, u: float) -> int:
-    """Return the lower of two different places below `count`, drawn from one random number."""
+    """Return the lower of two distinct indices below `count`, drawn by one random number."""
     if count < 3:
-        # Of two, both are drawn and the better one wins.
+        # Both of two are drawn, and the better one wins.
         return 0
     pairs = count * (count - 1) // 2
-    drawn = min(int(u * pairs), pairs - 1)
+    pair = min(int(u * pairs), pairs - 1)
     first = 0
-    # Pairs are numbered by their lower place: count-1 of them have place 0, count-2 place 1.
-    while drawn >= count - 1 - first:
-        drawn -= count - 1 - first
+    # Pairs are numbered by their lower index: count-1 of them have index 0, count-2 index 1.
+    while pair >= count - 1 - first:
+        pair -= count - 1 - first
         first += 1
     return first
 
 
-def _resort(view: ReplicaView, now: float) -> int:
-    """Return how much of a last resort a replica is; lower ones are tried first."""
+def _last_resort_rank(view: ReplicaView, now: float) -> int:
+    """Return the rank of a replica as a last resort; lower ranks are tried first."""
     if view.is_ejected or not view.is_reachable:
         return 3
     if now < view.refused_until:
         return 2
     if view.holds_snapshot is False:
-        # It can only answer SNAPSHOT_GONE; an unknown one may well hold the snapshot.
+        # It can only respond SNAPSHOT_GONE; a replica of unknown state may hold the snapshot.
         return 1
     return 0
 
 
 def _score(view: ReplicaView, owners: Collection[str], options: ChoiceOptions) -> float:
     latency_ms = view.latency_ms if view.latency_ms is not None else options.default_latency_ms
-    waves = 1 + view.outstanding / max(1, view.slots)
-    score = latency_ms * waves
+    rounds = 1 + view.outstanding / max(1, view.slots)
+    score = latency_ms * rounds
     if not view.is_local:
         score += options.remote_ms
     if view.owner in owners:
@@ -144,12 +144,12 @@
 def hedge_target(
     order: Sequence[ReplicaView], tried: Collection[str], *, now: float
 ) -> ReplicaView | None:
-    """Return where a hedge goes: an untried replica, in another data centre where there is one.
+    """Return the replica for a hedged request: an untried one, if possible in another data centre.
 
-    A data centre that is cut off or slow as a whole is slow for the second attempt too. Last
-    resorts get no hedge: extra load must not go to those that are badly off.
+    A data centre that is isolated or slow as a whole delays the second attempt too. Last resorts
+    get no hedged requests, as these would add load to replicas in trouble.
     """
-    fresh = [v for v in order if v.server not in tried and _resort(v, now) == 0]
+    untried = [v for v in order if v.server not in tried and _last_resort_rank(v, now) == 0]
     used = {view.data_centre for view in order if view.server in tried}
-    elsewhere = [view for view in fresh if view.data_centre not in used]
-    return next(iter(elsewhere or fresh), None)
+    elsewhere = [view for view in untried if view.data_centre not in used]
+    return next(iter(elsewhere or untried), None)
--- a/libs/decisions/berylspindle_decisions/watchers.py
+++ b/libs/decisions/berylspindle_decisions/watchers.py
@@ -1,24 +1,25 @@
-"""Which VMs of a data centre the others follow; the first of them follows the store.
+"""Select the VMs of a data centre whose mirrors the other VMs follow.
 
-Pattern of load: each call to the store costs, a waiting watch as one, and its rates grow more
-slowly than the fleet. Where each of 81 VMs watches the store, each change is some 81 calls, and a
-start and a quiet minute are 1,180; with two watches a data centre 430, counted at the store.
+Each call to the store has a cost, a pending watch included, and the store's capacity grows more
+slowly than the fleet. If each of 81 VMs watches the store, every change causes some 81 calls, and a
+start with one idle minute 1,180; with two watchers per data centre it is 430.
 
 Terms:
   watcher   a VM whose mirror others follow; the first one follows the store, the others the first
   follower  any other VM
 
-Flow: each VM ranks the VMs of its data centre that it knows by what they bear, and those alike by a
-hash of their names; the first ones are the watchers. VMs that know the same VMs find the same ones,
-and nobody is asked. While they know different ones there are some watchers more.
+Flow: each VM ranks the known VMs of its data centre by capacity, and equal ones by a hash of their
+names; the first ones are the watchers. VMs with the same state select the same watchers without
+coordination; while their states differ, there are a few more watchers.
 
-Guard: the bigger VMs merge the searches of the others, and so are the first to see that the data
-centre is cut off; as watchers they tell all others with the next answer.
+Guard: the larger VMs merge the searches of the others, and are the first to detect that the data
+centre is isolated; as watchers they pass this on with their next response.
 
-Thresholds: two, so that one can fail unnoticed: the second asks the store as soon as the first is
-silent, fails or lags, which takes 1.6 s of the three that a change may take; one more for each
-`FOLLOWERS` VMs, since a follower asks about once a second and each answer takes a millisecond, 1.6%
-of a core at a watcher. Fleets with two VMs or fewer in a data centre have no followers.
+Thresholds: with two watchers, one may fail without an effect: the second one calls the store as
+soon as the first is unresponsive, fails or lags, which takes 1.6 s of the 3 s that a change may
+take. There is one more per `FOLLOWERS_PER_WATCHER` VMs: a follower sends about one request per
+second and each response takes a millisecond, in total 1.6% of a watcher's core. A data centre with
+two VMs or fewer has no followers.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 from berylspindle_decisions.rendezvous import weight
 
 LEAST: Final = 2
-FOLLOWERS: Final = 16
+FOLLOWERS_PER_WATCHER: Final = 16
 
 
 def watchers_of(
@@ -38,10 +39,10 @@
 ) -> tuple[str, ...]:
     """Return the watchers among the VMs of a data centre, best first.
 
-    `vms` holds what each VM bears, in cores (`relay_choice`); `unannounced` are those that are
-    there besides and can't be watchers.
+    `vms` is the capacity of each VM in cores (`relay_choice`); `unannounced` the number of further
+    VMs, which have no entry in the store and can't be watchers.
     """
-    count = max(LEAST, math.ceil((len(vms) + unannounced) / FOLLOWERS))
+    count = max(LEAST, math.ceil((len(vms) + unannounced) / FOLLOWERS_PER_WATCHER))
     ranked = sorted(
         vms, key=lambda name: (vms[name], weight(data_centre, name), name), reverse=True
     )
--- a/tests/decisions/test_control_plans.py
+++ b/tests/decisions/test_control_plans.py
@@ -1,11 +1,11 @@
-"""Plans of intents: what they show, what they refuse, and that they apply once."""
+"""Plans of intents: their contents, the refusals, and that each applies only once."""
 
 from __future__ import annotations
 
 import attrs
 import pytest
 
-from berylspindle_decisions.plans import KEPT_INTENTS, apply_plan, find_record, make_plan
+from berylspindle_decisions.plans import MAX_INTENT_RECORDS, apply_plan, find_record, make_plan
 from berylspindle_model import codec
 from berylspindle_model.configuration import (
     Configuration,
@@ -53,7 +53,7 @@
     return raised.value.refusal.kind
 
 
-def test_a_plan_shows_what_each_service_has_left_at_each_step() -> None:
+def test_a_plan_shows_the_remaining_capacity_of_each_service_at_each_step() -> None:
     plan = make_plan(CURRENT, OUT_A, {"desk": 5.0})
     assert [(load.slots, load.covered, load.fewest) for load in plan.before] == [(18, 2, 3)]
     assert [step.services[0].slots for step in plan.steps] == [12, 12]
@@ -86,7 +86,7 @@
     assert retired.state is ServerState.RETIRED
 
 
-def test_more_capacity_than_the_rest_has_needs_an_override() -> None:
+def test_removing_more_capacity_than_remains_needs_an_override() -> None:
     one_left = apply_plan(CURRENT, make_plan(CURRENT, OUT_A), "ana", override=False)
     assert not make_plan(one_left, OUT_B).needs_override
     assert make_plan(one_left, OUT_B, {"desk": 9.0}).needs_override
@@ -100,10 +100,10 @@
 
 
 def test_of_two_operators_with_safe_plans_the_second_is_refused() -> None:
-    """Two operators take one data centre out each, and nothing would be left of a service.
+    """Guards against two operators who take out one data centre each and leave a service empty.
 
-    Both plan on the same revision, and each plan by itself is safe. The first confirm makes the
-    second plan stale; planned again it shows what is left.
+    Both plans have the same base revision and are safe by themselves; the first confirmation makes
+    the second plan stale.
     """
     first, second = make_plan(CURRENT, OUT_A), make_plan(CURRENT, OUT_B)
     following = apply_plan(CURRENT, first, "ana", override=False)
@@ -112,7 +112,7 @@
         apply_plan(following, second, "ben", override=False)
 
 
-def test_a_plan_that_was_changed_on_the_way_is_refused() -> None:
+def test_a_tampered_plan_is_refused() -> None:
     plan = make_plan(CURRENT, OUT_A)
     forged = attrs.evolve(plan, intent=OUT_B)
     assert refusal_of(forged, CURRENT) is ErrorKind.STALE_PLAN
@@ -120,7 +120,7 @@
     assert refusal_of(fewer, CURRENT) is ErrorKind.STALE_PLAN
 
 
-def test_a_plan_survives_its_json_form() -> None:
+def test_a_plan_round_trips_through_json() -> None:
     service = Service(name="new", epoch=1, shards=("0",))
     intent = Intent(
         kind=IntentKind.STAND_UP,
@@ -154,7 +154,7 @@
         ),
     ],
 )
-def test_what_cannot_be_planned_is_refused(intent: Intent, kind: ErrorKind) -> None:
+def test_an_invalid_intent_is_refused(intent: Intent, kind: ErrorKind) -> None:
     with pytest.raises(RefusalError) as raised:
         make_plan(CURRENT, intent)
     assert raised.value.refusal.kind is kind
@@ -171,9 +171,9 @@
 
 def test_only_the_latest_records_are_kept() -> None:
     current = CURRENT
-    for step in range(KEPT_INTENTS + 5):
+    for step in range(MAX_INTENT_RECORDS + 5):
         kind = IntentKind.RETURN if step % 2 else IntentKind.TAKE_OUT
         plan = make_plan(current, Intent(kind=kind, subject="a"))
         current = apply_plan(current, plan, "ana", override=False)
-    assert len(current.intents) == KEPT_INTENTS
+    assert len(current.intents) == MAX_INTENT_RECORDS
     assert current.intents[-1].revision == current.revision
--- a/tests/decisions/test_load_follower_count.py
+++ b/tests/decisions/test_load_follower_count.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylspindle_decisions.follower_count import FALL_S, FollowerCount
+from berylspindle_decisions.follower_count import DECREASE_DELAY_S, FollowerCount
 
 
 def reads(count: FollowerCount, start: float, end: float, followers: int) -> None:
@@ -22,12 +22,12 @@
     reads(count, 0.0, 10.0, 30)
     assert count.count(10.0) == 30
     assert count.least_bears() == 0.5
-    reads(count, 10.0, 10.0 + FALL_S, 10)
-    assert count.count(9.0 + FALL_S) == 30
-    reads(count, 10.0 + FALL_S, 14.0 + FALL_S, 10)
-    assert count.count(14.0 + FALL_S) == 10
-    reads(count, 14.0 + FALL_S, 15.0 + FALL_S, 40)
-    assert count.count(15.0 + FALL_S) == 40
+    reads(count, 10.0, 10.0 + DECREASE_DELAY_S, 10)
+    assert count.count(9.0 + DECREASE_DELAY_S) == 30
+    reads(count, 10.0 + DECREASE_DELAY_S, 14.0 + DECREASE_DELAY_S, 10)
+    assert count.count(14.0 + DECREASE_DELAY_S) == 10
+    reads(count, 14.0 + DECREASE_DELAY_S, 15.0 + DECREASE_DELAY_S, 40)
+    assert count.count(15.0 + DECREASE_DELAY_S) == 40
 
 
 def test_an_entry_is_written_anew_for_changes_that_matter() -> None:
--- a/tests/decisions/test_load_loss_reports.py
+++ b/tests/decisions/test_load_loss_reports.py
@@ -4,7 +4,7 @@
 
 import random
 
-from berylspindle_decisions.loss_reports import LOSS_S, MOST, LossReports
+from berylspindle_decisions.loss_reports import LOSS_TTL_S, MAX_REPORTED, LossReports
 
 REPLICAS = [f"i-{n}" for n in range(10)]
 LOSSY = frozenset(REPLICAS[:5])
@@ -50,18 +50,18 @@
     assert one.report(13.0) == {"i-1": 3000}
     other.merge(50.0, one.report(13.0))
     assert other.is_lossy(51.9, "i-1")
-    assert not other.is_lossy(47.0 + LOSS_S, "i-1")
+    assert not other.is_lossy(47.0 + LOSS_TTL_S, "i-1")
     # What comes back from the other is no news.
     one.merge(14.0, other.report(51.0))
-    assert not one.is_lossy(10.0 + LOSS_S, "i-1")
+    assert not one.is_lossy(10.0 + LOSS_TTL_S, "i-1")
     assert one.report(16.0) == {}
 
 
 def test_a_report_is_bounded_and_holds_the_latest_losses() -> None:
     """Guards against messages that grow with the replicas of a data centre without power."""
     reports = LossReports()
-    for number in range(3 * MOST):
+    for number in range(3 * MAX_REPORTED):
         reports.lost(10.0 + number / 1000, f"i-{number}")
     told = reports.report(10.5)
-    assert len(told) == MOST
-    assert f"i-{3 * MOST - 1}" in told
+    assert len(told) == MAX_REPORTED
+    assert f"i-{3 * MAX_REPORTED - 1}" in told
--- a/tests/decisions/test_load_relay.py
+++ b/tests/decisions/test_load_relay.py
@@ -6,8 +6,8 @@
 from collections import Counter
 
 from berylspindle_decisions.relay_choice import (
-    DOUBT_LONG,
-    DOUBT_SHORT,
+    FAILURE_BACKOFF_S,
+    REFUSAL_BACKOFF_S,
     RelayChoice,
     RelayVm,
     bears_of,
@@ -53,9 +53,9 @@
     choice = RelayChoice(0.516)
     choice.doubt(0.0, "big-1", long=True)
     choice.doubt(0.0, "big-2", long=False)
-    assert pick(choice, now=DOUBT_SHORT - 0.01) is None
-    assert pick(choice, now=DOUBT_SHORT + 0.01) == "big-2"
-    assert pick(choice, now=DOUBT_LONG + 0.01, u=0.0) in ("big-1", "big-2")
+    assert pick(choice, now=REFUSAL_BACKOFF_S - 0.01) is None
+    assert pick(choice, now=REFUSAL_BACKOFF_S + 0.01) == "big-2"
+    assert pick(choice, now=FAILURE_BACKOFF_S + 0.01, u=0.0) in ("big-1", "big-2")
 
 
 def test_what_all_vms_share_is_divided_so_that_no_more_than_all_of_it_is_used() -> None:
--- a/tests/decisions/test_load_rollout.py
+++ b/tests/decisions/test_load_rollout.py
@@ -1,4 +1,4 @@
-"""A service that is moved to a new version: what a bad one serves, and how a sound one fares."""
+"""Rollouts: the exposure of a bad version, and the completion of a sound one."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from berylspindle_bench.rollout_trials import Fault, Service, Version, judge_whole, play
 from berylspindle_decisions.rollout_plan import (
-    MOST_TRIED,
-    SLACK_AFTER_S,
+    MAX_TRIAL_SHARE,
+    SLACK_DELAY_S,
     ExposureBounds,
     Stage,
     may_try,
@@ -25,26 +25,26 @@
 
 @pytest.mark.parametrize("kind", ["start", "later", "one route", "load"])
 def test_a_bad_version_is_rolled_back_within_its_exposure(kind: str) -> None:
-    """Guards against a version that fails later, on one route or under load, and serves all."""
-    played = [play(Version(kind=kind, share=0.4), BUSY, seed=seed) for seed in SEEDS]
-    assert all(one.stage is Stage.ROLLED_BACK for one in played)
-    assert all(one.exposed <= one.allowed for one in played)
+    """Guards against completing a version that fails later, on one route or under load."""
+    runs = [play(Version(kind=kind, share=0.4), BUSY, seed=seed) for seed in SEEDS]
+    assert all(run.stage is Stage.ROLLED_BACK for run in runs)
+    assert all(run.exposed <= run.allowed for run in runs)
 
 
 def test_a_sound_version_is_completed_in_time() -> None:
-    played = [play(Version(), BUSY, seed=seed) for seed in SEEDS]
-    assert sum(one.stage is Stage.COMPLETED for one in played) >= 20
-    assert all(one.ended < BUSY.term for one in played)
+    runs = [play(Version(), BUSY, seed=seed) for seed in SEEDS]
+    assert sum(run.stage is Stage.COMPLETED for run in runs) >= 20
+    assert all(run.ended < BUSY.term for run in runs)
 
 
-def test_a_sound_version_of_a_service_with_few_requests_gets_on_too() -> None:
+def test_a_sound_version_of_a_service_with_few_requests_is_completed() -> None:
     quiet = Service(rate=2.0, bad=0.01)
-    played = [play(Version(), quiet, seed=seed) for seed in SEEDS]
-    assert sum(one.stage is Stage.COMPLETED for one in played) >= 15
+    runs = [play(Version(), quiet, seed=seed) for seed in SEEDS]
+    assert sum(run.stage is Stage.COMPLETED for run in runs) >= 15
 
 
-def test_a_version_that_is_bad_on_one_route_hides_among_all_routes() -> None:
-    """Guards against a judge of the total: the control's pauses cover what one route shows."""
+def test_a_version_that_is_bad_on_one_route_is_detected() -> None:
+    """Guards against evaluating only the total, where the control's pauses mask a single route."""
     routes = {
         "whole": AnswerCounts(70, 5, {"a": (700, 50)}),
         "quick": AnswerCounts(12, 8, {"a": (120, 6)}),
@@ -53,12 +53,12 @@
     assert judge_whole(routes, LENIENT) is not Verdict.SOUND
 
 
-def test_trouble_of_both_versions_is_no_fault_of_the_new_one() -> None:
+def test_trouble_of_both_versions_does_not_count_against_the_new_one() -> None:
     assert judge({"r": AnswerCounts(60, 15, {"a": (600, 150)})}) is not Verdict.BAD
     assert judge({"r": AnswerCounts(60, 30, {"a": (600, 150)})}) is Verdict.BAD
 
 
-def test_without_answers_nothing_is_sound() -> None:
+def test_no_version_is_found_sound_without_responses() -> None:
     assert judge({}) is Verdict.UNSURE
     assert judge({"r": AnswerCounts(old={"a": (500, 0)})}, LENIENT) is Verdict.UNSURE
 
@@ -73,7 +73,7 @@
     in_stage=TIMES,
     term=st.floats(min_value=1.0, max_value=60.0),
 )
-def test_steps_never_go_back_and_a_bad_version_never_on(
+def test_stages_never_go_back_and_a_bad_version_never_advances(
     stage: Stage, verdict: Verdict, elapsed: float, in_stage: float, term: float
 ) -> None:
     following = next_stage(stage, verdict, elapsed=elapsed, in_stage=in_stage, term=term)
@@ -91,12 +91,12 @@
 @given(
     rate=st.floats(min_value=0.0, max_value=500.0), term=st.floats(min_value=4.0, max_value=60.0)
 )
-def test_a_trial_stays_within_the_exposure_on_the_whole(rate: float, term: float) -> None:
-    """Guards against a trial that goes on after its part of the term, or takes more in pulses."""
+def test_the_trial_share_stays_within_the_exposure(rate: float, term: float) -> None:
+    """Guards against a trial that continues after the decision deadline, or exceeds in pulses."""
     bounds = ExposureBounds()
     steps = [n * 0.05 for n in range(int(term / 0.05))]
     shares = [trial_share(bounds, term=term, rate=rate, elapsed=at) for at in steps]
-    assert max(shares) <= MOST_TRIED
+    assert max(shares) <= MAX_TRIAL_SHARE
     exposed = sum(shares) * 0.05 * rate
     assert exposed <= bounds.share * rate * term + bounds.slack
 
@@ -107,7 +107,7 @@
     lag=st.integers(min_value=1, max_value=200),
 )
 def test_all_vms_together_stay_within_the_exposure(data: st.DataObject, vms: int, lag: int) -> None:
-    """Guards against VMs that spend the slack each on its own, or on what others have had since."""
+    """Guards against VMs that each use the whole slack, or use it on outdated counts."""
     bounds = ExposureBounds()
     requests, tried = [0] * vms, [0] * vms
     rng = data.draw(st.randoms(use_true_random=False))
@@ -117,7 +117,7 @@
         requests[vm] += 1
         tried[vm] += may_try(
             bounds,
-            elapsed=SLACK_AFTER_S * total / (3 * lag),
+            elapsed=SLACK_DELAY_S * total / (3 * lag),
             requests=requests[vm],
             tried=tried[vm],
             of_all=max(0, total - lag),
@@ -127,18 +127,18 @@
 
 
 def test_a_trial_stays_within_the_exposure_in_a_burst() -> None:
-    """Guards against a share that is set for the usual rate and overspends the slack in a burst."""
-    played = [play(Version(), BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
-    assert all(one.exposed <= one.allowed for one in played if one.stage is Stage.ROLLED_BACK)
+    """Guards against a share computed for the usual rate that exceeds the slack in a burst."""
+    runs = [play(Version(), BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
+    assert all(run.exposed <= run.allowed for run in runs if run.stage is Stage.ROLLED_BACK)
     bad = Version(kind="start", share=0.1)
-    found = [play(bad, BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
-    assert sum(one.exposed > one.allowed for one in found) <= 2
+    bad_runs = [play(bad, BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
+    assert sum(run.exposed > run.allowed for run in bad_runs) <= 2
 
 
 def test_a_slow_old_replica_does_not_hide_a_bad_version() -> None:
-    """Guards against everybody being moved to a bad version while an old replica is in trouble."""
+    """Guards against a shift to a bad version while an old replica is slow."""
     bad = Version(kind="later", share=0.3)
-    played = [play(bad, BUSY, seed=seed, fault=Fault.OLD_SLOW) for seed in SEEDS]
-    assert sum(one.stage is Stage.ROLLED_BACK for one in played) >= 23
+    runs = [play(bad, BUSY, seed=seed, fault=Fault.OLD_SLOW) for seed in SEEDS]
+    assert sum(run.stage is Stage.ROLLED_BACK for run in runs) >= 23
     counts = AnswerCounts(60, 15, {"a": (200, 10), "b": (200, 8), "slow": (200, 120)})
     assert judge({"r": counts}) is Verdict.BAD
