--- a/tests/decisions/test_control_rendezvous.py
+++ b/tests/decisions/test_control_rendezvous.py
@@ -1,4 +1,4 @@
-"""The owner of a backend server is the same everywhere, and few move when a member leaves."""
+"""Rendezvous hashing: equal owners on every VM, and few moves when a member leaves."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 SERVERS = [f"server-{n}" for n in range(1600)]
 
 
-def test_order_of_members_has_no_influence() -> None:
+def test_the_order_of_members_has_no_influence() -> None:
     for server in SERVERS[:100]:
         assert owner_of(server, MEMBERS) == owner_of(server, MEMBERS[::-1])
 
 
-def test_only_the_keys_of_a_leaver_move_and_they_spread() -> None:
+def test_only_the_keys_of_a_removed_member_move_and_they_spread() -> None:
     before = {server: owner_of(server, MEMBERS) for server in SERVERS}
     after = {server: owner_of(server, MEMBERS[1:]) for server in SERVERS}
     moved = {server for server in SERVERS if before[server] != after[server]}
--- a/tests/decisions/test_load_follower_count.py
+++ b/tests/decisions/test_load_follower_count.py
@@ -1,12 +1,12 @@
-"""How many VMs follow one that speaks for them."""
+"""The count of a VM's followers that have no entry of their own in the store."""
 
 from __future__ import annotations
 
 from berylspindle_decisions.follower_count import DECREASE_DELAY_S, FollowerCount
 
 
-def reads(count: FollowerCount, start: float, end: float, followers: int) -> None:
-    """Let so many followers read once a second."""
+def record_reads(count: FollowerCount, start: float, end: float, followers: int) -> None:
+    """Record one read a second by each of the followers."""
     now = start
     while now < end:
         for number in range(followers):
@@ -14,26 +14,26 @@
         now += 1.0
 
 
-def test_a_count_rises_at_once_and_falls_late() -> None:
-    """Guards against shares of budgets that grow while followers restart or read another mirror."""
+def test_a_count_rises_at_once_and_falls_with_a_delay() -> None:
+    """Guards against parts of budgets that grow while followers restart or read another mirror."""
     count = FollowerCount()
     assert count.count(0.0) == 0
     assert count.least_bears() == 0.0
-    reads(count, 0.0, 10.0, 30)
+    record_reads(count, 0.0, 10.0, 30)
     assert count.count(10.0) == 30
     assert count.least_bears() == 0.5
-    reads(count, 10.0, 10.0 + DECREASE_DELAY_S, 10)
+    record_reads(count, 10.0, 10.0 + DECREASE_DELAY_S, 10)
     assert count.count(9.0 + DECREASE_DELAY_S) == 30
-    reads(count, 10.0 + DECREASE_DELAY_S, 14.0 + DECREASE_DELAY_S, 10)
+    record_reads(count, 10.0 + DECREASE_DELAY_S, 14.0 + DECREASE_DELAY_S, 10)
     assert count.count(14.0 + DECREASE_DELAY_S) == 10
-    reads(count, 14.0 + DECREASE_DELAY_S, 15.0 + DECREASE_DELAY_S, 40)
+    record_reads(count, 14.0 + DECREASE_DELAY_S, 15.0 + DECREASE_DELAY_S, 40)
     assert count.count(15.0 + DECREASE_DELAY_S) == 40
 
 
-def test_an_entry_is_written_anew_for_changes_that_matter() -> None:
-    """Guards against a write to the store for each follower that comes or goes."""
+def test_an_entry_is_written_again_only_for_large_changes() -> None:
+    """Guards against a write to the store for each new or lost follower."""
     count = FollowerCount()
-    reads(count, 0.0, 1.0, 30)
+    record_reads(count, 0.0, 1.0, 30)
     assert count.is_due(1.0, 0)
     assert not count.is_due(1.0, 28)
     assert count.is_due(1.0, 20)
--- a/tests/decisions/test_load_relay.py
+++ b/tests/decisions/test_load_relay.py
@@ -1,4 +1,4 @@
-"""Where a request over many shards is merged when VMs are uneven."""
+"""The choice of the VM that executes a scatter-gather among VMs of different capacity."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
     least_merger,
 )
 
-BIG = (RelayVm("big-1", 2.15), RelayVm("big-2", 2.15))
+LARGE = (RelayVm("big-1", 2.15), RelayVm("big-2", 2.15))
 SMALL = RelayVm("small", 0.516)
 
 
 def pick(choice: RelayChoice, now: float = 0.0, in_flight: int = 1, u: float = 0.5) -> str | None:
-    return choice.pick(now, (*BIG, SMALL), in_flight=in_flight, u=u)
+    return choice.pick(now, (*LARGE, SMALL), in_flight=in_flight, u=u)
 
 
-def test_a_small_vm_passes_its_searches_to_big_ones_and_a_big_one_keeps_its_own() -> None:
-    """A search over 36 shards on a VM with 20 Mbit/s waits for its own link, not for shards."""
+def test_a_small_vm_relays_its_searches_to_large_ones_and_a_large_one_keeps_its_own() -> None:
+    """Guards against searches over 36 shards that queue on the 20 Mbit/s link of a small VM."""
     choice = RelayChoice(0.516)
     rng = random.Random(1)
-    got = Counter(pick(choice, u=rng.random()) for _ in range(100))
-    assert set(got) <= {"big-1", "big-2"}
+    counts = Counter(pick(choice, u=rng.random()) for _ in range(100))
+    assert set(counts) <= {"big-1", "big-2"}
     assert pick(RelayChoice(2.15)) is None
     assert RelayChoice(1.0).pick(0.0, (SMALL, RelayVm("same", 1.5)), in_flight=1, u=0.5) is None
 
 
-def test_searches_spread_by_what_is_under_way_and_stay_where_big_ones_are_full() -> None:
-    """All small VMs choose the same big one, and its callers wait while the other idles."""
+def test_searches_spread_by_load_and_stay_on_the_vm_while_large_ones_are_busy() -> None:
+    """Guards against small VMs that all choose one large VM while the other is idle."""
     choice = RelayChoice(0.516)
     first = pick(choice)
     assert first is not None
     choice.sent(first)
     second = pick(choice)
     assert second not in (None, first)
-    for merger in BIG:
+    for merger in LARGE:
         choice.reported(0.0, merger.name, 9)
     assert pick(choice, now=0.1) is None
     assert pick(choice, now=0.1, in_flight=6) is not None
-    # Old news of load is no news.
+    # An outdated load report is ignored.
     assert pick(choice, now=5.0) is not None
 
 
-def test_a_merger_that_failed_is_left_alone_for_a_while() -> None:
+def test_a_merger_that_failed_is_avoided_during_its_back_off() -> None:
     choice = RelayChoice(0.516)
     choice.doubt(0.0, "big-1", long=True)
     choice.doubt(0.0, "big-2", long=False)
@@ -58,10 +58,10 @@
     assert pick(choice, now=FAILURE_BACKOFF_S + 0.01, u=0.0) in ("big-1", "big-2")
 
 
-def test_what_all_vms_share_is_divided_so_that_no_more_than_all_of_it_is_used() -> None:
-    """A replica resets connections, or falls over cold, for the parts of all VMs exceed its bound.
+def test_the_parts_of_a_cluster_wide_limit_add_up_to_one() -> None:
+    """Guards against parts that together exceed a replica's limit, which overloads it when cold.
 
-    Divided evenly by 81, a merger would have one connection and no hedge to spare.
+    With an even split among 81 VMs, a merger would have one connection and no hedged requests.
     """
     fleet = [2.15] * 8 + [0.516] * 73
     parts = []
@@ -74,30 +74,30 @@
     assert count_alike(1.0, {}) == 1
 
 
-def test_a_data_centre_without_replicas_has_its_searches_merged_near_them() -> None:
-    """Guards against 42 parts over the links between data centres for one answer."""
+def test_searches_of_a_data_centre_without_replicas_are_merged_near_them() -> None:
+    """Guards against 42 messages over the links between data centres for one response."""
     near, far = RelayVm("near", 2.15), RelayVm("far", 2.15, missing=1.0)
     for own in (0.516, 2.15):
         choice = RelayChoice(own)
         assert choice.pick(0.0, (near, far), in_flight=1, u=0.5, missing=1.0) == "near"
-    # One that bears less is spared, and a data centre that lacks a few shards keeps its own.
+    # A smaller VM is no candidate, and a data centre that lacks a few shards keeps its requests.
     assert RelayChoice(2.15).pick(0.0, (SMALL,), in_flight=1, u=0.5, missing=1.0) is None
     assert RelayChoice(2.15).pick(0.0, (near,), in_flight=1, u=0.5, missing=0.3) is None
 
 
-def test_searches_stay_in_their_data_centre_while_all_mergers_near_the_replicas_are_full() -> None:
-    """Guards against callers that wait for three VMs of one data centre while others idle."""
+def test_searches_stay_in_their_data_centre_while_mergers_near_the_replicas_are_busy() -> None:
+    """Guards against callers that wait for three VMs of one data centre while others are idle."""
     choice = RelayChoice(0.516)
     mergers = (RelayVm("near", 2.15), RelayVm("here", 2.15, missing=1.0))
     choice.reported(0.0, "near", 30)
     assert choice.pick(0.1, mergers, in_flight=1, u=0.5, missing=1.0) == "here"
 
 
-def test_mergers_are_the_bigger_vms_or_all_where_none_is_bigger() -> None:
+def test_mergers_are_the_larger_vms_or_all_of_equal_capacity() -> None:
     assert least_merger([0.516, 0.516, 2.15]) == 2 * 0.516
     assert least_merger([1.07, 1.07]) == 1.07
 
 
-def test_a_link_can_bind_a_vm_with_cores_to_spare() -> None:
+def test_a_slow_link_limits_the_capacity_of_a_vm() -> None:
     assert bears_of(cores=2.0, link_mbps=1000.0) == 2.0
     assert bears_of(cores=2.0, link_mbps=8.0) == 0.5
--- a/tests/decisions/test_load_rollout.py
+++ b/tests/decisions/test_load_rollout.py
@@ -38,8 +38,8 @@
 
 
 def test_a_sound_version_of_a_service_with_few_requests_is_completed() -> None:
-    quiet = Service(rate=2.0, bad=0.01)
-    runs = [play(Version(), quiet, seed=seed) for seed in SEEDS]
+    low_rate = Service(rate=2.0, bad=0.01)
+    runs = [play(Version(), low_rate, seed=seed) for seed in SEEDS]
     assert sum(run.stage is Stage.COMPLETED for run in runs) >= 15
 
 
