--- a/libs/decisions/berylspindle_decisions/reach.py
+++ b/libs/decisions/berylspindle_decisions/reach.py
@@ -20,11 +20,12 @@
 `UNREACHABLE_AFTER_S`. If a VM of the same data centre reports isolation (`suspect`), this VM counts
 as isolated until its next contact, and probes the other data centres while `should_probe`.
 
-Guards: only this VM's own contacts end the effect of a report. VMs of an isolated data centre read
-each other's mirrors, some of which haven't detected the isolation yet; if their state ended a
-report, VMs would alternate between ready and unready each second, and the load balancer, which
-needs all of them unready, would never divert callers. A VM without any contact since its start
-ignores unanswered probes: after a power failure its peers have not started either.
+Guards: a report ends with a contact of this VM, with its expiry, or when the VM that sent it clears
+it (`end_suspicion`), but not through other VMs. VMs of an isolated data centre read each other's
+mirrors, some of which haven't detected the isolation yet; if these ended a report, VMs would
+alternate between ready and unready each second, and the load balancer, which needs all of them
+unready, would never divert callers. A VM without any contact since its start ignores unanswered
+probes: after a power failure its peers have not started either.
 
 Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause; a data centre whose
 replicas are all ten times as slow still answers within it. `TRIES` of 3 tolerates a single lost
--- a/libs/decisions/berylspindle_decisions/suspicions.py
+++ b/libs/decisions/berylspindle_decisions/suspicions.py
@@ -132,14 +132,14 @@
             if name in self._contacts and age < _MAX_AGE_TENTHS:
                 self.record_contact(name, now - age / _TENTHS_PER_S)
 
-    def cut_off(self, now: float) -> frozenset[str]:
+    def unreachable_data_centres(self, now: float) -> frozenset[str]:
         """Return the data centres without a contact for `UNREACHABLE_AFTER_S`."""
         overdue = (name for name, at in self._contacts.items() if now - at > UNREACHABLE_AFTER_S)
         return frozenset(name for name in overdue if name != self._data_centre)
 
     def suspects(self, views: Iterable[View], now: float) -> frozenset[str]:
         """Return the VMs to send nothing to: suspected ones, and those in unreachable centres."""
-        unreachable = self.cut_off(now)
+        unreachable = self.unreachable_data_centres(now)
         unreachable_vms = {
             vm.id for view in views if view.data_centre in unreachable for vm in view.members
         }
--- a/tests/decisions/test_load_relay.py
+++ b/tests/decisions/test_load_relay.py
@@ -59,8 +59,9 @@
 
 
 def test_the_parts_of_a_cluster_wide_limit_add_up_to_one() -> None:
-    """Guards against parts that together exceed a replica's limit, which overloads it when cold.
+    """Guards against parts that together exceed a limit of a replica.
 
+    The replica would reset connections, or be overloaded while it is cold.
     With an even split among 81 VMs, a merger would have one connection and no hedged requests.
     """
     fleet = [2.15] * 8 + [0.516] * 73
