--- a/libs/dataplane/berylspindle_dataplane/__init__.py
+++ b/libs/dataplane/berylspindle_dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request: entry, fan-out, owner, claims."""
+"""Request path of a VM: entry, scatter-gather, owner and execute claims."""
--- a/libs/dataplane/berylspindle_dataplane/backend.py
+++ b/libs/dataplane/berylspindle_dataplane/backend.py
@@ -1,11 +1,11 @@
-"""What the data plane asks of one backend server, whatever protocol it speaks.
+"""Protocol-independent client interface for one backend server.
 
 Terms:
-  attempt    one sub-request to this backend server, with an id that its reply carries back
-  report     what the backend server says of itself; it may lag or mislead, so a report may lower
-             the trust in a server and never raise it
+  attempt    one sub-request to the backend server; its reply carries the same id
+  report     state that the backend server reports about itself. It may be outdated or wrong, so a
+             report may lower the concurrency limit of the server but never raise it
 
-The owner of a backend server holds one `Backend` for it and closes it when it stops owning it.
+The owner of a backend server holds one `Backend` for it and closes it when ownership ends.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class BackendReport:
-    """A backend server's own report of its state and the snapshots it holds, oldest first."""
+    """State that a backend server reports, with the snapshots it holds, oldest first."""
 
     state: BackendState
     versions: tuple[Snapshot, ...] = ()
@@ -29,24 +29,24 @@
 
 
 class Backend(abc.ABC):
-    """A client of one backend server. Cancelling a call cancels the work at the server."""
+    """Client of one backend server. Cancelling a call cancels the work at the server."""
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections are open; 0 for a protocol that has none."""
+        """Return the number of open connections; 0 for a connectionless protocol."""
         return 0
 
     @abc.abstractmethod
     async def run(self, attempt: Attempt, *, deadline_ms: int) -> AttemptReply:
-        """Run one attempt and return its reply; failures are replies too, never exceptions.
+        """Run one attempt and return its reply; failures are returned as replies, not raised.
 
-        The reply's run state is NOT_RUN only where no byte reached the server or the server itself
-        refused the work.
+        The run state is NOT_RUN only if no byte reached the server or the server itself refused the
+        work.
         """
 
     @abc.abstractmethod
     async def report(self) -> BackendReport | None:
-        """Return the server's own report, or None where it gave none in time."""
+        """Return the server's report, or None if it did not arrive in time."""
 
     @abc.abstractmethod
     async def close(self) -> None:
--- a/libs/dataplane/berylspindle_dataplane/edge.py
+++ b/libs/dataplane/berylspindle_dataplane/edge.py
@@ -1,8 +1,8 @@
-"""The callers' edge: HTTP requests in, typed requests to the entry, answers or refusals out.
+"""HTTP endpoint for callers: decodes requests, calls the entry or executor, encodes responses.
 
-Flow: `CallerEdge.handle` finds the route, checks and decodes headers and body, hands a typed
-request to the entry or the executor and writes what comes back. Every refusal goes through the one
-table of error kinds. The HTTP server cancels the handler when the caller goes away, and that
+Flow: `CallerEdge.handle` resolves the route, validates and decodes headers and body, passes a typed
+request to the entry or the executor and encodes the result. Every refusal is mapped through the
+same table of error kinds. When the caller disconnects, the HTTP server cancels the handler, which
 cancels the work down to the backend servers.
 """
 
@@ -31,7 +31,8 @@
 MAX_LIMIT: Final = 100
 MAX_QUERY_CHARS: Final = 2048
 MAX_NAME_CHARS: Final = 128
-# Nobody at a desk waits a minute for a search; a longer deadline is a caller's mistake in units.
+# No interactive search takes a minute; a longer deadline indicates that the caller confused the
+# units.
 MAX_DEADLINE_MS: Final = 60_000
 
 SearchHandler = Callable[[SearchRequest], Awaitable[SearchAnswer | Refusal]]
@@ -41,31 +42,32 @@
 
 @attrs.frozen(kw_only=True)
 class EdgeHandlers:
-    """What stands behind the edge.
+    """Callbacks of the edge.
 
-    `ready` says why the balancer should not send here, `refused` as what requests are refused that
-    come all the same; both are None where all is well.
+    `readiness_refusal` returns why the load balancer should not send requests here;
+    `request_refusal` returns the refusal of requests that arrive nevertheless. Both return None in
+    normal operation.
     """
 
     search: SearchHandler
     execute: ExecuteHandler
     outcome: OutcomeHandler
-    ready: Callable[[], Refusal | None]
-    refused: Callable[[], Refusal | None]
+    readiness_refusal: Callable[[], Refusal | None]
+    request_refusal: Callable[[], Refusal | None]
     new_id: Callable[[], str]
 
 
 class CallerEdge:
-    """Answer callers' HTTP requests."""
+    """Handle HTTP requests of callers."""
 
     def __init__(self, handlers: EdgeHandlers) -> None:
         self._handlers: Final = handlers
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request; every failure becomes an answer of the table."""
+        """Handle one request; every RefusalError becomes a response of the error table."""
         request_id = self._handlers.new_id()
         try:
-            named = _name(request.headers.get(protocol.REQUEST_ID_HEADER), "request id")
+            named = _checked_header(request.headers.get(protocol.REQUEST_ID_HEADER), "request id")
             request_id = named or request_id
             return await self._route(request, request_id)
         except RefusalError as error:
@@ -80,9 +82,9 @@
         if route is None:
             raise refuse(ErrorKind.NOT_FOUND, request.path[:MAX_NAME_CHARS])
         if request.method != route.method:
-            raise refuse(ErrorKind.METHOD_NOT_ALLOWED, f"{request.path} takes {route.method}")
+            raise refuse(ErrorKind.METHOD_NOT_ALLOWED, f"{request.path} requires {route.method}")
         if route.name is not protocol.RouteName.OUTCOME:
-            refusal = self._handlers.refused()
+            refusal = self._handlers.request_refusal()
             if refusal is not None:
                 return refusal_response(refusal, request_id)
         outcome: SearchAnswer | ExecuteAnswer | Refusal
@@ -97,7 +99,7 @@
         return json_response(200, codec.to_json(outcome))
 
     def _ready(self, request_id: str) -> HttpResponse:
-        refusal = self._handlers.ready()
+        refusal = self._handlers.readiness_refusal()
         if refusal is not None:
             return refusal_response(refusal, request_id)
         return json_response(200, b'{"ready":true}')
@@ -107,13 +109,13 @@
     ) -> SearchAnswer | Refusal:
         body = _decode(request.body, protocol.SearchBody)
         if len(body.query) > MAX_QUERY_CHARS:
-            raise refuse(ErrorKind.BAD_REQUEST, f"query is over {MAX_QUERY_CHARS} characters")
+            raise refuse(ErrorKind.BAD_REQUEST, f"query exceeds {MAX_QUERY_CHARS} characters")
         if not 1 <= body.limit <= MAX_LIMIT:
-            raise refuse(ErrorKind.BAD_REQUEST, f"limit is not in 1 to {MAX_LIMIT}")
+            raise refuse(ErrorKind.BAD_REQUEST, f"limit must be between 1 and {MAX_LIMIT}")
         page = decode_page(body.page, service=service, query=body.query) if body.page else None
         offset = page.offset if page else 0
         if offset + body.limit > MAX_DEPTH:
-            raise refuse(ErrorKind.BAD_REQUEST, f"pages end at {MAX_DEPTH} hits")
+            raise refuse(ErrorKind.BAD_REQUEST, f"offset + limit exceeds {MAX_DEPTH} hits")
         return await self._handlers.search(
             SearchRequest(
                 request_id=request_id,
@@ -123,14 +125,16 @@
                 limit=body.limit,
                 offset=offset,
                 pin=page.snapshot if page else None,
-                deadline_ms=_deadline(request),
+                deadline_ms=_deadline_ms(request),
             )
         )
 
     async def _execute(
         self, request: HttpRequest, request_id: str, service: str
     ) -> ExecuteAnswer | Refusal:
-        key = _name(request.headers.get(protocol.IDEMPOTENCY_KEY_HEADER), "idempotency key")
+        key = _checked_header(
+            request.headers.get(protocol.IDEMPOTENCY_KEY_HEADER), "idempotency key"
+        )
         if not key:
             raise refuse(ErrorKind.BAD_REQUEST, "the idempotency-key header is missing")
         body = _decode(request.body, protocol.ExecuteBody)
@@ -142,7 +146,7 @@
                 key=key,
                 shard=body.shard,
                 payload=body.payload,
-                deadline_ms=_deadline(request),
+                deadline_ms=_deadline_ms(request),
             )
         )
 
@@ -154,7 +158,7 @@
         raise refuse(ErrorKind.BAD_REQUEST, str(error)) from None
 
 
-def _name(value: str | None, what: str) -> str:
+def _checked_header(value: str | None, what: str) -> str:
     if value is None:
         return ""
     if len(value) > MAX_NAME_CHARS or not value.isprintable():
@@ -163,10 +167,10 @@
 
 
 def _caller(request: HttpRequest) -> str:
-    return _name(request.headers.get(protocol.CALLER_HEADER), "caller") or "anonymous"
+    return _checked_header(request.headers.get(protocol.CALLER_HEADER), "caller") or "anonymous"
 
 
-def _deadline(request: HttpRequest) -> int | None:
+def _deadline_ms(request: HttpRequest) -> int | None:
     text = request.headers.get(protocol.DEADLINE_HEADER)
     if text is None:
         return None
@@ -174,5 +178,7 @@
         raise refuse(ErrorKind.BAD_REQUEST, "the deadline is not a number of milliseconds")
     deadline = int(text)
     if not 1 <= deadline <= MAX_DEADLINE_MS:
-        raise refuse(ErrorKind.BAD_REQUEST, f"the deadline is not in 1 to {MAX_DEADLINE_MS} ms")
+        raise refuse(
+            ErrorKind.BAD_REQUEST, f"the deadline must be between 1 and {MAX_DEADLINE_MS} ms"
+        )
     return deadline
--- a/libs/dataplane/berylspindle_dataplane/entry.py
+++ b/libs/dataplane/berylspindle_dataplane/entry.py
@@ -1,11 +1,11 @@
-"""The entry: callers' searches in, one answer or one refusal out of each.
+"""Entry for searches: turns each request of a caller into one answer or one refusal.
 
 Terms:
-  fingerprint   hash of what a search makes backend servers run; equal searches share it
+  fingerprint   hash of the work a search causes at backend servers; equal searches share it
 
-Flow: `search` admits or refuses at once, splits the deadline, asks the quarantine, pins the
-snapshot and has one `FanoutDrive` carry the fan-out to its outcome. A caller that goes away cancels
-`search`, and that cancels what is out.
+Flow: `search` admits or refuses the request at once, derives the deadline of the fan-out, queries
+the quarantine, pins the snapshot and lets a `FanoutDriver` run the fan-out. If the caller
+disconnects, `search` is cancelled, which cancels the outstanding attempts.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 import xxhash
 
 from berylspindle_dataplane.entry_tools import EntryTools
-from berylspindle_dataplane.fanout_drive import FanoutDrive
+from berylspindle_dataplane.fanout_driver import FanoutDriver
 from berylspindle_dataplane.router import Router
 from berylspindle_dataplane.search_fanout import SearchFanout
 from berylspindle_dataplane.service_meters import ServiceMeters
-from berylspindle_dataplane.service_state import Pressure, SearchGuide, ServiceState
+from berylspindle_dataplane.service_state import OverloadSignal, SearchStrategy, ServiceState
 from berylspindle_decisions.quarantine import RunMode
 from berylspindle_model.configuration import Configuration, Service
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
@@ -31,40 +31,40 @@
 class Entry:
     """Answer searches."""
 
-    def __init__(self, router: Router, tools: EntryTools) -> None:
+    def __init__(self, router: Router, context: EntryTools) -> None:
         self._router: Final = router
-        self._tools: Final = tools
+        self._context: Final = context
         self._services: dict[str, ServiceState] = {}
         self._configuration: Configuration | None = None
 
     def adopt(self, state: ClusterState) -> None:
-        """Follow a new state; what was learned of services that stay is kept."""
+        """Apply a new cluster state; keep the state of services that remain configured."""
         configuration = state.configuration
         if configuration is None or configuration is self._configuration:
             return
         self._configuration = configuration
         maps = _shard_maps(configuration)
         for service in configuration.services:
-            known = self._services.get(service.name)
-            if known is None:
-                meters = ServiceMeters(service.name, self._tools.metrics, self._tools.timeline)
+            existing = self._services.get(service.name)
+            if existing is None:
+                meters = ServiceMeters(service.name, self._context.metrics, self._context.timeline)
                 self._services[service.name] = ServiceState(
-                    service, maps[service.name], meters, self._tools.admission
+                    service, maps[service.name], meters, self._context.admission
                 )
             else:
-                known.adopt(service, maps[service.name])
+                existing.adopt(service, maps[service.name])
         for name in set(self._services) - {service.name for service in configuration.services}:
             del self._services[name]
 
     def state(self, service: str) -> ServiceState | None:
-        """Return what is known of a service, or None where it is not configured."""
+        """Return the state of a service, or None if it is not configured."""
         return self._services.get(service)
 
     async def search(self, request: SearchRequest) -> SearchAnswer | Refusal:
-        """Answer one search or refuse it, in either case before its deadline."""
-        started = self._tools.now()
+        """Answer or refuse one search before its deadline."""
+        started = self._context.now()
         outcome = await self._admit(request, started)
-        self._count(request.service, outcome, (self._tools.now() - started) * 1000)
+        self._record_metrics(request.service, outcome, (self._context.now() - started) * 1000)
         return outcome
 
     async def _admit(self, request: SearchRequest, started: float) -> SearchAnswer | Refusal:
@@ -74,78 +74,82 @@
         if state is None:
             return Refusal(ErrorKind.UNKNOWN_SERVICE, request.service)
         left_ms = request.deadline_ms or state.service.policy.deadline_ms
-        given_ms = self._tools.deadlines.for_entry(left_ms, shards=len(state.service.shards))
-        if given_ms is None:
+        timeout_ms = self._context.deadlines.for_entry(left_ms, shards=len(state.service.shards))
+        if timeout_ms is None:
             return Refusal(ErrorKind.DEADLINE_EXCEEDED, "the deadline is too short", _NOT_RUN)
         admission = state.admission
-        verdict = admission.decide(started, caller=request.caller, deadline_left_ms=given_ms)
+        verdict = admission.decide(started, caller=request.caller, deadline_left_ms=timeout_ms)
         if isinstance(verdict, Refusal):
-            self._tools.shedding.on_refused(started, verdict.kind.value)
+            self._context.shedding.on_refused(started, verdict.kind.value)
             return verdict
-        self._tools.shedding.on_admitted(started)
+        self._context.shedding.on_admitted(started)
         admission.on_start(request.caller)
-        pressure = Pressure()
+        overload = OverloadSignal()
         try:
-            return await self._run(request, state, pressure, started, started + given_ms / 1000)
+            return await self._run(request, state, overload, started, started + timeout_ms / 1000)
         finally:
             admission.on_done(
-                self._tools.now(),
+                self._context.now(),
                 request.caller,
-                queued_ms=pressure.queued_ms,
+                queued_ms=overload.queued_ms,
                 service_ms=state.served_ms,
-                pressed=pressure.pressed,
+                pressed=overload.overloaded,
             )
 
     async def _run(
         self,
         request: SearchRequest,
         state: ServiceState,
-        pressure: Pressure,
+        overload: OverloadSignal,
         started: float,
         deadline: float,
     ) -> SearchAnswer | Refusal:
         fingerprint = fingerprint_of(request.service, request.query)
-        mode = self._tools.quarantine.decide(started, fingerprint)
+        mode = self._context.quarantine.decide(started, fingerprint)
         if isinstance(mode, Refusal):
             return mode
         is_canary = mode is RunMode.CANARY
         fanout = SearchFanout(
             request,
             state.service,
-            self._guide(request, state, pressure, fingerprint),
+            self._make_strategy(request, state, overload, fingerprint),
             pin=request.pin or state.tracker.choose(self._usable(state.service)),
             suspected=is_canary,
             now=started,
             deadline=deadline,
         )
-        drive = FanoutDrive(
+        driver = FanoutDriver(
             fanout,
             state,
             self._router,
-            self._tools,
+            self._context,
             request,
             fingerprint=fingerprint,
             is_canary=is_canary,
         )
         try:
-            return await drive.run(deadline)
+            return await driver.run(deadline)
         finally:
             if is_canary:
-                self._tools.quarantine.on_unsettled(fingerprint)
+                self._context.quarantine.on_unsettled(fingerprint)
 
-    def _guide(
-        self, request: SearchRequest, state: ServiceState, pressure: Pressure, fingerprint: str
-    ) -> SearchGuide:
-        return SearchGuide(
+    def _make_strategy(
+        self,
+        request: SearchRequest,
+        state: ServiceState,
+        overload: OverloadSignal,
+        fingerprint: str,
+    ) -> SearchStrategy:
+        return SearchStrategy(
             state,
             self._router,
-            self._tools.quarantine,
+            self._context.quarantine,
             fingerprint=fingerprint,
-            pressure=pressure,
+            overload=overload,
             pinned=request.pin is not None,
-            now=self._tools.now,
-            random=self._tools.random,
-            new_id=self._tools.new_id,
+            now=self._context.now,
+            random=self._context.random,
+            new_id=self._context.new_id,
         )
 
     def _usable(self, service: Service) -> frozenset[str]:
@@ -155,15 +159,17 @@
             for target in self._router.targets(service.name, shard)
         )
 
-    def _count(self, service: str, outcome: SearchAnswer | Refusal, elapsed_ms: float) -> None:
-        metrics = self._tools.metrics
+    def _record_metrics(
+        self, service: str, outcome: SearchAnswer | Refusal, elapsed_ms: float
+    ) -> None:
+        metrics = self._context.metrics
         if isinstance(outcome, Refusal):
             result = outcome.kind.value
         else:
             missing = len(outcome.coverage.missing)
             state = self._services.get(service)
             if state is not None:
-                # A new configuration may have removed the service while the search ran.
+                # The service may have been removed from the configuration while the search ran.
                 state.meters.on_answer(outcome.snapshot)
             result = "partial" if missing else "whole"
             if missing:
--- a/libs/dataplane/berylspindle_dataplane/entry_tools.py
+++ b/libs/dataplane/berylspindle_dataplane/entry_tools.py
@@ -1,4 +1,4 @@
-"""What the parts of one entry share: clock, metrics, deadlines, quarantine and admission."""
+"""Shared dependencies of one entry: clock, metrics, deadlines, quarantine and admission."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryTools:
-    """What the entry's parts share. `random` is uniform in [0, 1)."""
+    """Shared dependencies of one entry; `random` is uniform in [0, 1)."""
 
     metrics: Metrics
     timeline: Timeline
--- a/libs/dataplane/berylspindle_dataplane/executor.py
+++ b/libs/dataplane/berylspindle_dataplane/executor.py
@@ -1,14 +1,15 @@
-"""Requests that may not be repeated: claimed in the platform's store, then dispatched once.
+"""Execution of requests that must not be repeated: claim in the store, then dispatch at most once.
 
 Terms:
-  claim     the right to dispatch one request once, taken by compare-and-swap (`claims`)
-  dispatch  the attempt that a backend server may run; a place that refuses it unrun is no dispatch
-  outcome   what the dispatch came to, kept with the claim and told to whoever asks for the key
-
-Flow: `execute` admits, claims and dispatches. Only a sure NOT_RUN sends the same claim to another
-replica; anything else is the outcome and is settled in the store, the unknown one included. The
-dispatch is a task of its own: a caller that goes away does not cut it, and finds the outcome later
-by its key. Without a claim nothing is dispatched, and the refusal says so truly.
+  claim     exclusive right to dispatch one request once, acquired by compare-and-swap (`claims`)
+  dispatch  the attempt that a backend server may run; an attempt refused without execution does
+            not count
+  outcome   result of the dispatch, stored with the claim and returned to later requests for the key
+
+Flow: `execute` admits, claims and dispatches. Only a certain NOT_RUN sends the same claim to
+another replica; any other reply is the outcome and is stored, including an unknown one. The
+dispatch is a task of its own: a caller that disconnects does not cancel it and can query the
+outcome by its key. Without a claim nothing is dispatched, and the refusal is NOT_RUN.
 """
 
 from __future__ import annotations
@@ -52,82 +53,83 @@
 
 T = TypeVar("T")
 
-# Places that may refuse one claimed request unrun before its caller is told so.
-MAX_PLACES: Final = 3
-# A claim's write takes milliseconds; a request with less time than this would be claimed only to
-# be given up, which costs the store two writes for nothing.
+# Maximum backend servers that may refuse a claimed request without running it before the refusal is
+# returned to the caller.
+MAX_DISPATCH_TARGETS: Final = 3
+# Minimum time left for a claim. Writing a claim takes milliseconds; a request with less time would
+# be claimed and then abandoned, at the cost of two writes to the store.
 MIN_EXECUTE_MS: Final = 20.0
 PENDING_RETRY_SECONDS: Final = 1.0
 
 
 class Executor:
-    """Run requests that may not be repeated at most once."""
+    """Run each non-repeatable request at most once."""
 
     def __init__(
         self,
         router: Router,
         entry: Entry,
         claims: Claims,
-        tools: EntryTools,
+        context: EntryTools,
         is_live: Callable[[str], bool],
     ) -> None:
         self._router: Final = router
         self._entry: Final = entry
         self._claims: Final = claims
-        self._tools: Final = tools
+        self._context: Final = context
         self._is_live: Final = is_live
         self._tasks: set[asyncio.Task[ExecuteAnswer | Refusal]] = set()
-        self._behind: set[asyncio.Task[Any]] = set()
-        self._active: set[str] = set()
+        self._store_calls: set[asyncio.Task[Any]] = set()
+        self._active_tokens: set[str] = set()
         self._stopped = False
 
     @property
     def active(self) -> int:
-        """Return the requests that are claimed and not settled."""
+        """Return the number of requests that have been admitted and not finished."""
         return len(self._tasks)
 
     async def execute(self, request: ExecuteRequest) -> ExecuteAnswer | Refusal:
-        """Run one request, tell what an earlier one with its key came to, or refuse it."""
-        started = self._tools.now()
+        """Run one request, return the outcome of an earlier one with its key, or refuse it."""
+        started = self._context.now()
         outcome = await self._admit(request, started)
         result = outcome.kind.value if isinstance(outcome, Refusal) else "ran"
         service = request.service
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.count(names.REQUESTS, service=service, operation="execute", result=result)
-        elapsed_ms = (self._tools.now() - started) * 1000
+        elapsed_ms = (self._context.now() - started) * 1000
         metrics.observe(names.REQUEST_TIME, elapsed_ms, service=service, operation="execute")
         return outcome
 
     async def outcome(self, request_id: str, service: str, key: str) -> ExecuteAnswer | Refusal:
-        """Tell what the request with this key came to."""
+        """Return the stored outcome of the request with this key."""
         try:
             record = await self._claims.find(service, key)
         except StoreAway as error:
-            # The question was not answered; what became of the request it asks about is open.
+            # The store did not answer, so the outcome of the queried request remains unknown.
             return Refusal(ErrorKind.STORE_AWAY, str(error), RunState.MAY_HAVE_RUN)
         if record is None:
             return Refusal(ErrorKind.UNKNOWN_OUTCOME)
-        return self._told(request_id, record)
+        return self._recorded_outcome(request_id, record)
 
     async def settle_pending(self) -> None:
-        """Store what the store could not take yet, again and again, until cancelled."""
+        """Retry writing outcomes that the store has not accepted, until cancelled."""
         while True:
             await asyncio.sleep(PENDING_RETRY_SECONDS)
             if self._claims.pending:
                 await self._claims.retry_pending()
 
-    def stop_taking(self) -> None:
-        """Refuse new requests as not run; for a shutdown, before this VM leaves the view.
+    def stop_accepting(self) -> None:
+        """Refuse new requests as NOT_RUN during shutdown, before this VM leaves the view.
 
-        A claim of a VM that is in no view any more is told as one whose outcome is lost, to
-        whoever sends its request again through another VM, though it is under way.
+        A claim of a VM that is in no view is reported as one with a lost outcome to a caller that
+        retries the request through another VM, although the request may still be running.
         """
         self._stopped = True
 
-    async def drained(self) -> None:
-        """Wait until every dispatch of this VM has ended; for a shutdown."""
-        while self._tasks or self._behind:
-            await asyncio.wait([*self._tasks, *self._behind])
+    async def wait_idle(self) -> None:
+        """Wait during shutdown until every dispatch of this VM has ended."""
+        while self._tasks or self._store_calls:
+            await asyncio.wait([*self._tasks, *self._store_calls])
         await self._claims.retry_pending()
 
     async def _admit(self, request: ExecuteRequest, started: float) -> ExecuteAnswer | Refusal:
@@ -136,24 +138,24 @@
         if refusal is not None or state is None:
             return refusal or Refusal(ErrorKind.UNKNOWN_SERVICE, request.service)
         left_ms = request.deadline_ms or state.service.policy.deadline_ms
-        given_ms = self._tools.deadlines.for_entry(left_ms, shards=1)
-        if given_ms is None or given_ms < MIN_EXECUTE_MS:
+        timeout_ms = self._context.deadlines.for_entry(left_ms, shards=1)
+        if timeout_ms is None or timeout_ms < MIN_EXECUTE_MS:
             return Refusal(ErrorKind.DEADLINE_EXCEEDED, "the deadline is too short", _NOT_RUN)
         admission = state.admission
-        verdict = admission.decide(started, caller=request.caller, deadline_left_ms=given_ms)
+        verdict = admission.decide(started, caller=request.caller, deadline_left_ms=timeout_ms)
         if isinstance(verdict, Refusal):
-            self._tools.shedding.on_refused(started, verdict.kind.value)
+            self._context.shedding.on_refused(started, verdict.kind.value)
             return verdict
-        self._tools.shedding.on_admitted(started)
+        self._context.shedding.on_admitted(started)
         admission.on_start(request.caller)
         task = asyncio.get_running_loop().create_task(
-            self._claim_and_run(request, state, started + given_ms / 1000)
+            self._claim_and_run(request, state, started + timeout_ms / 1000)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(lambda _: admission.on_done(self._tools.now(), request.caller))
-        # Shielded: a caller that goes away must not cut a request between its dispatch and the
-        # record of its outcome, or nobody could ever say whether it ran.
+        task.add_done_callback(lambda _: admission.on_done(self._context.now(), request.caller))
+        # Shielded: cancelling a request between its dispatch and the storing of its outcome when
+        # the caller disconnects would leave the outcome unknown for good.
         return await asyncio.shield(task)
 
     def _refusal(self, request: ExecuteRequest, state: ServiceState | None) -> Refusal | None:
@@ -172,26 +174,26 @@
     ) -> ExecuteAnswer | Refusal:
         content = codec.to_sorted_json([request.service, request.shard, request.payload])
         fingerprint = xxhash.xxh3_128_hexdigest(content)
-        if self._pick(state, request.shard, frozenset()) is None:
+        if self._choose_target(state, request.shard, frozenset()) is None:
             return Refusal(ErrorKind.NO_REPLICA)
-        attempt_id = self._tools.new_id()
-        left = deadline - self._tools.now() - MIN_EXECUTE_MS / 1000
+        attempt_id = self._context.new_id()
+        left = deadline - self._context.now() - MIN_EXECUTE_MS / 1000
         claimed = await self._claims.claim(
             request.service, request.key, fingerprint, attempt_id, within=max(0.0, left)
         )
         if isinstance(claimed, KeyReused):
             return Refusal(ErrorKind.KEY_REUSED)
         if isinstance(claimed, AlreadyClaimed):
-            return self._told(request.request_id, claimed.record)
+            return self._recorded_outcome(request.request_id, claimed.record)
         if not isinstance(claimed, Claimed):
-            detail = "a claim may stand until it lapses" if claimed.may_stand else ""
+            detail = "a claim may remain until it expires" if claimed.may_stand else ""
             return Refusal(ErrorKind.STORE_AWAY, detail, _NOT_RUN)
         claim = claimed.claim
-        self._active.add(claim.record.token)
+        self._active_tokens.add(claim.record.token)
         try:
             return await self._run(request, state, claim, fingerprint, deadline)
         finally:
-            self._active.discard(claim.record.token)
+            self._active_tokens.discard(claim.record.token)
 
     async def _run(
         self,
@@ -201,20 +203,20 @@
         fingerprint: str,
         deadline: float,
     ) -> ExecuteAnswer | Refusal:
-        refusal = self._quarantined(fingerprint)
+        refusal = self._quarantine_refusal(fingerprint)
         if refusal is None:
             reply = await self._dispatch(request, state, claim, fingerprint, deadline)
-            self._tools.quarantine.on_unsettled(fingerprint)
+            self._context.quarantine.on_unsettled(fingerprint)
             if reply.run is not RunState.NOT_RUN:
                 return await self._settle(request, claim, reply, deadline)
             kind = reply.error or ErrorKind.INTERNAL
             refusal = Refusal(kind, reply.detail, _NOT_RUN, reply.retry_after_ms)
-        # Surely not run: the key is free again, so that the caller may try again at once.
-        await self._by(deadline, self._claims.release(claim))
+        # Certainly not run: release the key so that the caller can retry at once.
+        await self._within_deadline(deadline, self._claims.release(claim))
         return refusal
 
-    def _quarantined(self, fingerprint: str) -> Refusal | None:
-        mode = self._tools.quarantine.decide(self._tools.now(), fingerprint)
+    def _quarantine_refusal(self, fingerprint: str) -> Refusal | None:
+        mode = self._context.quarantine.decide(self._context.now(), fingerprint)
         return mode if not isinstance(mode, RunMode) else None
 
     async def _dispatch(
@@ -225,25 +227,26 @@
         fingerprint: str,
         deadline: float,
     ) -> AttemptReply:
-        """Return the first reply that is no sure NOT_RUN, or the last NOT_RUN."""
+        """Return the first reply that is not a certain NOT_RUN, or else the last NOT_RUN."""
         tried: set[str] = set()
         reply = _not_run("", request.shard, ErrorKind.NO_REPLICA)
         attempt_id = claim.record.attempt
-        for _ in range(MAX_PLACES):
-            now = self._tools.now()
+        for _ in range(MAX_DISPATCH_TARGETS):
+            now = self._context.now()
             if now >= min(claim.dispatch_before, deadline):
-                # A VM that was paused here may find its claim lapsed and the key claimed anew.
+                # The VM may have been paused; the claim may have lapsed and the key may have been
+                # claimed again.
                 return _not_run("", request.shard, ErrorKind.DEADLINE_EXCEEDED)
-            target = self._pick(state, request.shard, frozenset(tried))
+            target = self._choose_target(state, request.shard, frozenset(tried))
             if target is None:
                 return reply
             tried.add(target.server.id)
             reply = await self._send(request, target, attempt_id, fingerprint, deadline)
-            state.learn(self._tools.now(), target, reply)
-            self._tools.quarantine.learn(self._tools.now(), fingerprint, reply)
+            state.record_reply(self._context.now(), target, reply)
+            self._context.quarantine.record_reply(self._context.now(), fingerprint, reply)
             if reply.run is not RunState.NOT_RUN:
                 return reply
-            attempt_id = self._tools.new_id()
+            attempt_id = self._context.new_id()
         return reply
 
     async def _send(
@@ -254,8 +257,8 @@
         fingerprint: str,
         deadline: float,
     ) -> AttemptReply:
-        left_ms = (deadline - self._tools.now()) * 1000
-        batch = self._batch(request, target, attempt_id, fingerprint, left_ms)
+        left_ms = (deadline - self._context.now()) * 1000
+        batch = self._make_batch(request, target, attempt_id, fingerprint, left_ms)
         waiter: asyncio.Future[AttemptReply] = asyncio.get_running_loop().create_future()
 
         def on_reply(reply: AttemptReply) -> None:
@@ -273,7 +276,7 @@
             return attrs.evolve(reply, run=RunState.RAN)
         return attrs.evolve(reply, run=reply.run or RunState.MAY_HAVE_RUN)
 
-    def _batch(
+    def _make_batch(
         self,
         request: ExecuteRequest,
         target: Target,
@@ -293,16 +296,18 @@
         return AttemptBatch(
             entry=self._router.me.id,
             caller=request.caller,
-            deadline_ms=max(1, int(self._tools.deadlines.for_owner(left_ms) or 1.0)),
+            deadline_ms=max(1, int(self._context.deadlines.for_owner(left_ms) or 1.0)),
             revision=0,
             attempts=(attempt,),
             fingerprint=fingerprint,
-            # It goes to one server at a time in any case.
+            # An execute is sent to one server at a time in any case.
             is_canary=True,
         )
 
-    def _pick(self, state: ServiceState, shard: str, tried: frozenset[str]) -> Target | None:
-        now = self._tools.now()
+    def _choose_target(
+        self, state: ServiceState, shard: str, tried: frozenset[str]
+    ) -> Target | None:
+        now = self._context.now()
         local = self._router.me.data_centre
         targets = {
             target.server.id: target
@@ -310,19 +315,22 @@
             if target.server.id not in tried
         }
         views = [state.view(t, local=local, now=now, pin=None) for t in targets.values()]
-        order = choose(views, now=now, u=self._tools.random())
+        order = choose(views, now=now, u=self._context.random())
         return targets[order[0].server] if order else None
 
-    async def _by(self, deadline: float, call: Coroutine[object, object, T]) -> T | None:
-        """Return what a call of the store came to, or None where the request's time ends first.
+    async def _within_deadline(
+        self, deadline: float, call: Coroutine[object, object, T]
+    ) -> T | None:
+        """Return the result of a store call, or None if the request deadline passes first.
 
-        Without this a store that answers nothing keeps the caller waiting beyond its deadline for
-        what is known already. The call goes on; what it tells the store is kept in memory too.
+        Without this, a store that does not respond would delay an already known result beyond the
+        caller's deadline. The call continues in the background, and its data is also kept in
+        memory.
         """
         task = asyncio.get_running_loop().create_task(call)
-        self._behind.add(task)
-        task.add_done_callback(self._behind.discard)
-        await asyncio.wait({task}, timeout=max(0.0, deadline - self._tools.now()))
+        self._store_calls.add(task)
+        task.add_done_callback(self._store_calls.discard)
+        await asyncio.wait({task}, timeout=max(0.0, deadline - self._context.now()))
         return task.result() if task.done() else None
 
     async def _settle(
@@ -335,13 +343,13 @@
         outcome = DispatchOutcome(
             server=reply.server, run=run, result=reply.result, error=kind, detail=reply.detail
         )
-        settled = await self._by(deadline, self._claims.settle(claim, outcome))
+        settled = await self._within_deadline(deadline, self._claims.settle(claim, outcome))
         if settled is None:
             settled = SettleState.PENDING
         if settled is not SettleState.STORED:
-            self._tools.metrics.count(names.CLAIMS, result=f"settle_{settled.value}")
+            self._context.metrics.count(names.CLAIMS, result=f"settle_{settled.value}")
         if kind is not None:
-            self._tools.timeline.record(
+            self._context.timeline.record(
                 EventKind.OUTCOME_UNKNOWN,
                 service=request.service,
                 server=reply.server,
@@ -349,14 +357,14 @@
                 detail=reply.error.value if reply.error else "",
             )
         record = attrs.evolve(claim.record, state=ClaimState.FINISHED, outcome=outcome)
-        told = self._told(request.request_id, record)
-        return attrs.evolve(told, repeated=False) if isinstance(told, ExecuteAnswer) else told
+        answer = self._recorded_outcome(request.request_id, record)
+        return attrs.evolve(answer, repeated=False) if isinstance(answer, ExecuteAnswer) else answer
 
-    def _told(self, request_id: str, record: ClaimRecord) -> ExecuteAnswer | Refusal:
-        """Return what a claim's record says of its request."""
+    def _recorded_outcome(self, request_id: str, record: ClaimRecord) -> ExecuteAnswer | Refusal:
+        """Convert the record of a claim to the answer or refusal of its request."""
         outcome = record.outcome
         if outcome is None:
-            return self._told_claimed(record)
+            return self._unfinished_outcome(record)
         if outcome.error is not None:
             return Refusal(outcome.error, outcome.detail, outcome.run)
         return ExecuteAnswer(
@@ -367,13 +375,13 @@
             repeated=True,
         )
 
-    def _told_claimed(self, record: ClaimRecord) -> Refusal:
-        """Tell a request under way from one whose VM was lost between claim and outcome."""
-        if record.token in self._active:
+    def _unfinished_outcome(self, record: ClaimRecord) -> Refusal:
+        """Distinguish a request in progress from one whose VM was lost."""
+        if record.token in self._active_tokens:
             return Refusal(ErrorKind.IN_PROGRESS)
         if record.vm != self._router.me.id and self._is_live(record.vm):
             return Refusal(ErrorKind.IN_PROGRESS)
-        return Refusal(ErrorKind.OUTCOME_UNKNOWN, f"its VM {record.vm} left no outcome")
+        return Refusal(ErrorKind.OUTCOME_UNKNOWN, f"VM {record.vm} stored no outcome")
 
 
 _NOT_RUN: Final = RunState.NOT_RUN
--- a/libs/dataplane/berylspindle_dataplane/fanout_drive.py
+++ b/libs/dataplane/berylspindle_dataplane/fanout_driver.py
@@ -1,11 +1,9 @@
-"""Carry out one fan-out: its sends and cancellations out, replies and time in.
+"""Driver of one fan-out: executes its actions and feeds it replies and timer events.
 
-Terms:
-  inbox   replies that came while actions were being carried out; they wait their turn
-
-Flow: the entry makes one `FanoutDrive` for each search and awaits `run`. Each step asks the fan-out
-what to do, groups the sends by owner into one message each, and sets one timer; a reply or the
-timer is the next step, until the fan-out has its outcome. Cancelling `run` cancels what is out.
+Flow: the entry creates one `FanoutDriver` per search and awaits `run`. Each step obtains actions
+from the fan-out, groups the attempts by owner into one message each, and sets one timer. A reply or
+the timer starts the next step, until the fan-out has an outcome. Replies that arrive during a step
+are queued and processed at its end. Cancelling `run` cancels the outstanding attempts.
 """
 
 from __future__ import annotations
@@ -16,7 +14,7 @@
 from typing import Final
 
 from berylspindle_dataplane.entry_tools import EntryTools
-from berylspindle_dataplane.fanout_guide import Action, Cancel, Send
+from berylspindle_dataplane.fanout_strategy import Action, Cancel, Send
 from berylspindle_dataplane.router import Router
 from berylspindle_dataplane.search_fanout import SearchFanout
 from berylspindle_dataplane.service_state import ServiceState
@@ -33,15 +31,15 @@
 from berylspindle_telemetry import metric_names as names
 
 
-class FanoutDrive:
-    """Carry out the actions of one fan-out and feed it replies and time."""
+class FanoutDriver:
+    """Execute the actions of one fan-out and feed it replies and timer events."""
 
     def __init__(
         self,
         fanout: SearchFanout,
         state: ServiceState,
         router: Router,
-        tools: EntryTools,
+        context: EntryTools,
         request: SearchRequest,
         *,
         fingerprint: str,
@@ -50,29 +48,29 @@
         self._fanout: Final = fanout
         self._state: Final = state
         self._router: Final = router
-        self._tools: Final = tools
+        self._context: Final = context
         self._request: Final = request
         self._fingerprint: Final = fingerprint
         self._is_canary: Final = is_canary
         self._loop: Final = asyncio.get_running_loop()
         self._done: Final[asyncio.Future[None]] = self._loop.create_future()
-        self._inbox: deque[AttemptReply] = deque()
-        self._busy = False
+        self._pending_replies: deque[AttemptReply] = deque()
+        self._applying = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0.0
-        # When each attempt was sent, and the snapshot it asked for.
+        # Time of sending and requested snapshot of each outstanding attempt.
         self._sent: dict[str, tuple[float, Snapshot | None]] = {}
         self._pin: Snapshot | None = None
         self._deadline = 0.0
 
     async def run(self, deadline: float) -> SearchAnswer | Refusal:
-        """Drive the fan-out to its outcome; cancelling this cancels what is out."""
+        """Run the fan-out to its outcome. On cancellation, cancel the outstanding attempts."""
         self._deadline = deadline
         try:
-            self._step(lambda: self._fanout.start(self._tools.now()))
+            self._step(lambda: self._fanout.start(self._context.now()))
             await self._done
         except BaseException:
-            self._apply(self._fanout.stop(self._tools.now()))
+            self._apply(self._fanout.stop(self._context.now()))
             raise
         finally:
             if self._timer is not None:
@@ -82,32 +80,35 @@
         return outcome
 
     def _on_reply(self, reply: AttemptReply) -> None:
-        # An owner on this VM refuses within `submit`, in the middle of carrying out actions; the
-        # reply waits, else an attempt could be cancelled before it is sent and then sent.
-        self._note_reply(reply)
-        self._inbox.append(reply)
-        if not self._busy and not self._done.done():
+        # An owner on this VM refuses synchronously within `submit`, while actions are being
+        # applied. The reply is queued; otherwise an attempt could be cancelled before it is sent,
+        # and then be sent.
+        self._record_reply(reply)
+        self._pending_replies.append(reply)
+        if not self._applying and not self._done.done():
             self._step(list)
 
     def _on_timer(self) -> None:
         self._timer = None
-        if self._tools.now() < self._fanout.next_timer:
+        if self._context.now() < self._fanout.next_timer:
             self._set_timer()
             return
-        self._step(lambda: self._fanout.on_timer(self._tools.now()))
+        self._step(lambda: self._fanout.on_timer(self._context.now()))
 
-    def _step(self, begin: Callable[[], list[Action]]) -> None:
-        self._busy = True
+    def _step(self, first_actions: Callable[[], list[Action]]) -> None:
+        self._applying = True
         try:
-            self._apply(begin())
-            while self._inbox and self._fanout.outcome is None:
-                self._apply(self._fanout.on_reply(self._tools.now(), self._inbox.popleft()))
+            self._apply(first_actions())
+            while self._pending_replies and self._fanout.outcome is None:
+                self._apply(
+                    self._fanout.on_reply(self._context.now(), self._pending_replies.popleft())
+                )
         except Exception as error:
             if not self._done.done():
                 self._done.set_exception(error)
             return
         finally:
-            self._busy = False
+            self._applying = False
         if self._fanout.outcome is not None:
             if not self._done.done():
                 self._done.set_result(None)
@@ -115,10 +116,10 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Wake up when the fan-out is due; a timer that is set for sooner looks again by itself.
+        """Schedule the next timer event, unless an earlier one is already scheduled.
 
-        Most replies put the next due time off, and a timer for each would cost more than the rest
-        of the reply.
+        Most replies postpone the due time; rescheduling for each of them would cost more than the
+        rest of the reply processing. A timer that fires early reschedules itself.
         """
         due = self._fanout.next_timer
         if self._timer is not None:
@@ -126,69 +127,69 @@
                 return
             self._timer.cancel()
         self._timer_due = due
-        self._timer = self._loop.call_later(max(0.0, due - self._tools.now()), self._on_timer)
+        self._timer = self._loop.call_later(max(0.0, due - self._context.now()), self._on_timer)
 
     def _apply(self, actions: list[Action]) -> None:
         sends: dict[str, tuple[Vm, list[Attempt]]] = {}
         cancels: dict[str, tuple[Vm, list[str]]] = {}
         for action in actions:
             owner = action.target.owner
-            record = self._state.record(action.target.server.id)
+            stats = self._state.replica_stats(action.target.server.id)
             if isinstance(action, Send):
-                record.outstanding += 1
+                stats.outstanding += 1
                 sends.setdefault(owner.id, (owner, []))[1].append(action.attempt)
-                self._note_send(action)
+                self._record_send(action)
             else:
-                record.outstanding -= 1
+                stats.outstanding -= 1
                 cancels.setdefault(owner.id, (owner, []))[1].append(action.attempt_id)
-                self._note_cancel(action)
+                self._record_cancel(action)
         for owner, attempt_ids in cancels.values():
             self._router.cancel(owner, attempt_ids)
         for owner, attempts in sends.values():
-            self._router.submit(owner, self._batch(attempts), self._on_reply)
+            self._router.submit(owner, self._make_batch(attempts), self._on_reply)
 
-    def _batch(self, attempts: list[Attempt]) -> AttemptBatch:
-        left_ms = (self._deadline - self._tools.now()) * 1000
-        given_ms = self._tools.deadlines.for_owner(left_ms)
+    def _make_batch(self, attempts: list[Attempt]) -> AttemptBatch:
+        left_ms = (self._deadline - self._context.now()) * 1000
+        timeout_ms = self._context.deadlines.for_owner(left_ms)
         configuration = self._router.configuration
         return AttemptBatch(
             entry=self._router.me.id,
             caller=self._request.caller,
-            deadline_ms=max(1, int(given_ms or 1)),
+            deadline_ms=max(1, int(timeout_ms or 1)),
             revision=configuration.revision if configuration else 0,
             attempts=tuple(attempts),
             fingerprint=self._fingerprint,
             is_canary=self._is_canary,
         )
 
-    def _note_send(self, send: Send) -> None:
+    def _record_send(self, send: Send) -> None:
         service = self._state.service.name
-        self._tools.metrics.count(names.ATTEMPTS, service=service, reason=send.reason)
+        self._context.metrics.count(names.ATTEMPTS, service=service, reason=send.reason)
         pin = send.attempt.pin
-        self._sent[send.attempt.id] = (self._tools.now(), pin)
+        self._sent[send.attempt.id] = (self._context.now(), pin)
         if self._pin is not None and pin != self._pin:
-            self._state.meters.on_moved()
+            self._state.meters.on_repin()
         self._pin = pin
         if send.reason in ("first", "canary"):
             self._state.hedging.on_first()
             self._state.retry_budget.on_first()
-        self._state.ejector.on_use(self._tools.now(), send.target.server.id)
+        self._state.ejector.on_use(self._context.now(), send.target.server.id)
 
-    def _note_reply(self, reply: AttemptReply) -> None:
+    def _record_reply(self, reply: AttemptReply) -> None:
         meters = self._state.meters
         sent = self._sent.pop(reply.attempt, None)
         if sent is None:
-            # The attempt was cancelled, or has had its reply.
+            # The attempt was cancelled or has already been answered.
             meters.on_discarded("late")
             return
-        at, pin = sent
+        sent_at, pin = sent
         result = reply.error.value if reply.error is not None else "ok"
-        meters.on_reply(result, (self._tools.now() - at) * 1000)
+        meters.on_reply(result, (self._context.now() - sent_at) * 1000)
         if reply.error is None and pin is not None and reply.snapshot != pin:
             meters.on_discarded("mismatched")
 
-    def _note_cancel(self, cancel: Cancel) -> None:
+    def _record_cancel(self, cancel: Cancel) -> None:
         self._sent.pop(cancel.attempt_id, None)
         if cancel.was_first:
-            self._state.hedging.observe_cancelled(self._tools.now(), cancel.elapsed_ms)
-            self._state.learn_cancelled(cancel.target.server.id, cancel.elapsed_ms)
+            self._state.hedging.observe_cancelled(self._context.now(), cancel.elapsed_ms)
+            self._state.record_cancelled(cancel.target.server.id, cancel.elapsed_ms)
--- a/libs/dataplane/berylspindle_dataplane/fanout_guide.py
+++ b/libs/dataplane/berylspindle_dataplane/fanout_strategy.py
@@ -1,11 +1,12 @@
-"""What a fan-out asks of the rest of the entry, and what it has the entry do.
+"""Actions of a fan-out and the interface through which it obtains its decisions.
 
 Terms:
-  guide    what one search needs to know of everything beyond it: targets, budgets, snapshots
-  action   an attempt to send or to cancel; the fan-out itself touches no network
+  strategy   provides targets, retry and hedge decisions and snapshots to one search
+  action     an attempt to send or to cancel; the fan-out itself performs no I/O
 
-Flow: `search_fanout.SearchFanout` asks a `FanoutGuide` before each decision and returns actions;
-`service_state.SearchGuide` is the guide of a running entry, tests give their own.
+Flow: `search_fanout.SearchFanout` consults a `FanoutStrategy` before each decision and returns
+actions. `service_state.SearchStrategy` is the implementation of a running entry; tests provide
+their own.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Send:
-    """Send one attempt to the owner of its target; `reason` is for the counters."""
+    """Send one attempt to the owner of its target; `reason` is the label of the attempt counter."""
 
     attempt: Attempt
     target: Target
@@ -34,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class Cancel:
-    """Tell an owner that nobody waits for an attempt any more."""
+    """Cancel an attempt at the owner of its target."""
 
     attempt_id: str
     target: Target
@@ -45,26 +46,26 @@
 Action = Send | Cancel
 
 
-class FanoutGuide(abc.ABC):
-    """What one search needs to know of everything beyond it."""
+class FanoutStrategy(abc.ABC):
+    """Provide targets, retry and hedge decisions and snapshots to one search."""
 
     @abc.abstractmethod
     def pick(
         self, shard: str, *, tried: frozenset[str], pin: Snapshot | None, hedge: bool
     ) -> Target | None:
-        """Return the backend server to ask next, or None where no untried one is usable."""
+        """Return the backend server to query next, or None if no untried one is usable."""
 
     @abc.abstractmethod
     def hedge_delay_ms(self) -> float:
-        """Return after how many milliseconds an unanswered shard may be hedged."""
+        """Return the delay after which an unanswered shard may be hedged, in milliseconds."""
 
     @abc.abstractmethod
     def may_hedge(self, *, elapsed_ms: float, left_ms: float) -> HedgeVerdict:
-        """Return whether a hedge starts now; GO has taken it from the budget."""
+        """Return whether a hedge may start now; GO has already been charged to the budget."""
 
     @abc.abstractmethod
     def may_retry(self, shard: str, reply: AttemptReply, *, left_ms: float) -> bool:
-        """Tell whether a shard whose attempt failed so is tried again; True has been paid for."""
+        """Return whether to retry a failed attempt; True has already been charged to the budget."""
 
     @abc.abstractmethod
     def reask(
@@ -75,12 +76,12 @@
         rounds: int,
         left_ms: float,
     ) -> Reask | KeepOne | Refusal:
-        """Return what to do when shards no longer hold the pin."""
+        """Return how to proceed when shards no longer hold the pin."""
 
     @abc.abstractmethod
-    def observe(self, target: Target, reply: AttemptReply, *, first: bool) -> None:
-        """Learn from one reply; `first` where it answers a shard's first attempt."""
+    def observe(self, target: Target, reply: AttemptReply, *, is_first: bool) -> None:
+        """Update statistics from one reply; `is_first` if it answers a shard's first attempt."""
 
     @abc.abstractmethod
     def new_id(self) -> str:
-        """Return a fresh attempt id."""
+        """Return a new unique attempt id."""
--- a/libs/dataplane/berylspindle_dataplane/http_backend.py
+++ b/libs/dataplane/berylspindle_dataplane/http_backend.py
@@ -1,13 +1,14 @@
-"""A backend server over HTTP/1.1: calls out, replies checked, failures told apart.
+"""HTTP/1.1 client of a backend server: sends calls, validates replies, classifies failures.
 
 Terms:
   call    one HTTP request of `backend_protocol` for one attempt
-  check   a reply is taken only if it names the attempt, service and shard of its call; anything
-          else is another request's answer on a reused connection, and is refused as BAD_REPLY
+  check   a reply is accepted only if it names the attempt, service and shard of its call; any other
+          reply answers another request on a reused connection and is rejected as BAD_REPLY
 
-Flow: `run` encodes the call, sends it on a pooled connection and turns what comes back, or how it
-failed, into one `AttemptReply`. Nothing is retried here: a retry at this hop would hide from the
-entry that the server may have run the work, and would multiply with the entry's own.
+Flow: `run` encodes the call, sends it on a pooled connection and converts the response or the
+failure to one `AttemptReply`. Failed attempts are not retried here: a retry at this hop would hide
+from the entry that the server may have run the work, and would multiply with the retries of the
+entry.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 import attrs
 
 from berylspindle_dataplane.backend import Backend, BackendReport
-from berylspindle_dataplane.router import refused
+from berylspindle_dataplane.router import refusal_reply
 from berylspindle_model import backend_protocol as protocol
 from berylspindle_model import codec
 from berylspindle_model.backend_protocol import BackendError
@@ -48,9 +49,9 @@
 }
 
 COLD_DETAIL: Final = "cold"
-# Share of the time left after which a reused connection without a byte of the reply is held to be
-# silent: late enough that an ordinary straggler has answered, early enough for a second try.
-SILENT_SHARE: Final = 0.4
+# Share of the remaining time after which a reused connection without a byte of the reply is
+# considered silent: late enough for ordinary stragglers to answer, early enough for a second try.
+SILENT_DEADLINE_SHARE: Final = 0.4
 SILENT_FLOOR_SECONDS: Final = 0.05
 
 
@@ -59,16 +60,16 @@
     """Settings of the connections to one backend server.
 
     Attributes:
-        connect_timeout: seconds to wait for a connection; services' cost 1 to 6 ms, so that half a
-            second means the server is gone.
+        connect_timeout: seconds to wait for a connection. Connecting takes 1 to 6 ms, so half a
+            second means that the server is gone.
         idle_probe_after: seconds of idleness after which a connection is probed before it is
-            trusted; what drops connections silently on the way does so after minutes.
+            reused; middleboxes drop idle connections silently after minutes.
         progress_timeout: seconds without a byte of the reply after which a reused connection is
-            held to be silent.
-        report_timeout: seconds to wait for the server's own report.
-        cancel_wait: seconds for which a cancelled call waits at most until the server has closed
-            its side. A server that is told of the next call first has both at work at once.
-        spare: connections kept ready beyond those in use.
+            considered silent.
+        report_timeout: seconds to wait for the health report of the server.
+        cancel_wait: maximum seconds that a cancelled call waits for the server to close its side.
+            If the next call arrived first, the server would work on both at once.
+        spare: connections kept open beyond those in use.
     """
 
     connect_timeout: float = 0.5
@@ -80,7 +81,7 @@
 
 
 class HttpBackend(Backend):
-    """One backend server over pooled HTTP/1.1 connections."""
+    """Client of one backend server over pooled HTTP/1.1 connections."""
 
     def __init__(self, server: Server, pool: ConnectionPool, options: BackendOptions) -> None:
         self._server: Final = server
@@ -89,49 +90,49 @@
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return self._pool.open_connections
 
     async def run(self, attempt: Attempt, *, deadline_ms: int) -> AttemptReply:
-        """Send one attempt and return its checked reply."""
+        """Send one attempt and return its validated reply."""
         request = _encode(attempt, deadline_ms)
         try:
             response = await self._send(request, deadline_ms / 1000, attempt.execute_key is None)
         except HttpFailure as failure:
-            return _failed(attempt, failure)
+            return _failure_reply(attempt, failure)
         try:
             return _decode(attempt, response)
         except codec.MalformedError as error:
-            return _refused(attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, str(error))
+            return _refusal_reply(attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, str(error))
 
     async def _send(self, request: HttpRequest, timeout: float, repeatable: bool) -> HttpResponse:
-        """Send on a pooled connection, once more on a new one where a reused one stays silent.
+        """Send on a pooled connection, and again on a new one if a reused connection stays silent.
 
-        Something between the two ends may have lost track of an idle connection: nothing is
-        reset, the request goes nowhere, and the server looks dead though new connections work.
-        The pool drops that connection and its contemporaries, so that the second try is on a new
-        one and a second silence is the server's own. A request that may not be repeated is sent
-        once and waited for until its deadline.
+        A middlebox may have dropped an idle connection: it is not reset, the request is lost, and
+        the server appears dead although new connections work. The pool closes that connection and
+        those of the same age, so that the second attempt uses a new one and a second silence is
+        caused by the server. A request that must not be repeated is sent once and awaited until its
+        deadline.
         """
         if not repeatable:
             return await self._pool.request(request, timeout=timeout, progress_timeout=None)
-        patience = max(timeout * SILENT_SHARE, SILENT_FLOOR_SECONDS)
-        patience = min(patience, self._options.progress_timeout)
+        silence_timeout = max(timeout * SILENT_DEADLINE_SHARE, SILENT_FLOOR_SECONDS)
+        silence_timeout = min(silence_timeout, self._options.progress_timeout)
         wait = self._options.cancel_wait
         try:
             return await self._pool.request(
-                request, timeout=timeout, progress_timeout=patience, cancel_wait=wait
+                request, timeout=timeout, progress_timeout=silence_timeout, cancel_wait=wait
             )
         except HttpFailure as failure:
-            if not failure.silent or timeout <= 2 * patience:
+            if not failure.silent or timeout <= 2 * silence_timeout:
                 raise
-        left = timeout - patience
+        left = timeout - silence_timeout
         return await self._pool.request(
             request, timeout=left, progress_timeout=None, cancel_wait=wait
         )
 
     async def report(self) -> BackendReport | None:
-        """Return the server's own report of its health, or None where it gave none in time."""
+        """Return the server's health report, or None if it did not arrive in time."""
         request = HttpRequest(method="GET", path=protocol.HEALTH_PATH)
         try:
             response = await self._pool.request(
@@ -154,7 +155,7 @@
 def open_http_backend(
     server: Server, options: BackendOptions, on_event: Callable[[str], None]
 ) -> HttpBackend:
-    """Return the client of one backend server, bounded by the connections it accepts."""
+    """Return a client of one backend server, limited to the connections it accepts."""
     pool = ConnectionPool(
         server.host,
         server.port,
@@ -167,17 +168,17 @@
     return HttpBackend(server, pool, options)
 
 
-def _failed(attempt: Attempt, failure: HttpFailure) -> AttemptReply:
+def _failure_reply(attempt: Attempt, failure: HttpFailure) -> AttemptReply:
     """Return the reply to an attempt whose exchange failed.
 
-    A time-out is told apart from a lost connection: only the latter is evidence that the request
-    broke the server, and holding a slow server's requests for crashing ones would quarantine them.
+    A timeout is distinguished from a lost connection: only the latter is evidence that the request
+    crashed the server. Treating requests to a slow server as crashing would quarantine them.
     """
     if failure.timed_out:
         kind, run = ErrorKind.DEADLINE_EXCEEDED, RunState.MAY_HAVE_RUN
     else:
         kind, run = _PHASES[failure.phase]
-    return _refused(attempt, kind, run, failure.detail)
+    return _refusal_reply(attempt, kind, run, failure.detail)
 
 
 def _encode(attempt: Attempt, deadline_ms: int) -> HttpRequest:
@@ -211,12 +212,12 @@
     if attempt.execute_key is not None:
         return _decode_execute(attempt, response)
     reply = codec.from_json(response.body, protocol.SearchReply)
-    named = (reply.attempt, reply.server, reply.service, reply.shard)
-    if named != (attempt.id, attempt.server, attempt.service, attempt.shard):
-        # The bytes of another request's answer on this connection: taken, one caller would read
-        # another's hits. The attempt id is unique, so the check finds every such case.
-        return _refused(
-            attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, f"the reply names {named}"
+    reply_identity = (reply.attempt, reply.server, reply.service, reply.shard)
+    if reply_identity != (attempt.id, attempt.server, attempt.service, attempt.shard):
+        # The reply belongs to another request on this connection; accepting it would return its
+        # hits to the wrong caller. Attempt ids are unique, so the check detects every such case.
+        return _refusal_reply(
+            attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, f"the reply names {reply_identity}"
         )
     return AttemptReply(
         attempt=attempt.id,
@@ -231,10 +232,10 @@
 
 def _decode_execute(attempt: Attempt, response: HttpResponse) -> AttemptReply:
     reply = codec.from_json(response.body, protocol.ExecuteReply)
-    named = (reply.attempt, reply.server, reply.key)
-    if named != (attempt.id, attempt.server, attempt.execute_key):
-        return _refused(
-            attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, f"the reply names {named}"
+    reply_identity = (reply.attempt, reply.server, reply.key)
+    if reply_identity != (attempt.id, attempt.server, attempt.execute_key):
+        return _refusal_reply(
+            attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, f"the reply names {reply_identity}"
         )
     return AttemptReply(
         attempt=attempt.id, server=attempt.server, shard=attempt.shard, result=reply.result
@@ -245,16 +246,16 @@
     refusal = codec.from_json(response.body, protocol.BackendRefusal)
     status, run = protocol.REFUSALS[refusal.error]
     if refusal.attempt != attempt.id or response.status != status:
-        # "Not run" may be told only where this server refused this very attempt.
-        return _refused(
+        # NOT_RUN is certain only if this server refused this very attempt.
+        return _refusal_reply(
             attempt, ErrorKind.BAD_REPLY, RunState.MAY_HAVE_RUN, f"refusal of {refusal.attempt!r}"
         )
     detail = COLD_DETAIL if refusal.error is BackendError.COLD else refusal.detail
-    reply = _refused(attempt, _KINDS[refusal.error], run, detail)
+    reply = _refusal_reply(attempt, _KINDS[refusal.error], run, detail)
     return attrs.evolve(reply, retry_after_ms=refusal.retry_after_ms, versions=refusal.versions)
 
 
-def _refused(attempt: Attempt, kind: ErrorKind, run: RunState, detail: str) -> AttemptReply:
-    return refused(
+def _refusal_reply(attempt: Attempt, kind: ErrorKind, run: RunState, detail: str) -> AttemptReply:
+    return refusal_reply(
         attempt.id, server=attempt.server, shard=attempt.shard, kind=kind, run=run, detail=detail
     )
--- a/libs/dataplane/berylspindle_dataplane/owner.py
+++ b/libs/dataplane/berylspindle_dataplane/owner.py
@@ -1,12 +1,12 @@
-"""The owner's side of the data plane: the backend servers of this VM, one worker each.
+"""Owner side of the data plane: one worker per backend server that this VM owns.
 
 Terms:
-  owned   a backend server of this VM's data centre for which the view names this VM
+  owned   a backend server in the data centre of this VM for which the view names this VM
 
-Flow: `adopt` follows the cluster state: it opens a worker for each server that became owned, gives
-the queued work of each lost one back and closes it once what runs has ended. Batches come from this
-VM's own entry by `submit_own` and from peers by `run`; each attempt goes to its server's worker or
-is refused as a true NOT_RUN.
+Flow: `adopt` applies the cluster state: it creates a worker for each server that became owned,
+refuses the queued attempts of each server no longer owned and closes its worker once the running
+attempts have ended. Batches arrive from the entry of this VM through `submit_own` and from peers
+through `run`. Each attempt goes to the worker of its server or is refused as NOT_RUN.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from berylspindle_dataplane.backend import Backend
 from berylspindle_dataplane.owner_table import OwnerTable
-from berylspindle_dataplane.router import OnReply, OwnDispatcher, refused
+from berylspindle_dataplane.router import OnReply, OwnDispatcher, refusal_reply
 from berylspindle_dataplane.server_worker import ServerWorker
 from berylspindle_dataplane.worker_tools import Queued, WorkerTools
 from berylspindle_model.configuration import Server, ServerState
@@ -37,19 +37,19 @@
     """Run attempts at the backend servers that this VM owns."""
 
     def __init__(
-        self, me: Vm, owners: OwnerTable, open_backend: OpenBackend, tools: WorkerTools
+        self, me: Vm, owners: OwnerTable, open_backend: OpenBackend, context: WorkerTools
     ) -> None:
         self._me: Final = me
         self._owners: Final = owners
         self._open_backend: Final = open_backend
-        self._tools: Final = tools
+        self._context: Final = context
         self._workers: dict[str, ServerWorker] = {}
         self._leaving: frozenset[str] = frozenset()
         self._state = ClusterState()
         self._closing: set[asyncio.Task[None]] = set()
-        # What to call when a peer cancels an attempt, since a cancelled attempt gets no reply.
-        self._on_cancel: dict[str, Callable[[], None]] = {}
-        tools.metrics.gauge_function(names.SERVERS_OWNED, lambda: len(self._workers))
+        # Callbacks by attempt for cancellation by a peer, since a cancelled attempt gets no reply.
+        self._cancel_callbacks: dict[str, Callable[[], None]] = {}
+        context.metrics.gauge_function(names.SERVERS_OWNED, lambda: len(self._workers))
 
     @property
     def owned(self) -> tuple[str, ...]:
@@ -58,77 +58,77 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the attempts under way or queued at all owned servers."""
+        """Return the number of attempts running or queued at all owned servers."""
         return sum(worker.in_flight + worker.queued for worker in self._workers.values())
 
     def reports(self) -> tuple[ServerReport, ...]:
-        """Return what this VM holds each of its backend servers to be."""
+        """Return the state of each owned backend server as seen by this VM."""
         return tuple(worker.report() for worker in self._workers.values())
 
     def adopt(self, state: ClusterState) -> None:
-        """Follow a new state: open, stop and close workers."""
+        """Apply a new cluster state: create, update and close workers."""
         self._state = state
-        wanted = self._wanted(state)
-        for server_id in [name for name in self._workers if name not in wanted]:
-            self._drop(server_id)
-        for server in wanted.values():
-            self._keep(server)
+        owned = self._owned_servers(state)
+        for server_id in [name for name in self._workers if name not in owned]:
+            self._release_worker(server_id)
+        for server in owned.values():
+            self._ensure_worker(server)
 
     def mark_leaving(self, servers: frozenset[str]) -> None:
-        """Stop work to backend servers that the VM list says are leaving."""
+        """Refuse new work to backend servers that are leaving according to the VM list."""
         self._leaving = servers
         self.adopt(self._state)
 
     def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Queue a batch of this VM's own entry."""
-        now = self._tools.now()
+        """Queue a batch of the entry on this VM."""
+        now = self._context.now()
         deadline = now + batch.deadline_ms / 1000
         for attempt in batch.attempts:
             self._submit(attempt, batch, now, deadline, on_reply)
 
     async def run(self, batch: AttemptBatch, reply: Callable[[AttemptReply], None]) -> None:
         """Queue a batch of a peer and wait until each of its attempts has been answered."""
-        left = {attempt.id for attempt in batch.attempts}
+        unanswered = {attempt.id for attempt in batch.attempts}
         done = asyncio.Event()
 
-        def settle(attempt_id: str) -> None:
-            self._on_cancel.pop(attempt_id, None)
-            left.discard(attempt_id)
-            if not left:
+        def on_settled(attempt_id: str) -> None:
+            self._cancel_callbacks.pop(attempt_id, None)
+            unanswered.discard(attempt_id)
+            if not unanswered:
                 done.set()
 
-        def answer(one: AttemptReply) -> None:
-            reply(one)
-            settle(one.attempt)
+        def forward(attempt_reply: AttemptReply) -> None:
+            reply(attempt_reply)
+            on_settled(attempt_reply.attempt)
 
         for attempt in batch.attempts:
-            self._on_cancel[attempt.id] = partial(settle, attempt.id)
-        self.submit_own(batch, answer)
+            self._cancel_callbacks[attempt.id] = partial(on_settled, attempt.id)
+        self.submit_own(batch, forward)
         try:
             await done.wait()
         except asyncio.CancelledError:
-            # The peer or its link is gone, and nobody waits for these any more.
-            self.cancel(tuple(left))
+            # The peer or its link is gone, so the replies are no longer awaited.
+            self.cancel(tuple(unanswered))
             raise
 
     def cancel(self, attempts: Sequence[str]) -> None:
-        """Drop these attempts, queued or running."""
+        """Cancel attempts, queued or running."""
         for attempt_id in attempts:
             for worker in self._workers.values():
                 if worker.cancel(attempt_id):
                     break
-            settle = self._on_cancel.get(attempt_id)
-            if settle is not None:
-                settle()
+            on_settled = self._cancel_callbacks.get(attempt_id)
+            if on_settled is not None:
+                on_settled()
 
-    def stop_taking(self) -> None:
-        """Refuse new work at every server and give queued work back; for a shutdown."""
+    def stop_accepting(self) -> None:
+        """Refuse new and queued attempts at every server during shutdown."""
         for worker in self._workers.values():
-            worker.stop_taking(ErrorKind.SHUTTING_DOWN)
+            worker.set_refusal(ErrorKind.SHUTTING_DOWN)
 
-    async def drained(self) -> None:
-        """Wait until nothing runs at any owned server."""
-        await asyncio.gather(*(worker.drained() for worker in self._workers.values()))
+    async def wait_idle(self) -> None:
+        """Wait until no attempt is running at any owned server."""
+        await asyncio.gather(*(worker.wait_idle() for worker in self._workers.values()))
 
     async def close(self) -> None:
         """Close all workers."""
@@ -142,7 +142,7 @@
         worker = self._workers.get(attempt.server)
         if worker is None:
             on_reply(
-                refused(
+                refusal_reply(
                     attempt.id,
                     server=attempt.server,
                     shard=attempt.shard,
@@ -155,40 +155,40 @@
             caller=batch.caller,
             deadline=deadline,
             on_reply=on_reply,
-            pushed=now,
+            enqueued_at=now,
             fingerprint=batch.fingerprint,
             is_canary=batch.is_canary,
         )
         worker.submit(queued)
 
-    def _wanted(self, state: ClusterState) -> dict[str, Server]:
+    def _owned_servers(self, state: ClusterState) -> dict[str, Server]:
         if state.configuration is None:
             return {}
         return {
             server.id: server
             for server in state.configuration.servers
-            if server.data_centre == self._me.data_centre and self._is_mine(server)
+            if server.data_centre == self._me.data_centre and self._is_owned(server)
         }
 
-    def _is_mine(self, server: Server) -> bool:
+    def _is_owned(self, server: Server) -> bool:
         owner = self._owners.owner(server)
         return owner is not None and owner.id == self._me.id
 
-    def _keep(self, server: Server) -> None:
+    def _ensure_worker(self, server: Server) -> None:
         worker = self._workers.get(server.id)
         if worker is not None and not _same_server(worker.server, server):
-            self._drop(server.id)
+            self._release_worker(server.id)
             worker = None
         if worker is None:
-            worker = ServerWorker(server, self._open_backend(server), self._tools, None)
+            worker = ServerWorker(server, self._open_backend(server), self._context, None)
             self._workers[server.id] = worker
-            self._tools.timeline.record(
+            self._context.timeline.record(
                 EventKind.OWNERSHIP_GAINED, service=server.service, server=server.id
             )
-        worker.stop_taking(self._refusal(server))
+        worker.set_refusal(self._refusal(server))
 
     def _refusal(self, server: Server) -> ErrorKind | None:
-        """Return as what new work for a server is refused, or None where it takes work."""
+        """Return the refusal of new attempts at a server, or None if it accepts work."""
         configuration = self._state.configuration
         if configuration is None or not configuration.is_in(server.data_centre):
             return ErrorKind.DATA_CENTRE_OUT
@@ -196,23 +196,23 @@
             return ErrorKind.SERVER_LEAVING
         return None
 
-    def _drop(self, server_id: str) -> None:
+    def _release_worker(self, server_id: str) -> None:
         worker = self._workers.pop(server_id)
-        worker.disown()
-        self._tools.timeline.record(EventKind.OWNERSHIP_LOST, server=server_id)
-        task = asyncio.get_running_loop().create_task(_finish(worker))
+        worker.release()
+        self._context.timeline.record(EventKind.OWNERSHIP_LOST, server=server_id)
+        task = asyncio.get_running_loop().create_task(_drain_and_close(worker))
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
 
-async def _finish(worker: ServerWorker) -> None:
-    """Let what runs at a server end before its connections are closed."""
-    await worker.drained()
+async def _drain_and_close(worker: ServerWorker) -> None:
+    """Wait for running attempts before closing the connections."""
+    await worker.wait_idle()
     await worker.close()
 
 
 def _same_server(one: Server, other: Server) -> bool:
-    """Tell whether the connections and the cap of a worker still fit its server."""
+    """Return whether the connections and limits of a worker still match its server."""
     return (one.host, one.port, one.slots, one.cold_slots, one.connections) == (
         other.host,
         other.port,
--- a/libs/dataplane/berylspindle_dataplane/owner_table.py
+++ b/libs/dataplane/berylspindle_dataplane/owner_table.py
@@ -1,8 +1,9 @@
-"""Which VM owns which backend server, derived from the views and kept until they change.
+"""Owner VM of each backend server, derived from the views and cached per view.
 
-Deriving an owner costs one hash for each member of the server's data centre. At the size to design
-for that is some 200,000 hashes a data centre, so owners are derived on demand and kept for as long
-as the view of their data centre stays the same; a change of configuration or of suspects is free.
+Deriving an owner takes one hash per member of the data centre of the server. At the design size
+this is about 200,000 hashes per data centre, so owners are derived on demand and cached until the
+view of their data centre changes. A change of the configuration or of the suspects does not
+invalidate the cache.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class _DataCentreOwners:
-    """Owners by backend server, for one view."""
+    """Owners by backend server for one view."""
 
     def __init__(self, view: View) -> None:
         self.view: Final = view
@@ -30,23 +31,25 @@
 
 
 class OwnerTable:
-    """The owners of all backend servers."""
+    """Owner VMs of all backend servers."""
 
     def __init__(self) -> None:
         self._by_data_centre: dict[str, _DataCentreOwners] = {}
 
     def adopt(self, views: Iterable[View]) -> None:
-        """Take the views in force; what was derived from an unchanged one is kept."""
-        fresh: dict[str, _DataCentreOwners] = {}
+        """Apply the views in force; keep the cached owners of unchanged views."""
+        updated: dict[str, _DataCentreOwners] = {}
         for view in views:
             if not view.members:
                 continue
             old = self._by_data_centre.get(view.data_centre)
-            kept = old is not None and old.view == view
-            fresh[view.data_centre] = old if old is not None and kept else _DataCentreOwners(view)
-        self._by_data_centre = fresh
+            is_unchanged = old is not None and old.view == view
+            updated[view.data_centre] = (
+                old if old is not None and is_unchanged else _DataCentreOwners(view)
+            )
+        self._by_data_centre = updated
 
     def owner(self, server: Server) -> Vm | None:
-        """Return the VM that owns a backend server, or None where no view is known."""
+        """Return the VM that owns a backend server, or None if its view is unknown."""
         owners = self._by_data_centre.get(server.data_centre)
         return owners.owner(server.id) if owners is not None else None
--- a/libs/dataplane/berylspindle_dataplane/page_token.py
+++ b/libs/dataplane/berylspindle_dataplane/page_token.py
@@ -1,9 +1,9 @@
-"""Page tokens: where the next page of a search begins, and on which snapshot.
+"""Page tokens: position of the next page of a search, and its snapshot.
 
-A token pins the snapshot of the first page, so that pages of one search never mix snapshots; when
-that snapshot is gone the search is refused as SNAPSHOT_GONE and the caller starts again. A token
-says nothing secret and grants nothing: it is checked for shape and for belonging to the same
-service and query, and its offset is bounded, so a forged one reads no more than a plain search.
+A token pins the snapshot of the first page, so that the pages of one search never mix snapshots. If
+that snapshot is gone, the search is refused as SNAPSHOT_GONE and the caller must start again. A
+token contains no secret and grants no rights: its format, service, query and offset are validated,
+so a forged token reads no more than a plain search.
 """
 
 from __future__ import annotations
@@ -20,13 +20,14 @@
 from berylspindle_model.snapshot import Snapshot
 
 MAX_TOKEN_CHARS: Final = 256
-# Each shard sorts and returns offset + limit hits, so depth costs every shard of the service.
+# Maximum offset plus limit. Every shard sorts and returns that many hits, so a deep page costs work
+# at every shard of the service.
 MAX_DEPTH: Final = 1000
 
 
 @attrs.frozen(kw_only=True)
 class PagePosition:
-    """Where a page begins: `offset` hits into the merged order of `snapshot`."""
+    """Start of a page: `offset` hits into the merged order of `snapshot`."""
 
     snapshot: Snapshot
     offset: int
@@ -34,19 +35,19 @@
 
 
 def search_hash(service: str, query: str) -> int:
-    """Return the hash that ties a token to one service and query."""
+    """Return the hash that binds a token to one service and query."""
     return xxhash.xxh64_intdigest(f"{service}\x00{query}".encode()) >> 1
 
 
 def encode_page(position: PagePosition) -> str:
-    """Return the token for a position."""
+    """Return the token of a position."""
     return base64.urlsafe_b64encode(codec.to_pack(position)).decode().rstrip("=")
 
 
 def decode_page(token: str, *, service: str, query: str) -> PagePosition:
-    """Return the position a token holds.
+    """Return the position encoded in a token.
 
-    Raises RefusalError BAD_REQUEST where the token is malformed, too deep or of another search.
+    Raises RefusalError BAD_REQUEST if the token is malformed, too deep or of another search.
     """
     if len(token) > MAX_TOKEN_CHARS:
         raise refuse(ErrorKind.BAD_REQUEST, "the page token is too long")
--- a/libs/dataplane/berylspindle_dataplane/plane.py
+++ b/libs/dataplane/berylspindle_dataplane/plane.py
@@ -1,7 +1,7 @@
-"""The data plane of one VM, assembled: entry, executor and owner behind the callers' edge.
+"""Data plane of one VM: entry, executor and owner behind the HTTP endpoint for callers.
 
-Flow: `open_data_plane` makes the parts; the control plane's states go to `adopt`, which hands them
-on in the order in which they depend on each other. `drain` finishes all in flight, `close` ends it.
+Flow: `DataPlane` creates the components. `adopt` passes each cluster state of the control plane to
+them in order of dependency. `drained` waits for all requests in flight; `close` stops everything.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from berylspindle_dataplane.owner_table import OwnerTable
 from berylspindle_dataplane.router import Dispatcher, Router
 from berylspindle_dataplane.shedding import Shedding
-from berylspindle_dataplane.suspect_share import SuspectShare, Tell
+from berylspindle_dataplane.suspect_share import QuarantineGossip, SendRecords
 from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
 from berylspindle_dataplane.worker_tools import WorkerTools
 from berylspindle_decisions.admission import AdmissionOptions
@@ -48,11 +48,11 @@
     """Settings of the data plane.
 
     Attributes:
-        requests_in_flight: callers' requests of one service worked on at once.
-        server_queue: attempts that wait for one owned backend server.
+        requests_in_flight: callers' requests per service processed concurrently.
+        server_queue: attempts that may wait for one owned backend server.
         backend: settings of the connections to backend servers.
         out_grace: seconds for which an entry in a data centre that was taken out still serves
-            what the balancer sends, before it refuses.
+            requests that the load balancer sends, before it refuses them.
     """
 
     requests_in_flight: int = 256
@@ -70,7 +70,7 @@
         options: DataPlaneOptions,
         *,
         links: Dispatcher,
-        tell_suspects: Tell,
+        tell_suspects: SendRecords,
         rights: DispatchRights,
         claims: Claims,
         metrics: Metrics,
@@ -84,32 +84,32 @@
         self._state = ClusterState()
         self._out_since: float | None = None
         self._shutting_down = False
-        self._settled = False
+        self._ownership_settled = False
         self._timeline: Final = timeline
         self._owners: Final = OwnerTable()
-        worker_tools = self._worker_tools(rights)
-        self.owner: Final = Owner(me, self._owners, self._open_backend, worker_tools)
+        worker_context = self._make_worker_context(rights)
+        self.owner: Final = Owner(me, self._owners, self._open_backend, worker_context)
         self._router: Final = Router(me=me, owners=self._owners, own=self.owner, links=links)
-        tools = self._entry_tools()
-        self.quarantine: Final = tools.quarantine
-        self._entry: Final = Entry(self._router, tools)
-        self._executor: Final = Executor(self._router, self._entry, claims, tools, self._is_live)
-        self.share: Final = self._suspect_share(worker_tools, tell_suspects)
-        self._tasks: Final = _start(self._executor.settle_pending(), self.share.run())
+        context = self._make_entry_context()
+        self.quarantine: Final = context.quarantine
+        self._entry: Final = Entry(self._router, context)
+        self._executor: Final = Executor(self._router, self._entry, claims, context, self._is_live)
+        self.share: Final = self._make_quarantine_gossip(worker_context, tell_suspects)
+        self._tasks: Final = _start_tasks(self._executor.settle_pending(), self.share.run())
         self._requests = 0
         self._idle: Final = asyncio.Event()
         self._idle.set()
-        self._edge: Final = CallerEdge(self._edge_handlers(tools))
+        self._edge: Final = CallerEdge(self._make_edge_handlers(context))
         metrics.gauge_function(names.REQUESTS_IN_FLIGHT, lambda: self._requests)
         metrics.gauge_function(names.QUARANTINED, lambda: self.quarantine.quarantined)
 
     @property
     def in_flight(self) -> int:
-        """Return the callers' requests being worked on."""
+        """Return the number of callers' requests in progress."""
         return self._requests
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request of a caller, or of the balancer."""
+        """Handle one HTTP request of a caller or of the load balancer."""
         self._requests += 1
         self._idle.clear()
         try:
@@ -120,70 +120,70 @@
                 self._idle.set()
 
     def adopt(self, state: ClusterState) -> None:
-        """Follow a new state of the cluster."""
+        """Apply a new cluster state."""
         was_ready = self.unready() is None
         self._state = state
-        self._note_out(state)
+        self._record_data_centre_state(state)
         self._owners.adopt(state.views)
         self.owner.adopt(state)
         self._router.adopt(state)
         self._entry.adopt(state)
         self.share.adopt(state)
-        self._note_ready(was_ready)
+        self._record_readiness(was_ready)
 
     def mark_leaving(self, servers: frozenset[str]) -> None:
-        """Give no new work to backend servers that the VM list says are leaving."""
+        """Stop new work to backend servers that are leaving according to the VM list."""
         self._router.mark_leaving(servers)
         self.owner.mark_leaving(servers)
 
     def unready(self) -> Refusal | None:
-        """Return why the balancer should not send here, or None where it may."""
+        """Return why the load balancer should not send requests here, or None if it may."""
         if self._shutting_down:
             return Refusal(ErrorKind.SHUTTING_DOWN)
         if self._state.configuration is None:
             return Refusal(ErrorKind.NOT_READY)
         if self._out_since is not None:
             return Refusal(ErrorKind.DATA_CENTRE_OUT)
-        if not self._settled:
-            return Refusal(ErrorKind.NOT_READY, "ownership of backend servers settles")
+        if not self._ownership_settled:
+            return Refusal(ErrorKind.NOT_READY, "waiting for ownership of backend servers")
         return None
 
     def mark_settled(self) -> None:
-        """Let the balancer send here: this VM may dispatch to what it owns, or waited enough."""
+        """Report readiness once this VM may dispatch to its servers or has waited long enough."""
         was_ready = self.unready() is None
-        self._settled = True
-        self._note_ready(was_ready)
+        self._ownership_settled = True
+        self._record_readiness(was_ready)
 
     def begin_shutdown(self) -> None:
-        """Tell the balancer to send no more; what still comes is served."""
+        """Report this VM as not ready; requests that still arrive are served."""
         was_ready = self.unready() is None
         self._shutting_down = True
-        self._note_ready(was_ready)
+        self._record_readiness(was_ready)
 
     async def hand_over(self) -> None:
-        """Give up claims, then owned servers: take no more, and wait for what is under way.
+        """Stop accepting executes and attempts, and wait for those in progress.
 
-        Claims come first, while this VM's own servers still run what was claimed.
+        Executes come first, while the backend servers of this VM still run claimed requests.
         """
-        self._executor.stop_taking()
-        await self._executor.drained()
-        self.owner.stop_taking()
-        await self.owner.drained()
+        self._executor.stop_accepting()
+        await self._executor.wait_idle()
+        self.owner.stop_accepting()
+        await self.owner.wait_idle()
 
     async def drained(self) -> None:
-        """Wait until no caller's request and no owned attempt is under way."""
+        """Wait until no caller's request and no attempt at an owned server is in progress."""
         await self._idle.wait()
-        await self._executor.drained()
-        await self.owner.drained()
+        await self._executor.wait_idle()
+        await self.owner.wait_idle()
 
     async def close(self) -> None:
-        """End all work."""
+        """Cancel all work and close the connections to backend servers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.owner.close()
 
-    def _worker_tools(self, rights: DispatchRights) -> WorkerTools:
+    def _make_worker_context(self, rights: DispatchRights) -> WorkerTools:
         return WorkerTools(
             rights=rights,
             metrics=self._metrics,
@@ -193,50 +193,52 @@
             queue=FairQueueOptions(max_entries=self._options.server_queue),
         )
 
-    def _entry_tools(self) -> EntryTools:
+    def _make_entry_context(self) -> EntryTools:
         return EntryTools(
             metrics=self._metrics,
             timeline=self._timeline,
             now=self._now,
             random=random.Random().random,
-            new_id=_id_maker(),
+            new_id=_make_id_generator(),
             deadlines=Deadlines(),
             quarantine=WatchedQuarantine(self._timeline),
             admission=AdmissionOptions(max_work=self._options.requests_in_flight),
             shedding=Shedding(self._timeline),
         )
 
-    def _suspect_share(self, worker_tools: WorkerTools, tell: Tell) -> SuspectShare:
-        return SuspectShare(
+    def _make_quarantine_gossip(
+        self, worker_context: WorkerTools, send: SendRecords
+    ) -> QuarantineGossip:
+        return QuarantineGossip(
             self.quarantine,
-            worker_tools.quarantine,
+            worker_context.quarantine,
             me=self._me,
-            tell=tell,
+            send=send,
             now=self._now,
             rng=random.Random(),
         )
 
-    def _edge_handlers(self, tools: EntryTools) -> EdgeHandlers:
+    def _make_edge_handlers(self, context: EntryTools) -> EdgeHandlers:
         return EdgeHandlers(
             search=self._entry.search,
             execute=self._executor.execute,
             outcome=self._executor.outcome,
-            ready=self.unready,
-            refused=self._refused,
-            new_id=tools.new_id,
+            readiness_refusal=self.unready,
+            request_refusal=self._request_refusal,
+            new_id=context.new_id,
         )
 
-    def _refused(self) -> Refusal | None:
-        """Return as what callers' new requests are refused, or None where they are served."""
+    def _request_refusal(self) -> Refusal | None:
+        """Return the refusal of new requests of callers, or None if they are served."""
         if self._state.configuration is None:
             return Refusal(ErrorKind.NOT_READY)
-        # For a while the balancer has not yet seen that this VM is unready; its callers did no
-        # wrong, and the work goes to other data centres.
+        # The load balancer notices with a delay that this VM is not ready. Callers are not at
+        # fault, so their requests are served meanwhile; the attempts go to other data centres.
         if self._out_since is None or self._now() - self._out_since < self._options.out_grace:
             return None
         return Refusal(ErrorKind.DATA_CENTRE_OUT)
 
-    def _note_out(self, state: ClusterState) -> None:
+    def _record_data_centre_state(self, state: ClusterState) -> None:
         configuration = state.configuration
         if configuration is None or configuration.data_centre(self._me.data_centre) is None:
             return
@@ -248,7 +250,7 @@
             self._out_since = self._now()
             self._timeline.record(EventKind.DATA_CENTRE_OUT, detail=self._me.data_centre)
 
-    def _note_ready(self, was_ready: bool) -> None:
+    def _record_readiness(self, was_ready: bool) -> None:
         refusal = self.unready()
         self._metrics.gauge(names.READY, 0 if refusal else 1)
         if was_ready and refusal is not None:
@@ -263,7 +265,7 @@
         def on_event(event: str) -> None:
             if event == "opened":
                 self._metrics.count(names.CONNECTIONS_OPENED, server=server.id)
-            elif event in _REPLACED:
+            elif event in _REPLACED_EVENTS:
                 self._metrics.count(names.CONNECTIONS_REPLACED, reason=event)
             if event == "silent":
                 self._timeline.record(EventKind.CONNECTION_REPLACED, server=server.id, detail=event)
@@ -271,16 +273,16 @@
         return open_http_backend(server, self._options.backend, on_event)
 
 
-_REPLACED: Final = frozenset({"silent", "dropped", "probe_failed", "expired"})
+_REPLACED_EVENTS: Final = frozenset({"silent", "dropped", "probe_failed", "expired"})
 
 
-def _start(*works: Coroutine[object, object, None]) -> tuple[asyncio.Task[None], ...]:
+def _start_tasks(*coroutines: Coroutine[object, object, None]) -> tuple[asyncio.Task[None], ...]:
     loop = asyncio.get_running_loop()
-    return tuple(loop.create_task(work) for work in works)
+    return tuple(loop.create_task(work) for work in coroutines)
 
 
-def _id_maker() -> Callable[[], str]:
-    """Return a maker of ids: a random prefix of this process and a count."""
+def _make_id_generator() -> Callable[[], str]:
+    """Return a generator of ids that consist of a random prefix per process and a counter."""
     prefix = secrets.token_hex(6)
     count = 0
 
--- a/libs/dataplane/berylspindle_dataplane/router.py
+++ b/libs/dataplane/berylspindle_dataplane/router.py
@@ -1,12 +1,12 @@
-"""Where work can go: from shards to backend servers to the VMs that own them.
+"""Routing of attempts from shards to backend servers and to the VMs that own them.
 
 Terms:
-  target      a backend server that may take new work now, with the VM that owns it
-  dispatcher  what carries a batch to one owner: this VM's own or a link to a peer
+  target      a backend server that accepts new work, with the VM that owns it
+  dispatcher  transport of a batch to one owner: on this VM, or over a link to a peer
 
-Flow: the control plane publishes a `ClusterState`; `Router.adopt` derives the targets of every
-shard from it. An entry reads `targets` and hands batches to `submit`, which calls back once for
-each attempt.
+Flow: the control plane publishes a `ClusterState`, from which the targets of each shard are derived
+on demand. An entry reads `targets` and passes batches to `submit`; `on_reply` is called once per
+attempt.
 """
 
 from __future__ import annotations
@@ -27,34 +27,34 @@
 
 @attrs.frozen
 class Target:
-    """A backend server that may take new work, and its owner."""
+    """A backend server that accepts new work, and its owner."""
 
     server: Server
     owner: Vm
 
 
 class Dispatcher(Protocol):
-    """Carry batches to owners on other VMs; `on_reply` is called once for each attempt."""
+    """Send batches to owners on other VMs; `on_reply` is called once per attempt."""
 
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Send a batch without waiting."""
+        """Send a batch without blocking."""
 
     def cancel(self, vm: Vm, attempts: Sequence[str]) -> None:
-        """Tell the owner that nobody waits for these attempts any more."""
+        """Cancel attempts at their owner."""
 
 
 class OwnDispatcher(Protocol):
-    """Take batches for the backend servers that this VM owns itself."""
+    """Dispatch batches to the backend servers that this VM owns."""
 
     def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Queue a batch without waiting."""
+        """Queue a batch without blocking."""
 
     def cancel(self, attempts: Sequence[str]) -> None:
-        """Drop these attempts, queued or running."""
+        """Cancel attempts, queued or running."""
 
 
 class Router:
-    """Know the targets of each shard and bring batches to their owners."""
+    """Derive the targets of each shard and send batches to their owners."""
 
     def __init__(
         self, *, me: Vm, owners: OwnerTable, own: OwnDispatcher, links: Dispatcher
@@ -70,7 +70,7 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force here, or None before the first."""
+        """Return the configuration in force on this VM, or None before the first one."""
         return self._state.configuration
 
     @property
@@ -79,17 +79,17 @@
         return self._me
 
     def adopt(self, state: ClusterState) -> None:
-        """Derive targets from a new state, after the owner table has adopted its views."""
+        """Apply a new cluster state; the owner table must have adopted its views before."""
         if state.configuration is not self._state.configuration:
             self._replicas = _by_shard(state.configuration)
         self._state = state
         self._targets = {}
 
     def mark_leaving(self, servers: frozenset[str]) -> None:
-        """Give no new work to backend servers that are said to be leaving.
+        """Exclude backend servers that are leaving from the targets.
 
-        Operators' configuration, the VM list and a server's own report each suffice; this is the
-        way of the latter two.
+        A server is excluded if the configuration, the VM list or its own report says so; this
+        method covers the last two.
         """
         if servers == self._leaving:
             return
@@ -102,7 +102,7 @@
         return configuration.service(name) if configuration else None
 
     def targets(self, service: str, shard: str) -> tuple[Target, ...]:
-        """Return the backend servers of a shard that may take new work now."""
+        """Return the backend servers of a shard that accept new work."""
         key = (service, shard)
         found = self._targets.get(key)
         if found is None:
@@ -110,14 +110,14 @@
         return found
 
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Bring a batch to its owner; `on_reply` is called once for each attempt."""
+        """Send a batch to its owner; `on_reply` is called once per attempt."""
         if vm.id == self._me.id:
             self._own.submit_own(batch, on_reply)
             return
         self._links.submit(vm, batch, on_reply)
 
     def cancel(self, vm: Vm, attempts: Sequence[str]) -> None:
-        """Tell an owner that nobody waits for these attempts any more."""
+        """Cancel attempts at their owner."""
         if vm.id == self._me.id:
             self._own.cancel(attempts)
             return
@@ -152,7 +152,7 @@
     return replicas
 
 
-def refused(
+def refusal_reply(
     attempt: str,
     *,
     server: str,
@@ -162,7 +162,7 @@
     detail: str = "",
     retry_after_ms: int | None = None,
 ) -> AttemptReply:
-    """Return the reply to an attempt that got no answer."""
+    """Return the reply to an attempt that was refused or failed."""
     return AttemptReply(
         attempt=attempt,
         server=server,
--- a/libs/dataplane/berylspindle_dataplane/search_answer.py
+++ b/libs/dataplane/berylspindle_dataplane/search_answer.py
@@ -1,7 +1,7 @@
-"""Make the one answer or the one refusal of a search from what its shards came to.
+"""Build the answer or the refusal of a search from the results of its shards.
 
-Flow: `search_fanout` decides when a search ends; `merged_answer` puts the replies of one snapshot
-together, `combined_refusal` the reasons of the shards that are lost.
+Flow: `search_fanout` decides when a search ends. `merged_answer` merges the replies computed on one
+snapshot; `combined_refusal` combines the refusals of the lost shards.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 def merged_answer(
     request: SearchRequest, *, pin: Snapshot, coverage: Coverage, replies: Iterable[AttemptReply]
 ) -> SearchAnswer:
-    """Return one page of the merged hits; every reply was computed on `pin`."""
+    """Return one page of merged hits; all replies must have been computed on `pin`."""
     hits = (reply.hits for reply in replies)
     page = merge_hits(hits, offset=request.offset, limit=request.limit)
     return SearchAnswer(
@@ -38,19 +38,19 @@
 
 
 def combined_refusal(
-    reasons: Sequence[Refusal], *, runs: set[RunState], coverage: Coverage, is_expired: bool
+    refusals: Sequence[Refusal], *, run_states: set[RunState], coverage: Coverage, is_expired: bool
 ) -> Refusal:
-    """Return the one reason that all lost shards share, or INCOMPLETE.
+    """Return the reason shared by all lost shards, or INCOMPLETE if the reasons differ.
 
-    It is NOT_RUN only where that is true of every attempt, and says the longest time to come back
-    that any shard gave.
+    The run state is NOT_RUN only if that holds for every attempt. The retry delay is the longest
+    one that any shard returned.
     """
-    run = RunState.NOT_RUN if runs <= {RunState.NOT_RUN} else RunState.MAY_HAVE_RUN
+    run = RunState.NOT_RUN if run_states <= {RunState.NOT_RUN} else RunState.MAY_HAVE_RUN
     detail = f"{coverage.answered} of {coverage.asked} shards answered"
-    waits = [each.retry_after for each in reasons if each.retry_after is not None]
-    retry_after_ms = max(waits, default=None)
+    retry_delays_ms = [each.retry_after for each in refusals if each.retry_after is not None]
+    retry_after_ms = max(retry_delays_ms, default=None)
     if is_expired and not coverage.answered:
         return Refusal(ErrorKind.DEADLINE_EXCEEDED, detail, run, retry_after_ms)
-    kinds = {each.kind for each in reasons}
+    kinds = {each.kind for each in refusals}
     kind = kinds.pop() if len(kinds) == 1 else ErrorKind.INCOMPLETE
     return Refusal(kind, detail, run, retry_after_ms)
--- a/libs/dataplane/berylspindle_dataplane/server_meters.py
+++ b/libs/dataplane/berylspindle_dataplane/server_meters.py
@@ -1,8 +1,8 @@
-"""What one worker tells of its backend server: gauges, counts, times and changes of state.
+"""Metrics and timeline events of one backend server at its worker.
 
-Flow: the worker makes one and hands it what happens; `forget` drops the gauges when this VM no
-longer owns the server, before another worker for the same server makes its own. Series are taken
-once, since the worker records three for each attempt.
+Flow: the worker creates one instance and reports events to it. `remove_gauges` drops the gauges
+when this VM no longer owns the server, before another worker for the same server registers its own.
+Series are looked up once, since the worker updates three of them per attempt.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
         self._warming = False
         self._had_right = False
 
-    def watch(self, metric: Metric, read: Callable[[], float]) -> None:
-        """Let a gauge of this server be read whenever metrics are rendered."""
+    def add_gauge(self, metric: Metric, read: Callable[[], float]) -> None:
+        """Register a gauge of this server that is read whenever metrics are rendered."""
         self._metrics.gauge_function(metric, read, server=self._server.id)
         self._gauges.append(metric)
 
-    def forget(self) -> None:
-        """Drop the gauges."""
+    def remove_gauges(self) -> None:
+        """Remove the gauges of this server."""
         for metric in self._gauges:
             self._metrics.forget(metric, server=self._server.id)
         self._gauges.clear()
 
     def on_reply(self, result: str, *, queued_ms: float, served_ms: float) -> None:
-        """Count one dispatch by its result, and its times."""
+        """Count one dispatch by its result, and record its times."""
         counter = self._dispatches.get(result)
         if counter is None:
             counter = self._dispatches[result] = self._metrics.counter(
@@ -56,8 +56,8 @@
         self._queue_time.observe(queued_ms)
         self._served_time.observe(served_ms)
 
-    def on_warmth(self, *, warm: bool, evidence: str) -> None:
-        """Record a change of trust; empty evidence stands for an answer."""
+    def on_warm_state(self, *, warm: bool, evidence: str) -> None:
+        """Record a transition between warm and cold; empty `evidence` means a successful reply."""
         if warm == self._was_warm:
             if not warm and not self._warming and not evidence:
                 self._warming = True
@@ -71,16 +71,16 @@
         self._metrics.count(names.TURNED_COLD, evidence=evidence)
         self._record(EventKind.TURNED_COLD, evidence)
 
-    def on_right(self, right: RightLevel) -> None:
-        """Record that the right to dispatch has lapsed, once for each time."""
+    def on_dispatch_right(self, right: RightLevel) -> None:
+        """Record each lapse of the right to dispatch."""
         has_right = right is not RightLevel.NONE
         if self._had_right and not has_right:
             self._record(EventKind.OWNERSHIP_LAPSED)
         self._had_right = has_right
 
-    def on_drains(self, drains: bool) -> None:
-        """Record that the server itself says that it leaves, or no longer."""
-        kind = EventKind.SERVER_LEAVING if drains else EventKind.SERVER_RETURNED
+    def on_draining(self, is_draining: bool) -> None:
+        """Record that the server reports draining, or no longer does."""
+        kind = EventKind.SERVER_LEAVING if is_draining else EventKind.SERVER_RETURNED
         self._record(kind, "its own report")
 
     def _record(self, kind: EventKind, detail: str = "") -> None:
--- a/libs/dataplane/berylspindle_dataplane/service_meters.py
+++ b/libs/dataplane/berylspindle_dataplane/service_meters.py
@@ -1,7 +1,8 @@
-"""What one entry tells of one service: replies, budgets, snapshots and ejected servers.
+"""Metrics and timeline events of one service at an entry.
 
-Flow: `ServiceState` holds one for as long as the service is configured; the guide and the driver of
-each fan-out record into it. Series are taken once, since two are recorded for each attempt.
+Flow: `ServiceState` holds one instance for as long as the service is configured; the strategy and
+the driver of each fan-out record into it. Series are looked up once, since two of them are updated
+per attempt.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
         self._newest: Snapshot | None = None
 
     def on_reply(self, result: str, elapsed_ms: float) -> None:
-        """Count a reply by its result, and the time since its attempt was sent."""
+        """Count a reply by its result, and record the time since its attempt was sent."""
         counter = self._replies.get(result)
         if counter is None:
             counter = self._replies[result] = self._metrics.counter(
@@ -44,15 +45,15 @@
         self._metrics.count(names.REPLIES_DISCARDED, reason=reason)
 
     def on_denied(self, budget: str) -> None:
-        """Count a hedge or a retry that the budget did not allow."""
+        """Count a hedge or a retry denied by its budget."""
         self._metrics.count(names.BUDGET_DENIED, service=self._service, budget=budget)
 
-    def on_moved(self) -> None:
-        """Count a fan-out that moved to another snapshot than it began with."""
+    def on_repin(self) -> None:
+        """Count a fan-out that moved to another snapshot."""
         self._metrics.count(names.SNAPSHOT_CHANGES, service=self._service)
 
     def on_answer(self, snapshot: Snapshot) -> None:
-        """Record where answers move to a newer snapshot; later pages of old ones are no change."""
+        """Record a move of answers to a newer snapshot; pages of older snapshots are ignored."""
         if self._newest is not None and snapshot <= self._newest:
             return
         if self._newest is not None:
@@ -60,8 +61,8 @@
             self._record(EventKind.SNAPSHOT_CHANGED, "", detail)
         self._newest = snapshot
 
-    def on_judged(self, now: float, server: str, ejector: Ejector) -> None:
-        """Record where an answer or a failure put a server out, or brought it back."""
+    def on_ejection_check(self, now: float, server: str, ejector: Ejector) -> None:
+        """Record the ejection of a server or its end, after a reply or a failure."""
         if ejector.ejections > self._ejections:
             self._metrics.count(names.EJECTIONS, service=self._service)
             if server not in self._ejected:
--- a/libs/dataplane/berylspindle_dataplane/service_state.py
+++ b/libs/dataplane/berylspindle_dataplane/service_state.py
@@ -1,12 +1,12 @@
-"""What one entry has learned of one service, and the guide of each search made from it.
+"""State that one entry keeps for one service, and the strategy of each search based on it.
 
 Terms:
-  replica record   this entry's view of one backend server: smoothed latency, attempts out, until
-                   when it asked to be left alone
+  replica statistics   smoothed latency, outstanding attempts and retry delay of one backend server
+                       as observed by this entry
 
-Flow: `ServiceState` lives as long as the service is configured and is fed by every reply; a
-`SearchGuide` is made for each search and lends it budgets, choices and the snapshot tracker. State
-here is this entry's own; nothing of it is shared between VMs but the quarantine.
+Flow: `ServiceState` exists as long as the service is configured and is updated from every reply. A
+`SearchStrategy` is created per search and gives it access to budgets, replica choice and the
+snapshot tracker. This state is local to the entry; only the quarantine is shared between VMs.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 import attrs
 
-from berylspindle_dataplane.fanout_guide import FanoutGuide
+from berylspindle_dataplane.fanout_strategy import FanoutStrategy
 from berylspindle_dataplane.router import Router, Target
 from berylspindle_dataplane.service_meters import ServiceMeters
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine, is_loss
+from berylspindle_dataplane.watched_quarantine import WatchedQuarantine, is_connection_loss
 from berylspindle_decisions.admission import Admission, AdmissionOptions
 from berylspindle_decisions.budget import (
     BudgetOptions,
@@ -37,46 +37,47 @@
 from berylspindle_model.messages import AttemptReply
 from berylspindle_model.snapshot import Snapshot
 
-# Weight of a new reply in the smoothed latency: ten replies tell a server that has turned slow.
-SMOOTHING: Final = 0.1
-# What a sub-request is expected to take while nothing is known.
+# Weight of a new reply in the smoothed latency: about ten replies reveal a server that has become
+# slow.
+SMOOTHING_FACTOR: Final = 0.1
+# Expected latency of an attempt before the first reply.
 DEFAULT_EXPECTED_MS: Final = 5.0
-# How long an owner or server that refused without naming a time is passed over.
-REFUSED_SECONDS: Final = 0.05
+# How long a server is avoided after a refusal without a retry delay.
+DEFAULT_REFUSAL_SECONDS: Final = 0.05
 
 
 @attrs.define(eq=False)
-class Pressure:
-    """What one request met at the owners: its longest wait, and whether one lacked room or time."""
+class OverloadSignal:
+    """Longest queueing delay of one request, and whether an attempt was refused for overload."""
 
     queued_ms: float = 0.0
-    pressed: bool = False
+    overloaded: bool = False
 
-    def note(self, reply: AttemptReply) -> None:
-        """Take one reply."""
+    def record_reply(self, reply: AttemptReply) -> None:
+        """Update the signal from one reply."""
         self.queued_ms = max(self.queued_ms, reply.queued_ms)
-        if reply.error in _PRESSED:
-            self.pressed = True
+        if reply.error in _OVERLOAD_ERRORS:
+            self.overloaded = True
 
 
 @attrs.define(eq=False)
-class ReplicaRecord:
-    """What this entry knows of one backend server."""
+class ReplicaStats:
+    """Statistics of one backend server as observed by this entry."""
 
     latency_ms: float | None = None
     outstanding: int = 0
     refused_until: float = float("-inf")
 
-    def learn(self, latency_ms: float) -> None:
-        """Take the time of one reply into the smoothed latency."""
+    def record_latency(self, latency_ms: float) -> None:
+        """Update the smoothed latency from one reply."""
         if self.latency_ms is None:
             self.latency_ms = latency_ms
             return
-        self.latency_ms += SMOOTHING * (latency_ms - self.latency_ms)
+        self.latency_ms += SMOOTHING_FACTOR * (latency_ms - self.latency_ms)
 
 
 class ServiceState:
-    """Everything one entry has learned of one service."""
+    """State that one entry keeps for one service."""
 
     def __init__(
         self,
@@ -86,7 +87,7 @@
         admission: AdmissionOptions,
     ) -> None:
         policy = service.policy
-        # One for each service: the servers of one that is overloaded say nothing about others.
+        # One per service: overload of one service says nothing about others.
         self.admission: Final = Admission(admission)
         self.service = service
         self.meters: Final = meters
@@ -97,27 +98,27 @@
         self.ejector: Final = Ejector(shard_map)
         self.expected_ms = DEFAULT_EXPECTED_MS
         self.served_ms = DEFAULT_EXPECTED_MS
-        self._records: dict[str, ReplicaRecord] = {}
+        self._replica_stats: dict[str, ReplicaStats] = {}
 
     def adopt(self, service: Service, shard_map: Mapping[str, tuple[str, ...]]) -> None:
-        """Take a changed service or shard map; what was learned of servers that stay is kept."""
+        """Apply a changed service or shard map; keep the state of servers that remain."""
         self.service = service
         self.tracker.set_map(service.epoch, shard_map)
         self.ejector.set_groups(shard_map)
         known = {server for servers in shard_map.values() for server in servers}
-        self._records = {name: r for name, r in self._records.items() if name in known}
+        self._replica_stats = {name: r for name, r in self._replica_stats.items() if name in known}
 
-    def record(self, server: str) -> ReplicaRecord:
-        """Return the record of one backend server."""
-        found = self._records.get(server)
+    def replica_stats(self, server: str) -> ReplicaStats:
+        """Return the statistics of one backend server."""
+        found = self._replica_stats.get(server)
         if found is None:
-            found = self._records[server] = ReplicaRecord()
+            found = self._replica_stats[server] = ReplicaStats()
         return found
 
     def view(self, target: Target, *, local: str, now: float, pin: Snapshot | None) -> ReplicaView:
-        """Return what the choice of replica looks at."""
+        """Return the input of the replica choice for one target."""
         server = target.server
-        record = self.record(server.id)
+        stats = self.replica_stats(server.id)
         holds = self.tracker.holds(server.shard, server.id, pin) if pin is not None else None
         return ReplicaView(
             server=server.id,
@@ -126,47 +127,47 @@
             is_local=server.data_centre == local,
             is_ejected=not self.ejector.may_use(now, server.id),
             holds_snapshot=holds,
-            latency_ms=record.latency_ms,
-            outstanding=record.outstanding,
+            latency_ms=stats.latency_ms,
+            outstanding=stats.outstanding,
             slots=server.slots,
-            refused_until=record.refused_until,
+            refused_until=stats.refused_until,
         )
 
-    def learn_cancelled(self, server: str, elapsed_ms: float) -> None:
-        """Learn from a first attempt that lost against its hedge, if it says more than is known.
+    def record_cancelled(self, server: str, elapsed_ms: float) -> None:
+        """Update the latency from a first attempt cancelled in favour of its hedge, if it was slow.
 
-        Left out, a server whose attempts are all hedged would look as good as before it turned
-        slow, and each search would pay for one more hedge.
+        Without this, a server whose attempts are all hedged would keep the latency from before it
+        became slow, and every search would spend another hedge on it.
         """
-        record = self.record(server)
-        known_ms = record.latency_ms if record.latency_ms is not None else DEFAULT_EXPECTED_MS
+        stats = self.replica_stats(server)
+        known_ms = stats.latency_ms if stats.latency_ms is not None else DEFAULT_EXPECTED_MS
         if elapsed_ms > known_ms:
-            record.learn(elapsed_ms)
+            stats.record_latency(elapsed_ms)
         self.ejector.on_cancelled(server, elapsed_ms)
 
-    def learn(self, now: float, target: Target, reply: AttemptReply) -> None:
-        """Learn from one reply: latency, snapshots held, refusals and failures."""
+    def record_reply(self, now: float, target: Target, reply: AttemptReply) -> None:
+        """Update latency, known snapshots, refusals and failures from one reply."""
         server = target.server.id
-        record = self.record(server)
+        stats = self.replica_stats(server)
         if reply.versions:
             self.tracker.observe(reply.shard, server, reply.versions)
         if reply.error is None:
             elapsed = reply.queued_ms + reply.served_ms
-            record.learn(elapsed)
-            self.expected_ms += SMOOTHING * (elapsed - self.expected_ms)
-            self.served_ms += SMOOTHING * (reply.served_ms - self.served_ms)
+            stats.record_latency(elapsed)
+            self.expected_ms += SMOOTHING_FACTOR * (elapsed - self.expected_ms)
+            self.served_ms += SMOOTHING_FACTOR * (reply.served_ms - self.served_ms)
             self.ejector.on_success(now, server, reply.served_ms)
-            self.meters.on_judged(now, server, self.ejector)
+            self.meters.on_ejection_check(now, server, self.ejector)
             return
-        if reply.error in _FAULTS and reply.run is not RunState.NOT_RUN:
+        if reply.error in _SERVER_FAULTS and reply.run is not RunState.NOT_RUN:
             self.ejector.on_failure(now, server)
-            self.meters.on_judged(now, server, self.ejector)
-        elif reply.run is RunState.NOT_RUN and reply.error not in _OWN_FAULTS:
+            self.meters.on_ejection_check(now, server, self.ejector)
+        elif reply.run is RunState.NOT_RUN and reply.error not in _REQUEST_ERRORS:
             wait = (reply.retry_after_ms or 0) / 1000
-            record.refused_until = now + max(wait, REFUSED_SECONDS)
+            stats.refused_until = now + max(wait, DEFAULT_REFUSAL_SECONDS)
 
 
-_FAULTS: Final = frozenset(
+_SERVER_FAULTS: Final = frozenset(
     {
         ErrorKind.CONNECTION_LOST,
         ErrorKind.BAD_REPLY,
@@ -176,11 +177,11 @@
 )
 
 
-# What a refusal says of the request, not of the server that refused it.
-_OWN_FAULTS: Final = frozenset({ErrorKind.SNAPSHOT_GONE, ErrorKind.QUARANTINED})
+# Refusals caused by the request, not by the server.
+_REQUEST_ERRORS: Final = frozenset({ErrorKind.SNAPSHOT_GONE, ErrorKind.QUARANTINED})
 
 
-_PRESSED: Final = frozenset(
+_OVERLOAD_ERRORS: Final = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.CALLER_OVER_SHARE,
@@ -190,8 +191,8 @@
 )
 
 
-class SearchGuide(FanoutGuide):
-    """Lend one search the targets, budgets and snapshots of its service."""
+class SearchStrategy(FanoutStrategy):
+    """Provide one search with the targets, budgets and snapshots of its service."""
 
     def __init__(
         self,
@@ -200,7 +201,7 @@
         quarantine: WatchedQuarantine,
         *,
         fingerprint: str,
-        pressure: Pressure,
+        overload: OverloadSignal,
         pinned: bool,
         now: Callable[[], float],
         random: Callable[[], float],
@@ -210,7 +211,7 @@
         self._router: Final = router
         self._quarantine: Final = quarantine
         self._fingerprint: Final = fingerprint
-        self._pressure: Final = pressure
+        self._overload: Final = overload
         self._pinned: Final = pinned
         self._now: Final = now
         self._random: Final = random
@@ -230,19 +231,19 @@
         if hedge:
             chosen = hedge_target(choose(views, now=now, u=self._random()), tried, now=now)
             return targets[chosen.server] if chosen is not None else None
-        fresh = [view for view in views if view.server not in tried]
-        order = choose(fresh, now=now, u=self._random(), owners=self._owners)
+        untried = [view for view in views if view.server not in tried]
+        order = choose(untried, now=now, u=self._random(), owners=self._owners)
         if not order:
             return None
         self._owners.add(order[0].owner)
         return targets[order[0].server]
 
     def hedge_delay_ms(self) -> float:
-        """Return the measured delay of the service."""
+        """Return the hedge delay of the service, derived from its latencies, in milliseconds."""
         return self._state.hedging.delay_ms
 
     def may_hedge(self, *, elapsed_ms: float, left_ms: float) -> HedgeVerdict:
-        """Return whether a hedge starts now."""
+        """Return whether a hedge may start now."""
         verdict = self._state.hedging.decide(
             elapsed_ms=elapsed_ms,
             left_ms=left_ms,
@@ -254,7 +255,7 @@
         return verdict
 
     def may_retry(self, shard: str, reply: AttemptReply, *, left_ms: float) -> bool:
-        """Tell whether a failed shard is tried again."""
+        """Return whether a failed attempt may be retried."""
         denied = self._state.retry_budget.denied
         verdict = self._state.retries.decide(
             self._retries,
@@ -267,8 +268,8 @@
         )
         if self._state.retry_budget.denied > denied:
             self._state.meters.on_denied("retry")
-        # A retry after a lost connection would have to be a canary by itself; the next search of
-        # the same fingerprint is one, so that within this search the shard is counted as lost.
+        # A retry after a lost connection would have to be a canary itself. The next search with the
+        # same fingerprint is one; within this search the shard counts as lost.
         return verdict in (RetryClass.FREE, RetryClass.BUDGETED)
 
     def reask(
@@ -279,7 +280,7 @@
         rounds: int,
         left_ms: float,
     ) -> Reask | KeepOne | Refusal:
-        """Return at which snapshot to ask again."""
+        """Return the snapshot to query next, or how to proceed without one."""
         service = self._state.service
         usable = {
             target.server.id
@@ -296,23 +297,23 @@
             usable=usable,
         )
 
-    def observe(self, target: Target, reply: AttemptReply, *, first: bool) -> None:
-        """Learn from one reply."""
+    def observe(self, target: Target, reply: AttemptReply, *, is_first: bool) -> None:
+        """Update the state of the service and the quarantine from one reply."""
         now = self._now()
-        self._state.record(target.server.id).outstanding -= 1
-        self._state.learn(now, target, reply)
-        self._pressure.note(reply)
-        self._quarantine.learn(now, self._fingerprint, reply)
+        self._state.replica_stats(target.server.id).outstanding -= 1
+        self._state.record_reply(now, target, reply)
+        self._overload.record_reply(reply)
+        self._quarantine.record_reply(now, self._fingerprint, reply)
         if reply.error is None:
-            if first:
+            if is_first:
                 elapsed_ms = reply.queued_ms + reply.served_ms
                 self._state.hedging.observe(now, elapsed_ms, queued_ms=reply.queued_ms)
             return
-        if is_loss(reply):
+        if is_connection_loss(reply):
             self._connection_lost = True
         if reply.error is ErrorKind.SNAPSHOT_GONE and not reply.versions:
             self._state.tracker.observe(reply.shard, target.server.id, ())
 
     def new_id(self) -> str:
-        """Return a fresh attempt id."""
+        """Return a new unique attempt id."""
         return self._new_id()
--- a/libs/dataplane/berylspindle_dataplane/shard_progress.py
+++ b/libs/dataplane/berylspindle_dataplane/shard_progress.py
@@ -1,7 +1,8 @@
-"""What one shard of a search has come to: its attempts, its hedge, its reply.
+"""State of one shard within a search.
 
 Terms:
-  revisit   another round of attempts at a shard that was refused unrun for a passing reason
+  backoff retry   another round of attempts at a shard whose replicas refused the request without
+                  running it, for a transient reason
 """
 
 from __future__ import annotations
@@ -14,25 +15,25 @@
 
 @attrs.define(eq=False)
 class ShardProgress:
-    """What one shard of the search has come to."""
+    """Attempts, hedge, reply and retry state of one shard within a search."""
 
     name: str
     outstanding: dict[str, Target] = attrs.field(factory=dict)
     tried: set[str] = attrs.field(factory=set)
     attempts: int = 0
     first_id: str = ""
-    first_sent: float = 0.0
+    first_sent_at: float = 0.0
     hedged: bool = False
     reply: AttemptReply | None = None
-    revisits: int = 0
-    revisit_at: float | None = None
+    backoff_retries: int = 0
+    retry_at: float | None = None
 
     def reset(self) -> None:
-        """Forget all attempts, for a new pin."""
+        """Clear all attempts when the search moves to another snapshot."""
         self.outstanding.clear()
         self.tried.clear()
         self.attempts = 0
         self.first_id = ""
         self.hedged = False
         self.reply = None
-        self.revisit_at = None
+        self.retry_at = None
--- a/libs/dataplane/berylspindle_dataplane/shedding.py
+++ b/libs/dataplane/berylspindle_dataplane/shedding.py
@@ -1,10 +1,11 @@
-"""Record when an entry begins to turn requests away, and when it has stopped.
+"""Timeline events for the start and end of load shedding at an entry.
 
-Flow: the entry tells each verdict of its admission. Shedding begins with the first refusal and has
-stopped once requests were admitted for a second without one; that is seen with the next request.
+Flow: the entry reports each admission verdict. Shedding starts with the first refusal and ends once
+requests have been admitted for one second without a refusal; the end is detected at the next
+admitted request.
 
-Guard: under a steady overload refusals and admissions alternate within milliseconds. Recorded one
-by one they would fill the time line with equal events.
+Under steady overload, refusals and admissions alternate within milliseconds. Recording each of them
+would fill the timeline with identical events.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 
 
 class Shedding:
-    """Whether one entry turns requests away."""
+    """Record when an entry starts and stops shedding load."""
 
     def __init__(self, timeline: Timeline) -> None:
         self._timeline: Final = timeline
         self._refused_at: float | None = None
 
     def on_refused(self, now: float, kind: str) -> None:
-        """Note a request that was turned away."""
+        """Record a refused request."""
         if self._refused_at is None:
             self._timeline.record(EventKind.SHEDDING_STARTED, detail=kind)
         self._refused_at = now
 
     def on_admitted(self, now: float) -> None:
-        """Note a request that was let in."""
+        """Record an admitted request."""
         if self._refused_at is not None and now - self._refused_at >= QUIET_SECONDS:
             self._refused_at = None
             self._timeline.record(EventKind.SHEDDING_STOPPED)
--- a/libs/dataplane/berylspindle_dataplane/suspect_share.py
+++ b/libs/dataplane/berylspindle_dataplane/suspect_share.py
@@ -1,17 +1,17 @@
-"""Tell the other VMs which requests have crashed backend servers.
+"""Gossip between VMs about requests that have crashed backend servers.
 
 Terms:
-  records   what the quarantine exports: suspects, quarantined and cleared fingerprints
+  records   exported entries of the quarantine: suspected, quarantined and cleared fingerprints
 
-Flow: each change of the local quarantine calls `changed`; the task `run` then sends the newest
-records to other VMs, one sending for all changes of 10 ms. `receive` merges what a VM sends, and
-passes on only what was new here, so that an exchange ends by itself.
+Flow: each change of the local quarantine calls `on_local_change`. The task `run` then sends the
+newest records to other VMs, with all changes within 10 ms in one message. `receive` merges records
+of a peer and forwards only what was new, so that the exchange terminates.
 
-Guard: without this each VM learns of a crashing request by losing servers of its own. It shows as
-one search, sent again through eight VMs in turn, that takes some 50 backend servers down. A strike
-is therefore told at once to all VMs where they are few. Where they are many it goes to four at
-random, and on from each that had not heard it: about as many rounds as the logarithm of their
-number, each of some milliseconds.
+Without this, each VM would detect a crashing request only by losing backend servers of its own: one
+search, retried through eight VMs in turn, takes down about 50 backend servers. A strike is
+therefore sent at once to all VMs if there are few. If there are many, it goes to four random ones,
+and each VM to which it is new forwards it to four more. For n VMs this takes about log(n) rounds of
+a few milliseconds each.
 """
 
 from __future__ import annotations
@@ -27,53 +27,54 @@
 from berylspindle_model.errors import ErrorKind, refuse
 from berylspindle_model.topology import ClusterState, Vm
 
-# Name of the call between VMs.
+# Name of the call by which VMs exchange records.
 SUSPECTS: Final = "suspects"
-# Up to so many VMs each strike is told to all; today's deployments have 8.
-MAX_TOLD_ALL: Final = 16
-TOLD_AT_RANDOM: Final = 4
-# A fan-out strikes once a shard within a few milliseconds; all of it goes into one sending.
+# Maximum number of VMs for which each strike is sent to all; common deployments have 8.
+MAX_BROADCAST_VMS: Final = 16
+GOSSIP_FANOUT: Final = 4
+# A fan-out that crashes servers causes one strike per shard within a few milliseconds; this delay
+# combines them into one message.
 COALESCE_SECONDS: Final = 0.01
-# Newest records in one sending: some 5 KB, and far more than crash servers at one time.
+# Maximum records per message: about 5 KB, and far more requests than crash servers at one time.
 MAX_RECORDS: Final = 32
-# How often quarantines that ended by time alone are looked for.
-EXPIRE_SECONDS: Final = 1.0
+# Interval for detecting quarantines that ended by time alone.
+EXPIRY_CHECK_SECONDS: Final = 1.0
 
-# Tell one VM; a failure is for the callee to drop, the next change is told again.
-Tell = Callable[[Vm, bytes], Awaitable[None]]
+# Sends records to one VM. The implementation drops failures; the next change is sent again.
+SendRecords = Callable[[Vm, bytes], Awaitable[None]]
 
 
-class SuspectShare:
-    """Exchange the records of one VM's quarantine with the others.
+class QuarantineGossip:
+    """Exchange quarantine records with the other VMs.
 
-    What others have cleared is cleared for the owner's own quarantine too: it would else go on
-    refusing a search that has run without harm elsewhere.
+    A fingerprint cleared by another VM is cleared in the quarantine of the owner as well. Otherwise
+    the owner would keep refusing a search that has run without harm elsewhere.
     """
 
     def __init__(
         self,
         quarantine: WatchedQuarantine,
-        owner: Quarantine,
+        owner_quarantine: Quarantine,
         *,
         me: Vm,
-        tell: Tell,
+        send: SendRecords,
         now: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self._quarantine: Final = quarantine
-        self._owner: Final = owner
+        self._owner_quarantine: Final = owner_quarantine
         self._me: Final = me
-        self._tell: Final = tell
+        self._send_to: Final = send
         self._now: Final = now
         self._rng: Final = rng
         self._peers: tuple[Vm, ...] = ()
-        self._has_news: Final = asyncio.Event()
-        self._struck_here = False
-        self._sendings: set[asyncio.Task[None]] = set()
-        quarantine.on_change = self.changed
+        self._has_changes: Final = asyncio.Event()
+        self._has_local_change = False
+        self._send_tasks: set[asyncio.Task[None]] = set()
+        quarantine.on_change = self.on_local_change
 
     def adopt(self, state: ClusterState) -> None:
-        """Take the VMs that are known and not suspected of being gone."""
+        """Set the peers: all VMs in the views that are not suspected."""
         self._peers = tuple(
             vm
             for view in state.views
@@ -81,63 +82,63 @@
             if vm.id != self._me.id and vm.id not in state.suspects
         )
 
-    def changed(self) -> None:
-        """Note that the local quarantine has something new to tell."""
-        self._struck_here = True
-        self._has_news.set()
+    def on_local_change(self) -> None:
+        """Schedule sending after a change of the local quarantine."""
+        self._has_local_change = True
+        self._has_changes.set()
 
     async def receive(self, payload: bytes) -> bytes:
-        """Merge what another VM tells; raises RefusalError for what can't be read."""
+        """Merge records of a peer; raise RefusalError if they cannot be decoded."""
         try:
             records = codec.from_pack(payload, tuple[SuspectRecord, ...])
         except codec.MalformedError as error:
             raise refuse(ErrorKind.BAD_REQUEST, str(error)) from None
         if self._quarantine.merge(records[:MAX_RECORDS], self._now()):
-            self._has_news.set()
-        self._clear_owner(records[:MAX_RECORDS])
+            self._has_changes.set()
+        self._clear_at_owner(records[:MAX_RECORDS])
         return b""
 
     async def run(self) -> None:
-        """Send what is new, until cancelled."""
+        """Send changes until cancelled."""
         try:
             while True:
                 await self._wait()
                 self._quarantine.expire(self._now())
-                if self._has_news.is_set():
-                    self._send()
+                if self._has_changes.is_set():
+                    self._send_changes()
                     await asyncio.sleep(COALESCE_SECONDS)
         finally:
-            for task in self._sendings:
+            for task in self._send_tasks:
                 task.cancel()
 
     async def _wait(self) -> None:
         try:
-            async with asyncio.timeout(EXPIRE_SECONDS):
-                await self._has_news.wait()
+            async with asyncio.timeout(EXPIRY_CHECK_SECONDS):
+                await self._has_changes.wait()
         except TimeoutError:
             pass
 
-    def _send(self) -> None:
+    def _send_changes(self) -> None:
         receivers = self._receivers()
-        self._has_news.clear()
-        self._struck_here = False
+        self._has_changes.clear()
+        self._has_local_change = False
         records = self._quarantine.export(self._now(), limit=MAX_RECORDS)
-        self._clear_owner(records)
+        self._clear_at_owner(records)
         payload = codec.to_pack(records)
         for vm in receivers:
             task = asyncio.get_running_loop().create_task(self._send_one(vm, payload))
-            self._sendings.add(task)
-            task.add_done_callback(self._sendings.discard)
+            self._send_tasks.add(task)
+            task.add_done_callback(self._send_tasks.discard)
 
     async def _send_one(self, vm: Vm, payload: bytes) -> None:
-        await self._tell(vm, payload)
+        await self._send_to(vm, payload)
 
     def _receivers(self) -> Sequence[Vm]:
-        """Return whom to tell: all where they are few and the news is from here."""
-        if self._struck_here and len(self._peers) < MAX_TOLD_ALL:
+        """Return all peers if they are few and the change is local, else a random sample."""
+        if self._has_local_change and len(self._peers) < MAX_BROADCAST_VMS:
             return self._peers
-        return self._rng.sample(self._peers, min(TOLD_AT_RANDOM, len(self._peers)))
+        return self._rng.sample(self._peers, min(GOSSIP_FANOUT, len(self._peers)))
 
-    def _clear_owner(self, records: Sequence[SuspectRecord]) -> None:
+    def _clear_at_owner(self, records: Sequence[SuspectRecord]) -> None:
         cleared = [record for record in records if record.level is Level.CLEARED]
-        self._owner.merge(cleared, self._now())
+        self._owner_quarantine.merge(cleared, self._now())
--- a/libs/dataplane/berylspindle_dataplane/watched_quarantine.py
+++ b/libs/dataplane/berylspindle_dataplane/watched_quarantine.py
@@ -1,12 +1,13 @@
-"""The quarantine of one VM's entry, with its changes recorded and told on.
+"""Quarantine of one entry that records its changes and notifies the gossip.
 
 Terms:
-  strike   a backend server's connections were lost under an attempt (`quarantine`)
-  change   a strike, a quarantine or a clearing: what other VMs should hear of
+  strike   loss of all connections to a backend server during an attempt (`quarantine`)
+  change   a strike, a quarantine or a clearing that other VMs must receive
 
-Flow: the fan-out and the executor hand each reply to `learn`. A change calls the hook, by which
-`suspect_share` tells the other VMs; a fingerprint that becomes quarantined, or ends being so, is
-an event of the time line. `expire` is called now and then, since a quarantine ends by time alone.
+Flow: the fan-out and the executor pass each reply to `record_reply`. A change calls `on_change`,
+which makes `suspect_share` send it to the other VMs. A fingerprint that becomes quarantined, or is
+no longer quarantined, is recorded in the timeline. `expire` must be called periodically, since a
+quarantine ends by time alone.
 """
 
 from __future__ import annotations
@@ -27,35 +28,36 @@
 from berylspindle_telemetry.timeline import Timeline
 
 
-def _ignore() -> None:
-    """Tell nobody; the default until a share is attached."""
+def _no_op() -> None:
+    """Default for `on_change` until a gossip is attached."""
 
 
 class WatchedQuarantine(Quarantine):
-    """A quarantine that learns from replies and tells of its changes."""
+    """Quarantine that is updated from replies and reports its changes."""
 
     def __init__(self, timeline: Timeline, options: QuarantineOptions | None = None) -> None:
         super().__init__(options)
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _no_op
         self._timeline: Final = timeline
-        self._refused: set[str] = set()
+        self._quarantined: set[str] = set()
 
     @property
     def quarantined(self) -> int:
-        """Return how many fingerprints are refused."""
-        return len(self._refused)
+        """Return the number of quarantined fingerprints."""
+        return len(self._quarantined)
 
-    def learn(self, now: float, fingerprint: str, reply: AttemptReply) -> None:
-        """Take what one reply says of the request that it answers.
+    def record_reply(self, now: float, fingerprint: str, reply: AttemptReply) -> None:
+        """Update the quarantine from the reply to a request.
 
-        A lost connection counts only where the owner says that it lost the backend server's:
-        a link between VMs that breaks, as when a VM is replaced, is no fault of the request.
+        A lost connection counts only if the owner reports the loss of its connections to the
+        backend server: a broken link between VMs, as when a VM is replaced, is not caused by the
+        request.
         """
         if reply.error is None:
             self.on_success(now, fingerprint)
         elif reply.error is ErrorKind.QUARANTINED:
             self.on_suspected(now, fingerprint)
-        elif is_loss(reply):
+        elif is_connection_loss(reply):
             self.on_lost(
                 now,
                 fingerprint,
@@ -65,11 +67,11 @@
             )
 
     def on_success(self, now: float, fingerprint: str) -> None:
-        """Note that a backend server ran it and lived."""
+        """Record that a backend server ran the request without crashing."""
         was = self.level(now, fingerprint)
         super().on_success(now, fingerprint)
         if was is not Level.CLEARED:
-            self._changed(now, (fingerprint,))
+            self._on_local_change(now, (fingerprint,))
 
     def on_lost(
         self,
@@ -80,38 +82,38 @@
         elapsed_ms: float = UNKNOWN_ELAPSED_MS,
         in_flight: int = 1,
     ) -> None:
-        """Note that the connection broke under it; `in_flight` attempts were lost together."""
+        """Record lost connections during the request; `in_flight` attempts were lost together."""
         super().on_lost(now, fingerprint, server, elapsed_ms=elapsed_ms, in_flight=in_flight)
-        self._changed(now, (fingerprint,))
+        self._on_local_change(now, (fingerprint,))
 
     def merge(self, records: Iterable[SuspectRecord], now: float) -> bool:
-        """Take peers' records; return whether anything was new and should be passed on."""
-        taken = tuple(records)
-        changed = super().merge(taken, now)
-        self._note(now, (record.fingerprint for record in taken))
+        """Merge records of peers; return whether any was new and must be forwarded."""
+        received = tuple(records)
+        changed = super().merge(received, now)
+        self._record_levels(now, (record.fingerprint for record in received))
         return changed
 
     def expire(self, now: float) -> None:
-        """Note which quarantines have ended by time."""
-        self._note(now, tuple(self._refused))
+        """Record which quarantines have ended by time."""
+        self._record_levels(now, tuple(self._quarantined))
 
-    def _changed(self, now: float, fingerprints: tuple[str, ...]) -> None:
-        self._note(now, fingerprints)
+    def _on_local_change(self, now: float, fingerprints: tuple[str, ...]) -> None:
+        self._record_levels(now, fingerprints)
         self.on_change()
 
-    def _note(self, now: float, fingerprints: Iterable[str]) -> None:
+    def _record_levels(self, now: float, fingerprints: Iterable[str]) -> None:
         for fingerprint in fingerprints:
             is_refused = self.level(now, fingerprint) is Level.QUARANTINED
-            if is_refused and fingerprint not in self._refused:
-                self._refused.add(fingerprint)
+            if is_refused and fingerprint not in self._quarantined:
+                self._quarantined.add(fingerprint)
                 self._timeline.record(EventKind.QUARANTINED, detail=fingerprint)
-            elif not is_refused and fingerprint in self._refused:
-                self._refused.discard(fingerprint)
+            elif not is_refused and fingerprint in self._quarantined:
+                self._quarantined.discard(fingerprint)
                 self._timeline.record(EventKind.QUARANTINE_ENDED, detail=fingerprint)
 
 
-def is_loss(reply: AttemptReply) -> bool:
-    """Tell whether a backend server's connections were lost under an attempt that it may run."""
+def is_connection_loss(reply: AttemptReply) -> bool:
+    """Return whether the backend server lost its connections during an attempt it may have run."""
     return (
         reply.error is ErrorKind.CONNECTION_LOST
         and reply.run is RunState.MAY_HAVE_RUN
--- a/libs/dataplane/berylspindle_dataplane/worker_tools.py
+++ b/libs/dataplane/berylspindle_dataplane/worker_tools.py
@@ -1,4 +1,4 @@
-"""What every worker of one VM shares, and the attempts that they are given.
+"""Shared dependencies of the server workers of one VM, and the queued attempt.
 
 Terms:
   queued   an attempt at its owner, from its arrival to its reply
@@ -24,9 +24,9 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerTools:
-    """What every worker of one VM shares.
+    """Shared dependencies of all server workers of one VM.
 
-    `quarantine` is the owner's own: it holds what took down the servers of this VM.
+    `quarantine` belongs to the owner: it records requests that crashed backend servers of this VM.
     """
 
     rights: DispatchRights
@@ -38,20 +38,20 @@
     quarantine: Quarantine = attrs.field(factory=Quarantine)
 
 
-# Hits of an ordinary page with the one more that a shard is asked for; a depth of some 400 hits is
-# then four times the work, from which the queue counts it as long.
+# Hits that a shard returns for an ordinary page: the page and one more. At a depth of about 400
+# hits the cost reaches 4, from which on the fair queue treats an attempt as long-running.
 ORDINARY_HITS: Final = 101
 
 
 @attrs.define(eq=False)
 class Queued:
-    """One attempt at its owner; `deadline` and `pushed` are on this VM's monotonic clock."""
+    """An attempt at its owner; `deadline` and `enqueued_at` are in monotonic seconds."""
 
     attempt: Attempt
     caller: str
     deadline: float
     on_reply: OnReply
-    pushed: float
+    enqueued_at: float
     fingerprint: str = ""
     is_canary: bool = False
     task: asyncio.Task[None] | None = None
@@ -60,9 +60,9 @@
 
     @property
     def cost(self) -> float:
-        """Return the expected work at the server, where an ordinary page costs 1.
+        """Return the expected work at the server, relative to an ordinary page.
 
-        A shard sorts and sends as many hits as the pages before the asked one hold together, so
-        that a deep page is long work; what a server makes of an execute is not known here.
+        A shard sorts and sends all hits up to the end of the requested page, so a deep page is
+        expensive. The cost of an execute is not known here; it counts as 1.
         """
         return max(1.0, self.attempt.limit / ORDINARY_HITS)
--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -1,4 +1,4 @@
-"""A worker whose backend server never answers."""
+"""Fixture: a server worker whose backend server never answers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class HeldRights(DispatchRights):
-    """A right that is always held."""
+    """Dispatch rights that are always held."""
 
     def level(self, server_id: str, now: float) -> RightLevel:
         return RightLevel.HELD
@@ -57,10 +57,10 @@
 
 @pytest.fixture
 def endless_worker() -> Callable[[Trust | None], ServerWorker]:
-    """Return a maker of workers; the test closes what it makes."""
+    """Return a factory of workers; the test must close each of them."""
 
     def make(trust: Trust | None) -> ServerWorker:
-        tools = WorkerTools(
+        context = WorkerTools(
             rights=HeldRights(),
             metrics=Metrics(),
             timeline=Timeline("vm"),
@@ -68,6 +68,6 @@
             deadlines=Deadlines(),
             queue=FairQueueOptions(max_entries=8),
         )
-        return ServerWorker(SERVER, EndlessBackend(), tools, trust)
+        return ServerWorker(SERVER, EndlessBackend(), context, trust)
 
     return make
--- a/tests/dataplane/fanout_fakes.py
+++ b/tests/dataplane/fanout_fakes.py
@@ -1,10 +1,10 @@
-"""A guide of the fan-out's own, and short ways to make searches and replies."""
+"""Fake strategy of a fan-out, and helpers that build searches and replies."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from berylspindle_dataplane.fanout_guide import Action, Cancel, FanoutGuide, Send
+from berylspindle_dataplane.fanout_strategy import Action, Cancel, FanoutStrategy, Send
 from berylspindle_dataplane.router import Target
 from berylspindle_dataplane.search_fanout import SearchFanout
 from berylspindle_decisions.hedging import HedgeVerdict
@@ -20,8 +20,8 @@
 OWNER = Vm(id="vm", data_centre="a", host="127.0.0.1", peer_port=1)
 
 
-class FakeGuide(FanoutGuide):
-    """Two replicas a shard, both usable, with verdicts that the test sets."""
+class FakeStrategy(FanoutStrategy):
+    """Two usable replicas per shard, with verdicts set by the test."""
 
     def __init__(self) -> None:
         self.hedge = HedgeVerdict.GO
@@ -57,7 +57,7 @@
     ) -> Reask | KeepOne | Refusal:
         return self.decision
 
-    def observe(self, target: Target, reply: AttemptReply, *, first: bool) -> None:
+    def observe(self, target: Target, reply: AttemptReply, *, is_first: bool) -> None:
         pass
 
     def new_id(self) -> str:
@@ -78,8 +78,8 @@
     )
 
 
-def make(
-    guide: FakeGuide,
+def make_fanout(
+    strategy: FakeStrategy,
     *,
     pin: Snapshot | None = OLD,
     suspected: bool = False,
@@ -91,7 +91,7 @@
     return SearchFanout(
         SearchRequest(request_id="r", service="lots", caller="c", query="q", limit=10, pin=page),
         Service(name="lots", epoch=1, shards=SHARDS, policy=policy),
-        guide,
+        strategy,
         pin=pin,
         suspected=suspected,
         now=0.0,
@@ -100,7 +100,7 @@
 
 
 def sends(actions: list[Action]) -> dict[str, Send]:
-    """Return the sends by server."""
+    """Return the sent attempts by server."""
     return {a.target.server.id: a for a in actions if isinstance(a, Send)}
 
 
@@ -110,7 +110,7 @@
 
 
 def answer(send: Send, snapshot: Snapshot | None = None, *, partial: bool = False) -> AttemptReply:
-    """Return a good reply with one hit named by its shard and version."""
+    """Return a successful reply with one hit, named after its shard and version."""
     on = snapshot or send.attempt.pin or OLD
     shard = send.attempt.shard
     hit = Hit(id=f"{shard}@{on.version}", score=1.0, fields={"version": on.version})
@@ -125,7 +125,7 @@
 
 
 def failure(send: Send, kind: ErrorKind, run: RunState = RunState.NOT_RUN) -> AttemptReply:
-    """Return the reply of an attempt that failed."""
+    """Return the reply of a failed attempt."""
     return AttemptReply(
         attempt=send.attempt.id,
         server=send.target.server.id,
--- a/tests/dataplane/test_cancelled_slots.py
+++ b/tests/dataplane/test_cancelled_slots.py
@@ -25,7 +25,7 @@
 ROUNDS = 40
 
 
-class HeldRight(DispatchRights):
+class HeldRights(DispatchRights):
     def level(self, server_id: str, now: float) -> RightLevel:
         return RightLevel.HELD
 
@@ -33,9 +33,9 @@
         return 0.0
 
 
-def worker_of(server: Server) -> ServerWorker:
-    tools = WorkerTools(
-        rights=HeldRight(),
+def make_worker(server: Server) -> ServerWorker:
+    context = WorkerTools(
+        rights=HeldRights(),
         metrics=Metrics(),
         timeline=Timeline("vm"),
         now=asyncio.get_running_loop().time,
@@ -43,12 +43,12 @@
         queue=FairQueueOptions(max_entries=64),
     )
     backend = open_http_backend(server, BackendOptions(spare=server.slots + 1), lambda event: None)
-    return ServerWorker(server, backend, tools, Trust(cap=server.slots, shown_ms=4.0))
+    return ServerWorker(server, backend, context, Trust(cap=server.slots, shown_ms=4.0))
 
 
 @contextlib.contextmanager
-def loop_in_a_thread() -> Iterator[asyncio.AbstractEventLoop]:
-    """Yield a loop that runs beside the test's, as another process would."""
+def event_loop_in_thread() -> Iterator[asyncio.AbstractEventLoop]:
+    """Yield an event loop that runs in another thread, in place of another process."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -58,8 +58,8 @@
     loop.close()
 
 
-async def keep_cancelling(server: Server) -> None:
-    worker = worker_of(server)
+async def submit_and_cancel(server: Server) -> None:
+    worker = make_worker(server)
     replies: list[AttemptReply] = []
     now = asyncio.get_running_loop().time()
     for number in range(ROUNDS):
@@ -76,13 +76,13 @@
 
 
 def test_a_cancelled_attempt_keeps_its_slot_until_the_server_has_ended_it() -> None:
-    """Guards against a server with more work at once than its slots after hedges were cancelled."""
+    """Guards against exceeding a server's slots after hedged attempts were cancelled."""
     options = StandinOptions(mean_ms=20.0, sigma=0.0)
-    with loop_in_a_thread() as loop:
+    with event_loop_in_thread() as loop:
         starting = asyncio.run_coroutine_threadsafe(start_backends(small(), options=options), loop)
         standin = starting.result(timeout=10)
         server = standin.configuration.servers[0]
-        asyncio.run(keep_cancelling(server))
+        asyncio.run(submit_and_cancel(server))
         counts = standin.counts()[server.id]
         asyncio.run_coroutine_threadsafe(standin.close(), loop).result(timeout=10)
     assert counts.cancelled >= ROUNDS
--- a/tests/dataplane/test_entry.py
+++ b/tests/dataplane/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry between callers and owners, with owners that answer when the test says so."""
+"""Entry between callers and owners, with owners whose replies the test sends."""
 
 from __future__ import annotations
 
@@ -39,21 +39,21 @@
     slots=3,
     connections=30,
 )
-WITH_LOTS = Configuration(
+WITH_SERVICE = Configuration(
     deployment="small",
     revision=1,
     data_centres=(DataCentre(name="a", region="r"),),
     services=(Service(name="lots", epoch=1, shards=("0",)),),
     servers=(SERVER,),
 )
-WITHOUT_LOTS = attrs.evolve(WITH_LOTS, revision=2, services=(), servers=())
+WITHOUT_SERVICE = attrs.evolve(WITH_SERVICE, revision=2, services=(), servers=())
 REQUEST = SearchRequest(
     request_id="r", service="lots", caller="c", query="lot", limit=10, deadline_ms=60_000
 )
 
 
-class Owners:
-    """Keep what is sent until the test answers it."""
+class FakeOwners:
+    """Record attempts until the test answers them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[AttemptBatch, Attempt, OnReply]] = []
@@ -73,16 +73,16 @@
         on_reply(AttemptReply(attempt=attempt.id, server="s", shard="0", snapshot=Snapshot(1, 1)))
 
 
-class Parts:
-    """An entry over fake owners."""
+class EntryHarness:
+    """Entry with fake owners."""
 
     def __init__(self) -> None:
-        self.owners = Owners()
+        self.owners = FakeOwners()
         self.table = OwnerTable()
         self.router = Router(me=ME, owners=self.table, own=self.owners, links=self.owners)
         timeline = Timeline("vm")
         ids = iter(range(1000))
-        self.tools = EntryTools(
+        self.context = EntryTools(
             metrics=Metrics(),
             timeline=timeline,
             now=asyncio.get_running_loop().time,
@@ -93,8 +93,8 @@
             admission=AdmissionOptions(),
             shedding=Shedding(timeline),
         )
-        self.entry = Entry(self.router, self.tools)
-        self.adopt(WITH_LOTS)
+        self.entry = Entry(self.router, self.context)
+        self.adopt(WITH_SERVICE)
 
     def adopt(self, configuration: Configuration) -> None:
         view = View(data_centre="a", epoch=1, members=(ME,))
@@ -111,31 +111,30 @@
         return task
 
 
-async def test_a_search_outlives_the_service_that_it_asks() -> None:
-    """A caller reads an internal fault at the moment when operators replace the configuration.
+async def test_a_search_completes_after_its_service_was_removed() -> None:
+    """Guards against an internal error for a search whose service is removed while it runs.
 
-    The new one no longer has the service; the search began before and gets its answer after.
+    The search starts before a new configuration removes the service and is answered afterwards.
     """
-    parts = Parts()
-    search = await parts.begin()
-    parts.adopt(WITHOUT_LOTS)
-    parts.owners.answer()
+    harness = EntryHarness()
+    search = await harness.begin()
+    harness.adopt(WITHOUT_SERVICE)
+    harness.owners.answer()
     answer = await search
     assert isinstance(answer, SearchAnswer)
     assert answer.coverage.missing == ()
 
 
-async def test_a_caller_that_goes_away_frees_the_canary() -> None:
-    """A caller's search is refused as being tried though nothing runs.
+async def test_a_disconnected_caller_releases_the_canary() -> None:
+    """Guards against a refusal due to a canary that is no longer running.
 
-    The search is a suspect, so that it runs as a canary; its caller goes away before the answer
-    and asks again at once.
+    A suspected search runs as canary; its caller disconnects before the answer and retries at once.
     """
-    parts = Parts()
+    harness = EntryHarness()
     fingerprint = fingerprint_of("lots", "lot")
-    parts.tools.quarantine.on_lost(parts.tools.now(), fingerprint, "t")
-    search = await parts.begin()
-    assert parts.owners.sent[-1][0].is_canary
+    harness.context.quarantine.on_lost(harness.context.now(), fingerprint, "t")
+    search = await harness.begin()
+    assert harness.owners.sent[-1][0].is_canary
     search.cancel()
     await asyncio.gather(search, return_exceptions=True)
-    assert parts.tools.quarantine.decide(parts.tools.now(), fingerprint) is RunMode.CANARY
+    assert harness.context.quarantine.decide(harness.context.now(), fingerprint) is RunMode.CANARY
--- a/tests/dataplane/test_meters.py
+++ b/tests/dataplane/test_meters.py
@@ -1,4 +1,4 @@
-"""Events and counts of one service, one server and the entry's shedding."""
+"""Timeline events and metrics of a service, a backend server and load shedding."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     return [event.kind for event in timeline.select().events]
 
 
-def test_an_ejection_is_recorded_once_and_so_is_its_end() -> None:
-    """A server that fails is passed over, and nobody sees when or until when.
+def test_an_ejection_and_its_end_are_recorded_once() -> None:
+    """Guards against ejections that do not appear in the timeline.
 
-    It fails five times, fails again in its probation, and then answers its trials.
+    A server fails five times, fails again during its probation, and then answers its trials.
     """
     timeline, metrics = Timeline("vm"), Metrics()
     meters = ServiceMeters("lots", metrics, timeline)
@@ -42,20 +42,20 @@
     now = 0.0
     for _ in range(options.failures):
         ejector.on_failure(now, "s")
-        meters.on_judged(now, "s", ejector)
+        meters.on_ejection_check(now, "s", ejector)
     assert kinds(timeline) == [EventKind.EJECTED]
     now += options.base_s + 0.1
     ejector.on_failure(now, "s")
-    meters.on_judged(now, "s", ejector)
+    meters.on_ejection_check(now, "s", ejector)
     now += 2 * options.base_s + 0.1
     for _ in range(options.trials):
         ejector.on_success(now, "s", 4.0)
-        meters.on_judged(now, "s", ejector)
+        meters.on_ejection_check(now, "s", ejector)
     assert kinds(timeline) == [EventKind.EJECTED, EventKind.EJECTION_ENDED]
     assert metrics.value(names.EJECTIONS, service="lots") == 2
 
 
-def test_a_page_of_an_older_snapshot_is_no_change() -> None:
+def test_a_page_of_an_older_snapshot_is_not_a_snapshot_change() -> None:
     timeline = Timeline("vm")
     meters = ServiceMeters("lots", Metrics(), timeline)
     for version in (1, 1, 2, 1, 2):
@@ -63,8 +63,8 @@
     assert kinds(timeline) == [EventKind.SNAPSHOT_CHANGED]
 
 
-def test_a_right_that_lapses_is_recorded_each_time() -> None:
-    """A VM was paused, its servers stood idle, and its time line says nothing of it."""
+def test_each_lapse_of_the_dispatch_right_is_recorded() -> None:
+    """Guards against a paused VM whose idle servers leave no trace in the timeline."""
     timeline = Timeline("vm")
     meters = ServerMeters(SERVER, Metrics(), timeline)
     levels = (
@@ -77,11 +77,11 @@
         RightLevel.NONE,
     )
     for level in levels:
-        meters.on_right(level)
+        meters.on_dispatch_right(level)
     assert kinds(timeline) == [EventKind.OWNERSHIP_LAPSED] * 2
 
 
-def test_the_warming_of_a_server_is_told_from_its_first_answer_on() -> None:
+def test_warm_up_is_recorded_from_the_first_successful_reply() -> None:
     timeline = Timeline("vm")
     meters = ServerMeters(SERVER, Metrics(), timeline)
     for warm, evidence in (
@@ -91,8 +91,8 @@
         (True, ""),
         (False, "shed"),
     ):
-        meters.on_warmth(warm=warm, evidence=evidence)
-    meters.on_warmth(warm=False, evidence="")
+        meters.on_warm_state(warm=warm, evidence=evidence)
+    meters.on_warm_state(warm=False, evidence="")
     assert kinds(timeline) == [
         EventKind.WARM_UP_STARTED,
         EventKind.WARM_UP_FINISHED,
@@ -102,20 +102,20 @@
 
 
 def test_a_server_that_is_no_longer_owned_has_no_gauges() -> None:
-    """Two VMs show the cap of one server, and the older one's stays as it was for ever."""
+    """Guards against two VMs exposing the limit of one server, one of them stale."""
     metrics = Metrics()
     meters = ServerMeters(SERVER, metrics, Timeline("vm"))
-    meters.watch(names.SERVER_CAP, lambda: 3.0)
+    meters.add_gauge(names.SERVER_CAP, lambda: 3.0)
     assert metrics.value(names.SERVER_CAP, server="s") == 3.0
-    meters.forget()
+    meters.remove_gauges()
     later = ServerMeters(SERVER, metrics, Timeline("vm"))
-    later.watch(names.SERVER_CAP, lambda: 2.0)
-    meters.forget()
+    later.add_gauge(names.SERVER_CAP, lambda: 2.0)
+    meters.remove_gauges()
     assert metrics.value(names.SERVER_CAP, server="s") == 2.0
 
 
-def test_shedding_is_two_events_however_many_requests_it_turns_away() -> None:
-    """An overload fills the time line, as refusals and admissions alternate."""
+def test_shedding_records_two_events_for_any_number_of_refusals() -> None:
+    """Guards against flooding the timeline when refusals and admissions alternate."""
     timeline = Timeline("vm")
     shedding = Shedding(timeline)
     for number in range(100):
--- a/tests/dataplane/test_search_fanout.py
+++ b/tests/dataplane/test_search_fanout.py
@@ -1,4 +1,4 @@
-"""The fan-out as a pure machine: what it sends, merges, gives up and answers."""
+"""Fan-out state machine: attempts sent, replies merged, shards lost and outcomes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
     NEW,
     OLD,
     SHARDS,
-    FakeGuide,
+    FakeStrategy,
     answer,
     cancels,
     failure,
-    make,
+    make_fanout,
     outcome_of,
     sends,
 )
@@ -23,24 +23,23 @@
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 
 
-def test_all_shards_answer_whole() -> None:
-    fanout = make(FakeGuide())
+def test_all_shards_answer() -> None:
+    fanout = make_fanout(FakeStrategy())
     first = sends(fanout.start(0.0))
     assert sorted(first) == ["0-0", "1-0", "2-0"]
     for send in first.values():
         fanout.on_reply(0.01, answer(send))
-    told = outcome_of(fanout)
-    assert told.coverage.answered == told.coverage.asked == 3
-    assert {hit.id for hit in told.hits} == {"0@1", "1@1", "2@1"}
+    outcome = outcome_of(fanout)
+    assert outcome.coverage.answered == outcome.coverage.asked == 3
+    assert {hit.id for hit in outcome.hits} == {"0@1", "1@1", "2@1"}
 
 
 def test_a_hedge_and_its_first_attempt_count_once() -> None:
-    """A caller would see one lot twice.
+    """Guards against duplicate hits and against hiding a shard that never answered.
 
-    A shard is slow, its hedge answers, and the first attempt's answer comes right after it. Counted
-    twice, the shard would also hide another one that never answered.
+    The hedge of a slow shard answers, and the reply of the first attempt arrives right after it.
     """
-    fanout = make(FakeGuide(), prefer=Preference.COVERAGE)
+    fanout = make_fanout(FakeStrategy(), prefer=Preference.COVERAGE)
     first = sends(fanout.start(0.0))
     fanout.on_reply(0.01, answer(first["0-0"]))
     fanout.on_reply(0.01, answer(first["1-0"]))
@@ -53,34 +52,34 @@
 
 
 def test_a_reply_on_another_snapshot_is_never_merged() -> None:
-    """A caller would see a lot as it was before and after an allocation, in one answer.
+    """Guards against mixing two snapshots in one answer.
 
-    A new index version is published while the search runs; a replica that was asked for the old
-    one computes on the new one all the same.
+    A new index version is published while the search runs, and a replica queried for the old
+    version computes on the new one.
     """
-    guide = FakeGuide()
-    fanout = make(guide, prefer=Preference.COVERAGE)
+    strategy = FakeStrategy()
+    fanout = make_fanout(strategy, prefer=Preference.COVERAGE)
     first = sends(fanout.start(0.0))
     fanout.on_reply(0.01, answer(first["0-0"]))
-    guide.decision = Reask(target=NEW, shards=SHARDS)
+    strategy.decision = Reask(target=NEW, shards=SHARDS)
     again = sends(fanout.on_reply(0.02, answer(first["1-0"], NEW)))
     assert {send.attempt.pin for send in again.values()} == {NEW}
     assert len(again) == 3
     for send in again.values():
         fanout.on_reply(0.03, answer(send))
-    told = outcome_of(fanout)
-    assert told.snapshot == NEW
-    assert {hit.fields["version"] for hit in told.hits} == {2}
+    outcome = outcome_of(fanout)
+    assert outcome.snapshot == NEW
+    assert {hit.fields["version"] for hit in outcome.hits} == {2}
 
 
 def test_a_page_stays_on_its_snapshot_or_is_refused() -> None:
-    """A caller's second page would skip or repeat lots.
+    """Guards against a second page that skips or repeats hits.
 
     The first page was computed on a version that every replica has dropped since.
     """
-    guide = FakeGuide()
-    guide.decision = Refusal(ErrorKind.SNAPSHOT_GONE, run=RunState.NOT_RUN)
-    fanout = make(guide, page=OLD)
+    strategy = FakeStrategy()
+    strategy.decision = Refusal(ErrorKind.SNAPSHOT_GONE, run=RunState.NOT_RUN)
+    fanout = make_fanout(strategy, page=OLD)
     first = sends(fanout.start(0.0))
     second = sends(fanout.on_reply(0.01, failure(first["0-0"], ErrorKind.SNAPSHOT_GONE)))
     assert sorted(second) == ["0-1"]
@@ -89,26 +88,26 @@
     assert fanout.outcome.kind is ErrorKind.SNAPSHOT_GONE
 
 
-def test_latency_first_answers_without_a_straggler_and_names_it() -> None:
-    guide = FakeGuide()
-    guide.hedge = HedgeVerdict.NO_BUDGET
-    fanout = make(guide)
+def test_latency_preference_answers_without_stragglers() -> None:
+    strategy = FakeStrategy()
+    strategy.hedge = HedgeVerdict.NO_BUDGET
+    fanout = make_fanout(strategy)
     first = sends(fanout.start(0.0))
     fanout.on_reply(0.01, answer(first["0-0"]))
     fanout.on_reply(0.01, answer(first["1-0"], partial=True))
     fanout.on_timer(0.02)
     assert fanout.outcome is None
     cancelled = cancels(fanout.on_timer(0.08))
-    told = outcome_of(fanout)
-    assert told.coverage.missing == ("2",)
-    assert told.coverage.partial == ("1",)
+    outcome = outcome_of(fanout)
+    assert outcome.coverage.missing == ("2",)
+    assert outcome.coverage.partial == ("1",)
     assert cancelled == {first["2-0"].attempt.id}
 
 
-def test_coverage_first_waits_until_the_deadline() -> None:
-    guide = FakeGuide()
-    guide.hedge = HedgeVerdict.NO_BUDGET
-    fanout = make(guide, prefer=Preference.COVERAGE)
+def test_coverage_preference_waits_until_the_deadline() -> None:
+    strategy = FakeStrategy()
+    strategy.hedge = HedgeVerdict.NO_BUDGET
+    fanout = make_fanout(strategy, prefer=Preference.COVERAGE)
     first = sends(fanout.start(0.0))
     fanout.on_reply(0.01, answer(first["0-0"]))
     fanout.on_reply(0.01, answer(first["1-0"]))
@@ -118,15 +117,15 @@
     assert outcome_of(fanout).coverage.missing == ("2",)
 
 
-def test_a_suspect_is_tried_on_one_server_only() -> None:
-    """Every shard would lose a replica to one request that crashes servers.
+def test_a_suspected_search_is_sent_to_one_server_only() -> None:
+    """Guards against a crashing request that takes down one replica per shard.
 
-    The search is suspected; its canary's connection is lost. Neither a hedge, nor a retry, nor
-    another shard may run it now.
+    The connection of the canary of a suspected search is lost. No hedge, retry or other shard may
+    run the search afterwards.
     """
-    guide = FakeGuide()
-    guide.retries = False
-    fanout = make(guide, suspected=True)
+    strategy = FakeStrategy()
+    strategy.retries = False
+    fanout = make_fanout(strategy, suspected=True)
     first = sends(fanout.start(0.0))
     assert len(first) == 1
     assert fanout.on_timer(0.03) == []
@@ -137,8 +136,8 @@
     assert fanout.outcome.run_state is RunState.MAY_HAVE_RUN
 
 
-def test_an_unknown_snapshot_is_pinned_by_one_shard_first() -> None:
-    fanout = make(FakeGuide(), pin=None)
+def test_an_unknown_snapshot_is_pinned_by_a_canary() -> None:
+    fanout = make_fanout(FakeStrategy(), pin=None)
     first = sends(fanout.start(0.0))
     assert len(first) == 1
     rest = sends(fanout.on_reply(0.01, answer(first["0-0"], NEW)))
@@ -146,13 +145,13 @@
     assert {send.attempt.pin for send in rest.values()} == {NEW}
 
 
-def test_a_passing_refusal_is_asked_again_a_moment_later() -> None:
-    """A caller would get a partial answer while ownership moves.
+def test_a_transient_refusal_is_retried_after_a_delay() -> None:
+    """Guards against a partial result while ownership moves.
 
-    Both replicas of a shard refuse unrun: their owners have just joined. A few milliseconds later
-    they may dispatch.
+    Both replicas of a shard refuse without execution because their owners have just joined; a few
+    milliseconds later they accept attempts.
     """
-    fanout = make(FakeGuide())
+    fanout = make_fanout(FakeStrategy())
     first = sends(fanout.start(0.0))
     fanout.on_reply(0.001, answer(first["0-0"]))
     fanout.on_reply(0.001, answer(first["1-0"]))
@@ -166,10 +165,10 @@
     assert not outcome_of(fanout).coverage.missing
 
 
-def test_a_search_that_ran_nowhere_says_so_at_once() -> None:
-    guide = FakeGuide()
-    guide.usable = set()
-    fanout = make(guide, min_coverage=1.0)
+def test_a_search_without_replicas_is_refused_as_not_run() -> None:
+    strategy = FakeStrategy()
+    strategy.usable = set()
+    fanout = make_fanout(strategy, min_coverage=1.0)
     assert fanout.start(0.0) == []
     while fanout.outcome is None:
         fanout.on_timer(fanout.next_timer)
@@ -178,15 +177,15 @@
     assert fanout.outcome.run_state is RunState.NOT_RUN
 
 
-def test_overload_at_all_replicas_of_most_shards_ends_the_search_before_its_deadline() -> None:
-    """A caller would wait for nothing.
+def test_overload_of_a_required_shard_ends_the_search_before_its_deadline() -> None:
+    """Guards against waiting for a result that has become impossible.
 
-    Two of three shards are refused for overload, with no retry in the budget; a service that
-    wants all of them can't be answered any more.
+    A shard is refused for overload and the retry budget is spent, while the service requires all
+    shards.
     """
-    guide = FakeGuide()
-    guide.retries = False
-    fanout = make(guide, min_coverage=1.0)
+    strategy = FakeStrategy()
+    strategy.retries = False
+    fanout = make_fanout(strategy, min_coverage=1.0)
     first = sends(fanout.start(0.0))
     reply = attrs.evolve(failure(first["0-0"], ErrorKind.OVERLOADED), retry_after_ms=70)
     fanout.on_reply(0.001, reply)
--- a/tests/dataplane/test_search_fanout_machine.py
+++ b/tests/dataplane/test_search_fanout_machine.py
@@ -1,15 +1,15 @@
-"""The fan-out under replies in any order, late, doubled and failing, while time passes."""
+"""Stateful test of the fan-out with reordered, late, duplicate and failed replies."""
 
 from __future__ import annotations
 
 import attrs
 import pytest
-from fanout_fakes import NEW, OLD, SHARDS, FakeGuide, answer, failure
+from fanout_fakes import NEW, OLD, SHARDS, FakeStrategy, answer, failure
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from berylspindle_dataplane.fanout_guide import Action, Send
+from berylspindle_dataplane.fanout_strategy import Action, Send
 from berylspindle_dataplane.search_fanout import MAX_ATTEMPTS, SearchFanout
 from berylspindle_decisions.snapshot_choice import Reask
 from berylspindle_model.configuration import Policy, Service
@@ -19,35 +19,35 @@
 
 
 class FanoutMachine(RuleBasedStateMachine):
-    """Replies in any order, late, doubled and failing, while time passes."""
+    """Replies in any order, late, duplicate and failed, while time passes."""
 
     fanout_type: type[SearchFanout] = SearchFanout
 
     def __init__(self) -> None:
         super().__init__()
-        self.guide = FakeGuide()
+        self.strategy = FakeStrategy()
         self.now = 0.0
-        self.out: dict[str, Send] = {}
-        self.gone: list[Send] = []
+        self.outstanding: dict[str, Send] = {}
+        self.ended: list[Send] = []
         self.accepted = False
         self.fanout = self.fanout_type(
             SearchRequest(request_id="r", service="lots", caller="c", query="q", limit=10),
             Service(name="lots", epoch=1, shards=SHARDS, policy=Policy(patience_ms=80)),
-            self.guide,
+            self.strategy,
             pin=OLD,
             suspected=False,
             now=0.0,
             deadline=0.5,
         )
-        self._take(self.fanout.start(0.0))
+        self._apply(self.fanout.start(0.0))
 
-    def _take(self, actions: list[Action]) -> None:
+    def _apply(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                assert action.attempt.id not in self.out
-                self.out[action.attempt.id] = action
+                assert action.attempt.id not in self.outstanding
+                self.outstanding[action.attempt.id] = action
             else:
-                self.gone.append(self.out.pop(action.attempt_id))
+                self.ended.append(self.outstanding.pop(action.attempt_id))
 
     @rule(number=st.integers(0, 20), seconds=st.sampled_from([0.0, 0.005, 0.03]))
     def reply(self, number: int, seconds: float) -> None:
@@ -61,54 +61,54 @@
         run=st.sampled_from([RunState.NOT_RUN, RunState.MAY_HAVE_RUN]),
     )
     def fail(self, number: int, kind: ErrorKind, run: RunState) -> None:
-        if self.out:
-            send = self.out.pop(sorted(self.out)[number % len(self.out)])
-            self._take(self.fanout.on_reply(self.now, failure(send, kind, run)))
+        if self.outstanding:
+            send = self.outstanding.pop(sorted(self.outstanding)[number % len(self.outstanding)])
+            self._apply(self.fanout.on_reply(self.now, failure(send, kind, run)))
 
     @rule(number=st.integers(0, 20))
-    def drift(self, number: int) -> None:
-        """A replica answers on another snapshot than it was asked for."""
-        self.guide.decision = Reask(target=NEW, shards=SHARDS)
+    def answer_on_other_snapshot(self, number: int) -> None:
+        """A replica answers on another snapshot than requested."""
+        self.strategy.decision = Reask(target=NEW, shards=SHARDS)
         self._reply(number, 0.0, NEW)
 
     @rule(number=st.integers(0, 20))
-    def late(self, number: int) -> None:
-        """An attempt that was cancelled is answered all the same."""
-        if self.gone:
-            send = self.gone[number % len(self.gone)]
-            self._take(self.fanout.on_reply(self.now, answer(send)))
+    def late_reply(self, number: int) -> None:
+        """A cancelled attempt is answered nevertheless."""
+        if self.ended:
+            send = self.ended[number % len(self.ended)]
+            self._apply(self.fanout.on_reply(self.now, answer(send)))
 
     @rule(seconds=st.sampled_from([0.01, 0.05, 0.2]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
         while self.fanout.outcome is None and self.fanout.next_timer <= self.now:
-            self._take(self.fanout.on_timer(max(self.fanout.next_timer, 0.0)))
+            self._apply(self.fanout.on_timer(max(self.fanout.next_timer, 0.0)))
 
     def _reply(self, number: int, seconds: float, on: Snapshot | None) -> None:
         self.now += seconds
-        if not self.out:
+        if not self.outstanding:
             return
-        send = self.out.pop(sorted(self.out)[number % len(self.out)])
-        self.gone.append(send)
-        self._take(self.fanout.on_reply(self.now, answer(send, on)))
+        send = self.outstanding.pop(sorted(self.outstanding)[number % len(self.outstanding)])
+        self.ended.append(send)
+        self._apply(self.fanout.on_reply(self.now, answer(send, on)))
 
     @invariant()
-    def one_snapshot_and_true_coverage(self) -> None:
-        told = self.fanout.outcome
-        if not isinstance(told, SearchAnswer):
+    def one_snapshot_and_correct_coverage(self) -> None:
+        outcome = self.fanout.outcome
+        if not isinstance(outcome, SearchAnswer):
             return
-        assert {hit.fields["version"] for hit in told.hits} <= {told.snapshot.version}
-        assert len(told.hits) == told.coverage.answered
-        assert told.coverage.answered + len(told.coverage.missing) == told.coverage.asked
+        assert {hit.fields["version"] for hit in outcome.hits} <= {outcome.snapshot.version}
+        assert len(outcome.hits) == outcome.coverage.answered
+        assert outcome.coverage.answered + len(outcome.coverage.missing) == outcome.coverage.asked
 
     @invariant()
-    def nothing_is_left_out_after_the_end(self) -> None:
+    def no_attempt_is_outstanding_after_the_outcome(self) -> None:
         if self.fanout.outcome is not None:
-            assert not self.out
+            assert not self.outstanding
 
     @invariant()
     def attempts_are_bounded(self) -> None:
-        assert self.guide.ids <= 3 * len(SHARDS) * MAX_ATTEMPTS * 6
+        assert self.strategy.ids <= 3 * len(SHARDS) * MAX_ATTEMPTS * 6
 
     @invariant()
     def it_ends_by_its_deadline(self) -> None:
@@ -118,7 +118,7 @@
 
 
 class MergesAnySnapshot(SearchFanout):
-    """The planted fault: the pin is not compared."""
+    """Injected fault: the snapshot of a reply is not compared with the pin."""
 
     def _accept(self, now: float, shard: object, reply: AttemptReply) -> list[Action]:
         return super()._accept(now, shard, attrs.evolve(reply, snapshot=self._pin))  # type: ignore[arg-type]
@@ -137,6 +137,6 @@
     run_state_machine_as_test(FanoutMachine, settings=MACHINE_SETTINGS)
 
 
-def test_the_machine_finds_a_missing_comparison_of_snapshots() -> None:
+def test_fanout_machine_detects_a_missing_snapshot_check() -> None:
     with pytest.raises(AssertionError):
         run_state_machine_as_test(FaultyMachine, settings=MACHINE_SETTINGS)
