--- a/tests/dataplane/test_server_worker.py
+++ b/tests/dataplane/test_server_worker.py
@@ -1,4 +1,4 @@
-"""One backend server behind its worker: the cap, the right, leaving and cancelling."""
+"""Server worker: concurrency limit, dispatch right, draining and cancellation."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FakeBackend(Backend):
-    """A backend server whose calls end when the test says so."""
+    """Backend server whose calls the test completes."""
 
     def __init__(self) -> None:
         self.running: dict[str, asyncio.Future[AttemptReply]] = {}
@@ -71,27 +71,27 @@
 
 
 class FakeRights(DispatchRights):
-    """A right that the test sets."""
+    """Dispatch rights set by the test."""
 
     def __init__(self) -> None:
-        self.now_level = RightLevel.HELD
-        self.starts = 0.0
+        self.current_level = RightLevel.HELD
+        self.starts_at = 0.0
 
     def level(self, server_id: str, now: float) -> RightLevel:
-        return self.now_level
+        return self.current_level
 
     def usable_from(self, server_id: str) -> float:
-        return self.starts
+        return self.starts_at
 
 
-class Bench:
-    """A worker with its fakes."""
+class WorkerHarness:
+    """Worker with its fakes."""
 
     def __init__(self, trust: Trust | None, backend: FakeBackend, rights: FakeRights) -> None:
         self.backend = backend
         self.rights = rights
         self.replies: dict[str, AttemptReply] = {}
-        tools = WorkerTools(
+        context = WorkerTools(
             rights=rights,
             metrics=Metrics(),
             timeline=Timeline("vm"),
@@ -99,7 +99,7 @@
             deadlines=Deadlines(),
             queue=FairQueueOptions(max_entries=8),
         )
-        self.worker = ServerWorker(SERVER, backend, tools, trust)
+        self.worker = ServerWorker(SERVER, backend, context, trust)
 
     def submit(
         self,
@@ -134,270 +134,276 @@
         return {name: reply.error for name, reply in self.replies.items()}
 
 
-async def turns(count: int = 5) -> None:
-    """Let tasks run."""
+async def run_loop(count: int = 5) -> None:
+    """Run pending tasks for some loop iterations."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-MakeBench = Callable[..., Bench]
+MakeHarness = Callable[..., WorkerHarness]
 
 
 @pytest.fixture
-async def make() -> AsyncIterator[MakeBench]:
-    benches: list[Bench] = []
+async def make() -> AsyncIterator[MakeHarness]:
+    harnesses: list[WorkerHarness] = []
 
-    def make_bench(trust: Trust | None = WARM) -> Bench:
-        bench = Bench(trust, FakeBackend(), FakeRights())
-        benches.append(bench)
-        return bench
+    def make_harness(trust: Trust | None = WARM) -> WorkerHarness:
+        harness = WorkerHarness(trust, FakeBackend(), FakeRights())
+        harnesses.append(harness)
+        return harness
 
-    yield make_bench
-    for bench in benches:
-        await bench.worker.close()
+    yield make_harness
+    for harness in harnesses:
+        await harness.worker.close()
 
 
-async def test_a_cold_server_gets_one_request_at_a_time(make: MakeBench) -> None:
-    """A cold server falls over and stays away for seconds.
+async def test_a_cold_server_gets_one_request_at_a_time(make: MakeHarness) -> None:
+    """Guards against overloading a cold server.
 
-    Six attempts arrive at once at a new owner, which knows nothing of the server. All of its slots
-    would be used by a warm one.
+    Six attempts arrive at once at a new owner without state of the server. A warm server would
+    use all of its slots.
     """
-    bench = make(None)
+    harness = make(None)
     for number in range(6):
-        bench.submit(f"a{number}")
+        harness.submit(f"a{number}")
     for number in range(6):
-        await turns()
-        assert list(bench.backend.running) == [f"a{number}"]
-        bench.backend.end(f"a{number}")
-    await turns()
-    assert bench.backend.peak == 1
-    assert bench.kinds() == {f"a{number}": None for number in range(6)}
+        await run_loop()
+        assert list(harness.backend.running) == [f"a{number}"]
+        harness.backend.end(f"a{number}")
+    await run_loop()
+    assert harness.backend.peak == 1
+    assert harness.kinds() == {f"a{number}": None for number in range(6)}
 
 
-async def test_a_warm_server_gets_its_slots(make: MakeBench) -> None:
-    bench = make()
+async def test_a_warm_server_uses_all_its_slots(make: MakeHarness) -> None:
+    harness = make()
     for number in range(6):
-        bench.submit(f"a{number}")
-    await turns()
-    assert len(bench.backend.running) == 3
+        harness.submit(f"a{number}")
+    await run_loop()
+    assert len(harness.backend.running) == 3
 
 
-async def test_a_connection_lost_takes_the_server_back_to_the_cold_cap(make: MakeBench) -> None:
-    """A server that crashed restarts cold and is drowned at once.
+async def test_a_lost_connection_resets_the_server_to_the_cold_limit(make: MakeHarness) -> None:
+    """Guards against overloading a server that restarted cold after a crash.
 
-    Three attempts run; the connections break together and three more wait.
+    Three attempts are running when their connections break together; three more are queued.
     """
-    bench = make()
+    harness = make()
     for number in range(6):
-        bench.submit(f"a{number}")
-    await turns()
+        harness.submit(f"a{number}")
+    await run_loop()
     for number in range(3):
-        bench.backend.end(f"a{number}", error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
-    await turns()
-    assert len(bench.backend.running) == 1
+        harness.backend.end(
+            f"a{number}", error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN
+        )
+    await run_loop()
+    assert len(harness.backend.running) == 1
 
 
-async def test_nothing_is_dispatched_without_the_right(make: MakeBench) -> None:
-    """Two VMs send to one server, each up to the cap.
+async def test_nothing_is_dispatched_without_the_right(make: MakeHarness) -> None:
+    """Guards against two VMs sending to one server, each up to the limit.
 
-    This VM was paused; while it slept its right lapsed and another VM took the server over.
+    This VM was paused; meanwhile its right lapsed and another VM became the owner.
     """
-    bench = make()
-    bench.submit("a0")
-    await turns()
-    bench.rights.now_level = RightLevel.NONE
-    bench.submit("a1")
-    await turns()
-    assert bench.backend.started == ["a0"]
-    assert bench.kinds() == {"a1": ErrorKind.NOT_OWNER}
-    assert bench.replies["a1"].run is RunState.NOT_RUN
-
-
-async def test_a_degraded_right_uses_half_of_a_warm_server_and_no_cold_one(
-    make: MakeBench,
+    harness = make()
+    harness.submit("a0")
+    await run_loop()
+    harness.rights.current_level = RightLevel.NONE
+    harness.submit("a1")
+    await run_loop()
+    assert harness.backend.started == ["a0"]
+    assert harness.kinds() == {"a1": ErrorKind.NOT_OWNER}
+    assert harness.replies["a1"].run is RunState.NOT_RUN
+
+
+async def test_a_degraded_right_uses_half_a_warm_server_and_no_cold_server(
+    make: MakeHarness,
 ) -> None:
     warm, cold = make(), make(None)
-    for bench in (warm, cold):
-        bench.rights.now_level = RightLevel.DEGRADED
+    for harness in (warm, cold):
+        harness.rights.current_level = RightLevel.DEGRADED
         for number in range(3):
-            bench.submit(f"a{number}")
-    await turns()
+            harness.submit(f"a{number}")
+    await run_loop()
     assert len(warm.backend.running) == 1
     assert cold.backend.started == []
 
 
-async def test_queued_work_goes_back_when_the_data_centre_is_taken_out(make: MakeBench) -> None:
-    """Operators take a data centre out, and it goes on getting work from its own queue.
+async def test_queued_attempts_are_refused_when_the_data_centre_is_taken_out(
+    make: MakeHarness,
+) -> None:
+    """Guards against work from the queue in a data centre that was taken out.
 
-    Three attempts run and three wait when the intent arrives. What runs is finished, what waits is
-    refused as a true "not run", so that the entry sends it elsewhere.
+    Three attempts run and three are queued when the data centre is taken out. The running ones
+    finish; the queued ones are refused as NOT_RUN, so that the entry can send them elsewhere.
     """
-    bench = make()
+    harness = make()
     for number in range(6):
-        bench.submit(f"a{number}")
-    await turns()
-    bench.worker.stop_taking(ErrorKind.DATA_CENTRE_OUT)
-    assert bench.kinds() == {f"a{number}": ErrorKind.DATA_CENTRE_OUT for number in (3, 4, 5)}
-    assert all(reply.run is RunState.NOT_RUN for reply in bench.replies.values())
+        harness.submit(f"a{number}")
+    await run_loop()
+    harness.worker.set_refusal(ErrorKind.DATA_CENTRE_OUT)
+    assert harness.kinds() == {f"a{number}": ErrorKind.DATA_CENTRE_OUT for number in (3, 4, 5)}
+    assert all(reply.run is RunState.NOT_RUN for reply in harness.replies.values())
     for number in range(3):
-        bench.backend.end(f"a{number}")
-    await turns()
-    assert bench.kinds()["a0"] is None
-    assert len(bench.backend.started) == 3
+        harness.backend.end(f"a{number}")
+    await run_loop()
+    assert harness.kinds()["a0"] is None
+    assert len(harness.backend.started) == 3
 
 
-async def test_a_draining_server_gets_nothing_new(make: MakeBench) -> None:
-    """A server that is leaving is cut off under its last requests.
+async def test_a_draining_server_gets_no_new_attempts(make: MakeHarness) -> None:
+    """Guards against new attempts at a server that is about to stop.
 
-    It answers one attempt with its own refusal; two more wait.
+    It refuses one attempt because it is draining; two more are queued.
     """
-    bench = make(None)
+    harness = make(None)
     for number in range(3):
-        bench.submit(f"a{number}")
-    await turns()
-    bench.backend.end("a0", error=ErrorKind.SERVER_LEAVING, run=RunState.NOT_RUN)
-    await turns()
-    assert bench.kinds() == dict.fromkeys(("a0", "a1", "a2"), ErrorKind.SERVER_LEAVING)
-    bench.submit("a3")
-    assert bench.kinds()["a3"] is ErrorKind.SERVER_LEAVING
-    assert bench.backend.started == ["a0"]
-
-
-async def test_cancelling_frees_a_slot_of_a_warm_server(make: MakeBench) -> None:
-    bench = make()
+        harness.submit(f"a{number}")
+    await run_loop()
+    harness.backend.end("a0", error=ErrorKind.SERVER_LEAVING, run=RunState.NOT_RUN)
+    await run_loop()
+    assert harness.kinds() == dict.fromkeys(("a0", "a1", "a2"), ErrorKind.SERVER_LEAVING)
+    harness.submit("a3")
+    assert harness.kinds()["a3"] is ErrorKind.SERVER_LEAVING
+    assert harness.backend.started == ["a0"]
+
+
+async def test_cancelling_frees_a_slot_of_a_warm_server(make: MakeHarness) -> None:
+    harness = make()
     for number in range(4):
-        bench.submit(f"a{number}")
-    await turns()
-    assert bench.worker.cancel("a1")
-    await turns()
-    assert bench.backend.cancelled == ["a1"]
-    assert "a3" in bench.backend.running
-    assert "a1" not in bench.replies
+        harness.submit(f"a{number}")
+    await run_loop()
+    assert harness.worker.cancel("a1")
+    await run_loop()
+    assert harness.backend.cancelled == ["a1"]
+    assert "a3" in harness.backend.running
+    assert "a1" not in harness.replies
 
 
-async def test_cancelling_at_a_cold_server_keeps_its_slot(make: MakeBench) -> None:
-    """A cold server gets two requests at once.
+async def test_cancelling_at_a_cold_server_keeps_its_slot(make: MakeHarness) -> None:
+    """Guards against two concurrent requests at a cold server.
 
     The first attempt is cancelled because its hedge won. The server notices a closed connection
-    only when it writes to it, and works on both for a while.
+    only when it writes to it, and would work on both for a while.
     """
-    bench = make(None)
-    bench.submit("a0")
-    bench.submit("a1")
-    await turns()
-    bench.worker.cancel("a0")
-    await turns()
-    assert list(bench.backend.running) == ["a0"]
-    bench.backend.end("a0")
-    await turns()
-    assert list(bench.backend.running) == ["a1"]
-    assert "a0" not in bench.replies
-
-
-async def test_what_may_not_be_repeated_is_never_cut(make: MakeBench) -> None:
-    """Nobody can say whether an allocation hold was made.
-
-    Its caller goes away while the backend server works on it.
+    harness = make(None)
+    harness.submit("a0")
+    harness.submit("a1")
+    await run_loop()
+    harness.worker.cancel("a0")
+    await run_loop()
+    assert list(harness.backend.running) == ["a0"]
+    harness.backend.end("a0")
+    await run_loop()
+    assert list(harness.backend.running) == ["a1"]
+    assert "a0" not in harness.replies
+
+
+async def test_a_non_repeatable_attempt_is_never_cancelled(make: MakeHarness) -> None:
+    """Guards against an execute with an unknown outcome.
+
+    Its caller disconnects while the backend server works on it.
     """
-    bench = make()
-    bench.submit("a0", key="hold-1")
-    await turns()
-    bench.worker.cancel("a0")
-    await turns()
-    assert bench.backend.cancelled == []
+    harness = make()
+    harness.submit("a0", key="hold-1")
+    await run_loop()
+    harness.worker.cancel("a0")
+    await run_loop()
+    assert harness.backend.cancelled == []
 
 
-async def test_what_waits_past_its_deadline_is_told_so_unrun(make: MakeBench) -> None:
-    bench = make(None)
-    bench.submit("a0")
-    await turns()
-    bench.submit("a1", seconds=0.001)
-    assert bench.kinds() == {"a1": ErrorKind.DEADLINE_EXCEEDED}
-    assert bench.replies["a1"].run is RunState.NOT_RUN
+async def test_an_attempt_that_misses_its_deadline_in_the_queue_is_refused(
+    make: MakeHarness,
+) -> None:
+    harness = make(None)
+    harness.submit("a0")
+    await run_loop()
+    harness.submit("a1", seconds=0.001)
+    assert harness.kinds() == {"a1": ErrorKind.DEADLINE_EXCEEDED}
+    assert harness.replies["a1"].run is RunState.NOT_RUN
 
 
-async def test_searches_that_a_dying_server_ran_are_not_quarantined(make: MakeBench) -> None:
-    """Two buyers' searches are refused for a minute, and neither did any harm.
+async def test_searches_on_a_crashing_server_are_not_quarantined(make: MakeHarness) -> None:
+    """Guards against quarantining two searches that were running when a server crashed by itself.
 
-    A server that dies by itself has both in flight. Each loss must be told as one of two, or the
-    second one looks like a request that was alone when it took the server down.
+    Each loss must be reported as one of two; otherwise the second search appears to have been alone
+    at the server when it crashed.
     """
-    bench = make()
-    bench.submit("one", fingerprint="lot 1")
-    bench.submit("two", fingerprint="lot 2")
-    await turns()
+    harness = make()
+    harness.submit("one", fingerprint="lot 1")
+    harness.submit("two", fingerprint="lot 2")
+    await run_loop()
     for name in ("one", "two"):
-        bench.backend.end(name, error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
-        await turns()
-    assert [bench.replies[name].lost_together for name in ("one", "two")] == [2, 2]
+        harness.backend.end(name, error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
+        await run_loop()
+    assert [harness.replies[name].lost_together for name in ("one", "two")] == [2, 2]
     entry = WatchedQuarantine(Timeline("entry"))
     for fingerprint, name in (("lot 1", "one"), ("lot 2", "two")):
-        entry.learn(1.0, fingerprint, bench.replies[name])
+        entry.record_reply(1.0, fingerprint, harness.replies[name])
         assert entry.decide(2.0, fingerprint) is RunMode.CANARY
-    entry.learn(2.1, "lot 1", AttemptReply(attempt="three", server="t", shard="0"))
+    entry.record_reply(2.1, "lot 1", AttemptReply(attempt="three", server="t", shard="0"))
     assert entry.decide(2.2, "lot 1") is RunMode.PLAIN
 
 
-async def test_an_owner_refuses_what_took_its_server_down(make: MakeBench) -> None:
-    """A crashing search, sent through a VM that has not heard of it, takes more servers down.
+async def test_an_owner_refuses_a_request_that_crashed_its_server(make: MakeHarness) -> None:
+    """Guards against a crashing search that is sent through a VM without a record of it.
 
-    The owner has seen its server go. It refuses the search as not run, unless the entry says that
-    it knows and asks this one shard only.
+    The owner has lost its server to the search. It refuses the search as NOT_RUN, unless the entry
+    marks it as a canary, which queries this shard only.
     """
-    bench = make()
-    bench.submit("first", fingerprint="bad")
-    await turns()
-    bench.backend.end("first", error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
-    await turns()
-    bench.submit("plain", fingerprint="bad")
-    bench.submit("canary", fingerprint="bad", is_canary=True)
-    bench.submit("other", fingerprint="good")
-    await turns()
-    assert bench.replies["plain"].error is ErrorKind.QUARANTINED
-    assert bench.replies["plain"].run is RunState.NOT_RUN
-    assert "plain" not in bench.backend.started
-    assert "canary" in bench.backend.started
-
-
-async def test_work_for_a_cold_server_goes_back_when_its_right_is_unconfirmed(
-    make: MakeBench,
+    harness = make()
+    harness.submit("first", fingerprint="bad")
+    await run_loop()
+    harness.backend.end("first", error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
+    await run_loop()
+    harness.submit("plain", fingerprint="bad")
+    harness.submit("canary", fingerprint="bad", is_canary=True)
+    harness.submit("other", fingerprint="good")
+    await run_loop()
+    assert harness.replies["plain"].error is ErrorKind.QUARANTINED
+    assert harness.replies["plain"].run is RunState.NOT_RUN
+    assert "plain" not in harness.backend.started
+    assert "canary" in harness.backend.started
+
+
+async def test_attempts_for_a_cold_server_are_refused_under_an_unconfirmed_right(
+    make: MakeHarness,
 ) -> None:
-    """A search misses a shard at its deadline though two other replicas were free.
+    """Guards against a shard missing at the deadline although two other replicas were free.
 
-    The VM is cut off from those who confirm its right, and its server is cold: it may dispatch
-    nothing. One attempt waits in the queue when the right degrades, one comes after; both must be
-    refused as not run at once.
+    A network partition separates the VM from those that confirm its right, and its server is cold,
+    so it must not dispatch. One attempt is queued when the right degrades and one arrives later;
+    both must be refused as NOT_RUN at once.
     """
-    bench = make(None)
-    bench.submit("runs")
-    bench.submit("waits")
-    await turns()
-    assert bench.backend.started == ["runs"]
-    bench.rights.now_level = RightLevel.DEGRADED
-    bench.submit("comes")
+    harness = make(None)
+    harness.submit("runs")
+    harness.submit("waits")
+    await run_loop()
+    assert harness.backend.started == ["runs"]
+    harness.rights.current_level = RightLevel.DEGRADED
+    harness.submit("comes")
     await asyncio.sleep(3 * RECHECK_SECONDS)
-    assert bench.kinds() == {"comes": ErrorKind.NOT_OWNER, "waits": ErrorKind.NOT_OWNER}
-    assert {reply.run for reply in bench.replies.values()} == {RunState.NOT_RUN}
-    assert bench.backend.started == ["runs"]
+    assert harness.kinds() == {"comes": ErrorKind.NOT_OWNER, "waits": ErrorKind.NOT_OWNER}
+    assert {reply.run for reply in harness.replies.values()} == {RunState.NOT_RUN}
+    assert harness.backend.started == ["runs"]
 
 
-async def test_deep_pages_leave_a_slot_to_short_work(make: MakeBench) -> None:
-    """Every search waits while somebody pages through the whole index.
+async def test_deep_pages_leave_a_slot_for_short_requests(make: MakeHarness) -> None:
+    """Guards against deep pages that block all other searches.
 
-    Three deep pages arrive before two ordinary searches, at a server with three slots. Two deep
-    ones run at once at most; the third slot is for short work.
+    Three deep pages arrive before two ordinary searches at a server with three slots. At most two
+    deep pages run concurrently; the third slot is reserved for short requests.
     """
-    bench = make()
+    harness = make()
     for number in range(3):
-        bench.submit(f"deep{number}", limit=1000)
-    bench.submit("short0")
-    bench.submit("short1")
-    await turns()
-    assert sorted(bench.backend.running) == ["deep0", "deep1", "short0"]
-    bench.backend.end("short0")
-    await turns()
-    assert "short1" in bench.backend.running
-    bench.backend.end("deep0")
-    await turns()
-    assert "deep2" in bench.backend.running
+        harness.submit(f"deep{number}", limit=1000)
+    harness.submit("short0")
+    harness.submit("short1")
+    await run_loop()
+    assert sorted(harness.backend.running) == ["deep0", "deep1", "short0"]
+    harness.backend.end("short0")
+    await run_loop()
+    assert "short1" in harness.backend.running
+    harness.backend.end("deep0")
+    await run_loop()
+    assert "deep2" in harness.backend.running
--- a/tests/dataplane/test_suspect_share.py
+++ b/tests/dataplane/test_suspect_share.py
@@ -1,4 +1,4 @@
-"""What one VM learns of a crashing request, told to the others."""
+"""Exchange of quarantine records between VMs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import attrs
 import pytest
 
-from berylspindle_dataplane.suspect_share import MAX_TOLD_ALL, SuspectShare
+from berylspindle_dataplane.suspect_share import MAX_BROADCAST_VMS, QuarantineGossip
 from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
 from berylspindle_decisions.quarantine import Level, Quarantine
 from berylspindle_model.errors import ErrorKind, RefusalError, RunState
@@ -30,12 +30,12 @@
 )
 
 
-class Fleet:
-    """VMs of one data centre that reach each other at once; time stands where the test sets it."""
+class Cluster:
+    """VMs of one data centre that reach each other without delay; the test sets the time."""
 
     def __init__(self, size: int) -> None:
         self.now = 100.0
-        self.told = 0
+        self.sent = 0
         vms = [
             Vm(id=f"vm{n}", data_centre="a", host="127.0.0.1", peer_port=n + 1) for n in range(size)
         ]
@@ -43,12 +43,12 @@
         self.timelines = [Timeline(vm.id) for vm in vms]
         self.quarantines = [WatchedQuarantine(timeline) for timeline in self.timelines]
         self.owners = [Quarantine() for _ in vms]
-        self.shares = {
-            vm.id: SuspectShare(
+        self.gossips = {
+            vm.id: QuarantineGossip(
                 quarantine,
                 owner,
                 me=vm,
-                tell=self._tell,
+                send=self._send_to,
                 now=lambda: self.now,
                 rng=random.Random(n),
             )
@@ -56,114 +56,116 @@
                 zip(vms, self.quarantines, self.owners, strict=True)
             )
         }
-        for share in self.shares.values():
-            share.adopt(ClusterState(views=(view,)))
+        for gossip in self.gossips.values():
+            gossip.adopt(ClusterState(views=(view,)))
 
-    async def _tell(self, vm: Vm, payload: bytes) -> None:
-        self.told += 1
-        await self.shares[vm.id].receive(payload)
+    async def _send_to(self, vm: Vm, payload: bytes) -> None:
+        self.sent += 1
+        await self.gossips[vm.id].receive(payload)
 
     def levels(self) -> list[Level]:
         return [quarantine.level(self.now, BAD) for quarantine in self.quarantines]
 
-    async def settle(self) -> None:
-        """Let news travel until nobody tells anything for a while."""
+    async def wait_until_quiet(self) -> None:
+        """Wait until no message has been sent for a while."""
         quiet = 0
         while quiet < 5:
-            before = self.told
+            before = self.sent
             await asyncio.sleep(0.01)
-            quiet = quiet + 1 if self.told == before else 0
+            quiet = quiet + 1 if self.sent == before else 0
 
 
-MakeFleet = Callable[[int], Fleet]
+MakeCluster = Callable[[int], Cluster]
 
 
 @pytest.fixture
-async def make() -> AsyncIterator[MakeFleet]:
+async def make() -> AsyncIterator[MakeCluster]:
     tasks: list[asyncio.Task[None]] = []
 
-    def make_fleet(size: int) -> Fleet:
-        fleet = Fleet(size)
-        tasks.extend(asyncio.create_task(share.run()) for share in fleet.shares.values())
-        return fleet
+    def make_cluster(size: int) -> Cluster:
+        cluster = Cluster(size)
+        tasks.extend(asyncio.create_task(gossip.run()) for gossip in cluster.gossips.values())
+        return cluster
 
-    yield make_fleet
+    yield make_cluster
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-@pytest.mark.parametrize("size", [2, 8, MAX_TOLD_ALL + 24])
-async def test_every_vm_hears_of_a_crashing_request(make: MakeFleet, size: int) -> None:
-    """One search takes a server down for each VM that it is sent through.
+@pytest.mark.parametrize("size", [2, 8, MAX_BROADCAST_VMS + 24])
+async def test_strikes_reach_every_vm(make: MakeCluster, size: int) -> None:
+    """Guards against a search that takes down a server for each VM it is sent through.
 
-    The first VM that loses a server tells the others: all of them where they are few, four at
-    random and those four others where they are many. The exchange ends by itself.
+    The first VM that loses a server notifies the others: all of them if they are few, else four
+    random ones, which forward to four others each. The exchange terminates.
     """
-    fleet = make(size)
-    fleet.quarantines[0].learn(fleet.now, BAD, LOST)
-    await fleet.settle()
-    assert fleet.levels() == [Level.SUSPECT] * size
-    fleet.now += 0.5
+    cluster = make(size)
+    cluster.quarantines[0].record_reply(cluster.now, BAD, LOST)
+    await cluster.wait_until_quiet()
+    assert cluster.levels() == [Level.SUSPECT] * size
+    cluster.now += 0.5
     again = attrs.evolve(LOST, server="t")
-    fleet.quarantines[1].learn(fleet.now, BAD, again)
-    await fleet.settle()
-    assert fleet.levels() == [Level.QUARANTINED] * size
-    events = [event.kind for event in fleet.timelines[0].select().events]
+    cluster.quarantines[1].record_reply(cluster.now, BAD, again)
+    await cluster.wait_until_quiet()
+    assert cluster.levels() == [Level.QUARANTINED] * size
+    events = [event.kind for event in cluster.timelines[0].select().events]
     assert events == [EventKind.QUARANTINED]
 
 
-async def test_strikes_of_one_fan_out_go_out_together(make: MakeFleet) -> None:
-    """A fan-out over ten shards sends ten messages to each VM while servers are dying."""
-    fleet = make(2)
+async def test_strikes_of_one_fan_out_are_sent_in_one_message(make: MakeCluster) -> None:
+    """Guards against one message per shard to each VM while backend servers are crashing."""
+    cluster = make(2)
     for n in range(10):
-        fleet.quarantines[0].learn(fleet.now, BAD, attrs.evolve(LOST, server=f"s{n}"))
-    await fleet.settle()
-    # One sending from the first VM, and one that the other passes on as it was new there.
-    assert fleet.told == 2
+        cluster.quarantines[0].record_reply(cluster.now, BAD, attrs.evolve(LOST, server=f"s{n}"))
+    await cluster.wait_until_quiet()
+    # One message from the first VM, and one forwarded by the other because the records were new.
+    assert cluster.sent == 2
 
 
-async def test_a_cleared_request_is_cleared_at_every_owner(make: MakeFleet) -> None:
-    """A search of an importer misses the shards of one VM for minutes.
+async def test_a_cleared_request_is_cleared_at_every_owner(make: MakeCluster) -> None:
+    """Guards against a search that misses the shards of one VM for minutes.
 
-    A server died by itself while the search ran there, and its owner refuses the search since. It
-    has run without harm elsewhere; the owner must hear of that.
+    A server crashed for another reason while the search ran, and its owner refuses the search
+    since. When the search has run without harm elsewhere, the owner must receive the clearing.
     """
-    fleet = make(3)
-    fleet.owners[2].on_lost(fleet.now, BAD, "s")
-    fleet.quarantines[0].learn(fleet.now, BAD, LOST)
-    await fleet.settle()
-    assert fleet.owners[2].allows(fleet.now, BAD, canary=False) is not None
-    fleet.quarantines[1].learn(fleet.now, BAD, AttemptReply(attempt="b", server="t", shard="0"))
-    await fleet.settle()
-    assert fleet.levels() == [Level.CLEARED] * 3
-    assert fleet.owners[2].allows(fleet.now, BAD, canary=False) is None
-
-
-async def test_a_quarantine_that_ends_by_time_is_recorded(make: MakeFleet) -> None:
-    """The time line shows that a search is refused and never that it is tried again."""
-    fleet = make(1)
-    quarantine = fleet.quarantines[0]
-    quarantine.learn(fleet.now, BAD, LOST)
-    quarantine.learn(fleet.now + 1, BAD, attrs.evolve(LOST, server="t"))
+    cluster = make(3)
+    cluster.owners[2].on_lost(cluster.now, BAD, "s")
+    cluster.quarantines[0].record_reply(cluster.now, BAD, LOST)
+    await cluster.wait_until_quiet()
+    assert cluster.owners[2].allows(cluster.now, BAD, canary=False) is not None
+    cluster.quarantines[1].record_reply(
+        cluster.now, BAD, AttemptReply(attempt="b", server="t", shard="0")
+    )
+    await cluster.wait_until_quiet()
+    assert cluster.levels() == [Level.CLEARED] * 3
+    assert cluster.owners[2].allows(cluster.now, BAD, canary=False) is None
+
+
+async def test_a_quarantine_that_ends_by_time_is_recorded(make: MakeCluster) -> None:
+    """Guards against a timeline that shows the start of a quarantine but not its end."""
+    cluster = make(1)
+    quarantine = cluster.quarantines[0]
+    quarantine.record_reply(cluster.now, BAD, LOST)
+    quarantine.record_reply(cluster.now + 1, BAD, attrs.evolve(LOST, server="t"))
     assert quarantine.quarantined == 1
-    quarantine.expire(fleet.now + 3600)
+    quarantine.expire(cluster.now + 3600)
     assert quarantine.quarantined == 0
-    kinds = [event.kind for event in fleet.timelines[0].select().events]
+    kinds = [event.kind for event in cluster.timelines[0].select().events]
     assert kinds == [EventKind.QUARANTINED, EventKind.QUARANTINE_ENDED]
 
 
-async def test_a_broken_link_between_vms_is_no_strike(make: MakeFleet) -> None:
-    """Harmless searches become suspects because a VM was replaced while they ran.
+async def test_a_broken_link_between_vms_is_no_strike(make: MakeCluster) -> None:
+    """Guards against suspecting harmless searches that ran while a VM was replaced.
 
-    The link to their owner broke; no backend server is known to have gone.
+    The link to their owner broke; no backend server is known to have crashed.
     """
-    fleet = make(1)
-    fleet.quarantines[0].learn(fleet.now, BAD, attrs.evolve(LOST, lost_together=0))
-    assert fleet.levels() == [Level.CLEARED]
+    cluster = make(1)
+    cluster.quarantines[0].record_reply(cluster.now, BAD, attrs.evolve(LOST, lost_together=0))
+    assert cluster.levels() == [Level.CLEARED]
 
 
-async def test_what_is_no_list_of_records_is_refused(make: MakeFleet) -> None:
-    fleet = make(1)
+async def test_a_malformed_payload_is_refused(make: MakeCluster) -> None:
+    cluster = make(1)
     with pytest.raises(RefusalError):
-        await fleet.shares["vm0"].receive(b"\xc1")
+        await cluster.gossips["vm0"].receive(b"\xc1")
--- a/tests/dataplane/test_worker_cancel.py
+++ b/tests/dataplane/test_worker_cancel.py
@@ -1,4 +1,4 @@
-"""Cancelling an attempt at any moment gives back what it held."""
+"""Cancelling an attempt at any moment releases its slot."""
 
 from __future__ import annotations
 
@@ -15,30 +15,29 @@
 MakeWorker = Callable[[Trust | None], ServerWorker]
 
 WARM = Trust(cap=3, shown_ms=4.0)
-# The loop turns in which a started attempt gets to its backend server and back.
-TURNS = 4
+# Loop iterations that a started attempt needs to reach its backend server and return.
+LOOP_ITERATIONS = 4
 
 
-@pytest.mark.parametrize("turns", range(TURNS))
+@pytest.mark.parametrize("iterations", range(LOOP_ITERATIONS))
 async def test_an_attempt_cancelled_before_its_first_step_frees_its_slot(
-    endless_worker: MakeWorker, turns: int
+    endless_worker: MakeWorker, iterations: int
 ) -> None:
-    """Shards go missing hours after a server came back, and a shutdown waits out its whole grace.
+    """Guards against a slot that is never freed, which loses shards and blocks a shutdown.
 
-    A fan-out gives up in the same turn of the loop in which its attempt was started, because
-    another shard's server refused at once. A task that is cancelled before its first step never
-    runs, so the slot that it held is never given back.
+    A fan-out is cancelled in the loop iteration in which its attempt started, because the server of
+    another shard refused at once. A task cancelled before its first step never runs.
     """
     loop = asyncio.get_running_loop()
     worker = endless_worker(WARM)
     attempt = Attempt(id="1", request_id="r", server="s", service="lots", shard="0")
     worker.submit(Queued(attempt, "c", loop.time() + 60.0, lambda reply: None, loop.time()))
-    for _ in range(turns):
+    for _ in range(iterations):
         await asyncio.sleep(0)
     assert worker.cancel("1")
-    for _ in range(TURNS):
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     assert worker.in_flight == 0
     async with asyncio.timeout(5):
-        await worker.drained()
+        await worker.wait_idle()
     await worker.close()
--- a/tests/dataplane/test_worker_expiry.py
+++ b/tests/dataplane/test_worker_expiry.py
@@ -1,4 +1,4 @@
-"""What can't be started in time is told so before its entry stops waiting."""
+"""Attempts that cannot start in time are refused before their entry stops waiting."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 @pytest.mark.parametrize("seconds", [0.101, 0.107, 0.113, 0.119])
-async def test_a_hold_that_never_started_is_not_told_as_unknown(
+async def test_an_execute_that_never_started_is_refused_as_not_run(
     endless_worker: MakeWorker, seconds: float
 ) -> None:
-    """A hold ends in "outcome unknown" though it never left the queue, and its key is dead.
+    """Guards against an unknown outcome and a spent key for an execute that never left the queue.
 
-    The one slot of a cold server is taken. Its owner looks at its queue now and then, and at the
-    last look the hold still had a few milliseconds; its entry stopped waiting before the next one.
+    The only slot of a cold server is taken. At the last periodic check of the queue the second
+    execute has a few milliseconds left; its entry stops waiting before the next check.
     """
     loop = asyncio.get_running_loop()
     worker = endless_worker(None)
@@ -39,13 +39,13 @@
         order.append((reply.error, reply.run))
 
     worker.submit(Queued(second, "c", now + seconds, on_reply, now))
-    given_up = asyncio.Event()
+    timed_out = asyncio.Event()
 
-    def give_up() -> None:
-        order.append("the entry gives up")
-        given_up.set()
+    def on_timeout() -> None:
+        order.append("the entry timed out")
+        timed_out.set()
 
-    loop.call_at(now + seconds, give_up)
-    await given_up.wait()
+    loop.call_at(now + seconds, on_timeout)
+    await timed_out.wait()
     await worker.close()
     assert order[0] == (ErrorKind.DEADLINE_EXCEEDED, RunState.NOT_RUN)
