--- a/libs/forwarding/berylspindle_forwarding/__init__.py
+++ b/libs/forwarding/berylspindle_forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forward callers' requests to replicas by a routing table."""
+"""Forward callers' requests to replicas according to a routing table."""
--- a/libs/forwarding/berylspindle_forwarding/attempt.py
+++ b/libs/forwarding/berylspindle_forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one replica."""
+"""Connect one attempt at a replica to the exchange that carries it."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class AttemptOwner(abc.ABC):
-    """Whoever is told how an attempt ends."""
+    """Receive the outcome of attempts; each ends with exactly one of the two calls."""
 
     @abc.abstractmethod
     def on_reply(self, attempt: Attempt, reply: ExchangeReply) -> None:
-        """Handle a whole reply."""
+        """Handle a complete reply."""
 
     @abc.abstractmethod
     def on_end(self, attempt: Attempt, end: ExchangeEnd) -> None:
@@ -22,13 +22,22 @@
 
 
 class Attempt(ExchangeSink):
-    """An attempt of the service at position `index` of its request.
+    """One attempt at a replica.
 
-    `explained` is how many times as long as at a free replica it should take, and `waited` whether
-    it waited for a connection.
+    `index` is the position of its service in the request. `expected_slowdown` is the expected
+    latency over that of a replica without a queue. `waited_for_connection` is set if no connection
+    was free when the attempt was submitted.
     """
 
-    __slots__ = ("_owner", "connection", "explained", "handle", "index", "record", "waited")
+    __slots__ = (
+        "_owner",
+        "connection",
+        "expected_slowdown",
+        "handle",
+        "index",
+        "record",
+        "waited_for_connection",
+    )
 
     def __init__(
         self, owner: AttemptOwner, index: int, handle: ReplicaHandle, record: AttemptRecord
@@ -37,18 +46,18 @@
         self.index = index
         self.handle = handle
         self.record = record
-        self.explained = 1.0
-        self.waited = False
+        self.expected_slowdown = 1.0
+        self.waited_for_connection = False
         self.connection: ExchangeConnection | None = None
 
     def on_carried(self, connection: ExchangeConnection) -> None:
-        """Take the connection that carries the request."""
+        """Store the connection that carries the request."""
         self.connection = connection
 
     def on_reply(self, reply: ExchangeReply) -> None:
-        """Pass a whole reply to the owner."""
+        """Pass a complete reply to the owner."""
         self._owner.on_reply(self, reply)
 
     def on_end(self, end: ExchangeEnd) -> None:
-        """Pass the end without a reply to the owner."""
+        """Report the end of the exchange without a reply to the owner."""
         self._owner.on_end(self, end)
--- a/libs/forwarding/berylspindle_forwarding/attempt_policy.py
+++ b/libs/forwarding/berylspindle_forwarding/attempt_policy.py
@@ -1,12 +1,11 @@
 """Connect one request to shared replica state, retry budgets and latency statistics.
 
 Terms:
-  tools   what all requests of one VM share
-  times   the bounds of one request
+  aim   a route's latency target (`aim_ms`); it is earlier than the deadline
 
-Flow: the forwarder makes one `ForwardTools`; each request gets a `RouteAttemptPolicy`, which
-chooses replicas from the registry, grants retry budgets and hedge delays, and updates all three
-from the outcome of each attempt.
+Flow: the forwarder creates one `ForwardContext`; each request gets a `RouteAttemptPolicy`, which
+selects replicas from the registry, applies the retry budget and the hedge delay, and updates
+replica health and latency statistics from the outcome of each attempt.
 """
 
 from __future__ import annotations
@@ -47,13 +46,13 @@
 from berylspindle_wire.exchange import EndKind, ExchangeEnd, ExchangeReply
 
 NO_REPLICA_WAIT_S: Final = 0.25
-"""Seconds for which a service without a usable replica is waited for: a replica that has just gone
-is mostly replaced within them, and a caller that is told to come back waits as long. A VM that is
-cut off says so at once."""
+"""Maximum wait for a usable replica, in seconds. A replica that has just disappeared is usually
+replaced within this time, and a caller that is refused waits about as long before it retries. A VM
+that is cut off from other data centres refuses without waiting."""
 
 RETRY_AFTER_MS: Final = 300
-"""When a caller may come back to a service without a usable replica: a replica that has crashed is
-back, or its absence known, within some of these."""
+"""Retry-after for a service without a usable replica, in milliseconds. Within a few such intervals
+a crashed replica has restarted, or its absence has been detected."""
 
 _LOG: Final = logger("replica")
 
@@ -63,12 +62,17 @@
 
 
 @attrs.define(kw_only=True)
-class ForwardTools:
-    """What all requests of one VM share.
+class ForwardContext:
+    """State and services shared by all requests of one VM.
 
     Attributes:
-        profiles: latencies of each route's sub-requests.
-        unqueued: of those that were sent to a replica with a free slot.
+        vms: returns the number of VMs that share retry budgets.
+        until_rerouted: seconds until the balancer sends the callers of a VM that is cut off to
+            another data centre.
+        started: start time of this VM, from which the slack of retry budgets grows.
+        retry_budgets: retry budget of each service.
+        profiles: latency profile of each route's sub-requests.
+        unqueued_profiles: latency profile of each route's sub-requests that found a free slot.
     """
 
     registry: ReplicaRegistry
@@ -78,123 +82,125 @@
     metrics: Metrics
     now: Callable[[], float]
     vms: Callable[[], int]
-    until_elsewhere: Callable[[float], float]
-    bounds: SharedBudgetOptions
+    until_rerouted: Callable[[float], float]
+    budget_options: SharedBudgetOptions
     started: float
     policy: ForwardPolicy
-    gate: AdmissionController
+    admission: AdmissionController
     rollouts: Rollouts
-    lines: LogRateLimiter = attrs.field(factory=LogRateLimiter)
-    shares: dict[str, SharedRetryBudget] = attrs.field(factory=dict)
+    log_limiter: LogRateLimiter = attrs.field(factory=LogRateLimiter)
+    retry_budgets: dict[str, SharedRetryBudget] = attrs.field(factory=dict)
     profiles: defaultdict[str, LatencyProfile] = attrs.field(factory=_profiles)
-    unqueued: defaultdict[str, LatencyProfile] = attrs.field(factory=_profiles)
+    unqueued_profiles: defaultdict[str, LatencyProfile] = attrs.field(factory=_profiles)
 
-    def note_belief(self, message: str, **fields: str) -> None:
-        """Write a line for a change of what this VM believes of a replica, as far as is allowed."""
-        if not self.lines.may_write(self.now(), LineKind.BELIEF):
+    def log_replica_change(self, message: str, **fields: str) -> None:
+        """Log a change in the state of a replica, subject to the rate limit of log lines."""
+        if not self.log_limiter.may_write(self.now(), LineKind.BELIEF):
             self.metrics.count(names.LOG_LEFT_OUT, kind=LineKind.BELIEF.value)
             return
         _LOG.info(message, extra=fields)
 
-    def share(self, service: str) -> SharedRetryBudget:
-        """Return this VM's extra share at a service."""
-        found = self.shares.get(service)
+    def retry_budget(self, service: str) -> SharedRetryBudget:
+        """Return this VM's retry budget for a service."""
+        found = self.retry_budgets.get(service)
         if found is None:
-            found = self.shares[service] = SharedRetryBudget(self.bounds, started=self.started)
+            found = self.retry_budgets[service] = SharedRetryBudget(
+                self.budget_options, started=self.started
+            )
         return found
 
 
 @attrs.frozen(kw_only=True)
 class RequestTimes:
-    """The bounds of one request, in seconds of the loop's clock.
+    """Time limits of one request, in seconds of the event loop's clock.
 
     Attributes:
-        aim_cut: when an answer must leave to be worth all that it can be.
-        deadline: when the caller stops waiting; what replicas are told.
-        answer_by: when the last answer must leave to reach the caller by then.
+        aim_cutoff: latest time to send an answer that reaches the caller within the aim.
+        deadline: when the caller stops waiting; replicas get it as the time left.
+        answer_by: latest time to send an answer or refusal that reaches the caller in time.
     """
 
     started: float
-    aim_cut: float
+    aim_cutoff: float
     deadline: float
     answer_by: float
 
 
 class RouteAttemptPolicy(AttemptPolicy):
-    """What the attempts of one request need to know, and what is learned from them."""
+    """Select replicas for the attempts of one request, and record their outcomes."""
 
     def __init__(
         self,
-        tools: ForwardTools,
+        context: ForwardContext,
         route: Route,
         times: RequestTimes,
         avoided: frozenset[str] = frozenset(),
     ) -> None:
-        """Take also replicas that are tried only where no others are left."""
+        """Initialize; replicas in `avoided` are selected only if no other is usable."""
         self._avoided: Final = avoided
-        self._tools: Final = tools
+        self._context: Final = context
         self._route: Final = route
         self._times: Final = times
-        self._profile: Final = tools.profiles[route.name]
-        self._unqueued: Final = tools.unqueued[route.name]
+        self._profile: Final = context.profiles[route.name]
+        self._unqueued_profile: Final = context.unqueued_profiles[route.name]
         self._hedge: HedgeTimes | None = None
 
     @property
     def usual_ms(self) -> float:
-        """Return the usual latency of the route's sub-requests, 0 where it isn't known yet."""
+        """Return the median latency of the route's sub-requests, or 0 if it isn't known yet."""
         return self._profile.quantile(0.5) if self._profile.known else 0.0
 
     def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
-        """Return the replica for an attempt, or None."""
-        if hedge and not self._tools.policy.hedges:
+        """Return the replica for an attempt, or None if none is usable."""
+        if hedge and not self._context.policy.hedges:
             return None
-        if not (tried or hedge) and self._tools.rollouts.takes_trial(service, u=random.random()):
-            on_trial = self._tools.registry.pick_on_trial(service)
+        if not (tried or hedge) and self._context.rollouts.takes_trial(service, u=random.random()):
+            on_trial = self._context.registry.pick_on_trial(service)
             if on_trial is not None:
                 return on_trial.replica.id
         once = not self._route.repeatable
         avoided = tried | self._avoided
-        handle = self._tools.registry.pick(service, tried=avoided, hedge=hedge, once=once)
+        handle = self._context.registry.pick(service, tried=avoided, hedge=hedge, once=once)
         if handle is None and self._avoided:
-            handle = self._tools.registry.pick(service, tried=tried, hedge=hedge, once=once)
+            handle = self._context.registry.pick(service, tried=tried, hedge=hedge, once=once)
         return handle.replica.id if handle is not None else None
 
     def may_take_extra(self, service: str, *, hedge: bool) -> bool:
-        """Tell whether one more arrival is allowed; True has taken it."""
-        now, share = self._tools.now(), self._tools.share(service)
-        if not share.may_take(now, vms=self._tools.vms(), hedge=hedge):
-            self._tools.metrics.count(names.FORWARD_DENIED, reason="hedge" if hedge else "retry")
+        """Return whether the retry budget allows one more attempt, and if so spend it."""
+        now, budget = self._context.now(), self._context.retry_budget(service)
+        if not budget.may_take(now, vms=self._context.vms(), hedge=hedge):
+            self._context.metrics.count(names.FORWARD_DENIED, reason="hedge" if hedge else "retry")
             return False
-        share.take(now)
+        budget.take(now)
         return True
 
     def hedge_after(self, service: str) -> float:
-        """Return after how many seconds an attempt that goes out now is hedged."""
+        """Return the hedge delay in seconds for an attempt that is sent now."""
         return self._hedge_times().delay_ms / 1000
 
     def handle(self, replica: str) -> ReplicaHandle:
-        """Return the handle of a replica that was just picked."""
-        found = self._tools.registry.get(replica)
+        """Return the handle of a replica that was just selected."""
+        found = self._context.registry.get(replica)
         assert found is not None
         return found
 
-    def note_sent(self, now: float, attempt: Attempt, reason: str) -> None:
-        """Note an attempt that goes out."""
-        attempt.explained = attempt.handle.health.explained(now)
+    def record_sent(self, now: float, attempt: Attempt, reason: str) -> None:
+        """Record an attempt that is sent."""
+        attempt.expected_slowdown = attempt.handle.health.explained(now)
         delay = attempt.record.hedge_at - attempt.record.sent_at
         attempt.handle.health.sent(
             attempt,
             late_at=attempt.record.hedge_at,
-            unexplained_at=now + delay * attempt.explained,
+            unexplained_at=now + delay * attempt.expected_slowdown,
         )
-        self._tools.reach.tried(now, attempt.handle.replica.data_centre)
+        self._context.reach.tried(now, attempt.handle.replica.data_centre)
         if now < attempt.handle.health.cold_until:
             attempt.handle.note_cold_send(now)
-        self._tools.metrics.count(names.FORWARD_ATTEMPTS, reason=reason)
+        self._context.metrics.count(names.FORWARD_ATTEMPTS, reason=reason)
 
-    def note_load(self, now: float, handle: ReplicaHandle, reply: ExchangeReply) -> None:
-        """Take a replica's report of its load, if its reply holds one that can be read."""
-        text = reply.header(self._tools.dialect.load)
+    def record_load(self, now: float, handle: ReplicaHandle, reply: ExchangeReply) -> None:
+        """Record the load report of a replica if its reply has a valid one."""
+        text = reply.header(self._context.dialect.load)
         if text is None:
             return
         parts = text.split(",")
@@ -202,7 +208,7 @@
             running, waiting, slots = (int(part) for part in parts)
             handle.health.reported(now, running=running, waiting=waiting, slots=slots)
 
-    def note_reply(
+    def record_reply(
         self,
         now: float,
         attempt: Attempt,
@@ -210,156 +216,157 @@
         elapsed_ms: float,
         reply: ExchangeReply,
     ) -> None:
-        """Learn from a whole reply."""
+        """Update replica health, latencies and rollout statistics from a complete reply."""
         health = attempt.handle.health
-        self._tools.reach.heard(now, attempt.handle.replica.data_centre)
-        self._tools.metrics.count(names.FORWARD_REPLIES, kind=verdict.value)
+        self._context.reach.heard(now, attempt.handle.replica.data_centre)
+        self._context.metrics.count(names.FORWARD_REPLIES, kind=verdict.value)
         if verdict in (ReplyClass.ANSWER, ReplyClass.FINAL):
             ratio = self._ratio(attempt, elapsed_ms)
-            self._note_version(now, attempt, elapsed_ms)
+            self._record_version(now, attempt, elapsed_ms)
             self._profile.add(elapsed_ms)
-            self._learn_unqueued(attempt, elapsed_ms)
+            self._record_unqueued(attempt, elapsed_ms)
             health.answered(now, attempt, ratio=ratio)
         elif verdict is ReplyClass.REFUSED:
             health.refused(now, attempt)
         elif verdict is ReplyClass.MISDIRECTED:
             health.withdrawn(attempt)
-            self._tools.note_belief(
+            self._context.log_replica_change(
                 "address belongs to another replica", replica=attempt.handle.replica.id
             )
-            self._tools.registry.set_misplaced(attempt.handle)
+            self._context.registry.set_misplaced(attempt.handle)
         else:
             if verdict is ReplyClass.FOREIGN:
-                self._tools.registry.losses.lost(now, attempt.handle.replica.id)
+                self._context.registry.losses.lost(now, attempt.handle.replica.id)
             else:
-                self._note_version(now, attempt, None)
-            self._note_failed(now, attempt, verdict.value)
+                self._record_version(now, attempt, None)
+            self._record_failure(now, attempt, verdict.value)
 
-    def note_end(self, now: float, attempt: Attempt, end: ExchangeEnd) -> None:
-        """Learn from an attempt without a reply."""
-        self._tools.metrics.count(names.FORWARD_REPLIES, kind=end.kind.value)
+    def record_end(self, now: float, attempt: Attempt, end: ExchangeEnd) -> None:
+        """Update replica health and loss reports from an attempt without a reply."""
+        self._context.metrics.count(names.FORWARD_REPLIES, kind=end.kind.value)
         if end.kind is EndKind.NOT_SENT:
             attempt.handle.health.withdrawn(attempt)
         else:
-            self._tools.registry.losses.lost(now, attempt.handle.replica.id)
-        self._note_failed(now, attempt, f"{end.kind.value} {end.detail}")
+            self._context.registry.losses.lost(now, attempt.handle.replica.id)
+        self._record_failure(now, attempt, f"{end.kind.value} {end.detail}")
 
-    def _note_failed(self, now: float, attempt: Attempt, what: str) -> None:
+    def _record_failure(self, now: float, attempt: Attempt, reason: str) -> None:
         health = attempt.handle.health
         was_held_off = health.is_held_off(now)
         health.failed(now, attempt)
         if was_held_off:
             return
-        self._tools.note_belief(
+        self._context.log_replica_change(
             "replica held off",
             replica=attempt.handle.replica.id,
             service=attempt.handle.replica.service,
-            after=what,
+            after=reason,
             shed_rate=f"{health.shed_rate(now):.2f}",
         )
 
-    def note_given_up(self, now: float, attempt: Attempt, elapsed_ms: float) -> None:
-        """Learn from an attempt that nobody waits for any more."""
-        replica, ms = attempt.handle.replica, elapsed_ms / attempt.explained
+    def record_abandoned(self, now: float, attempt: Attempt, elapsed_ms: float) -> None:
+        """Update replica health and rollout statistics from an abandoned attempt."""
+        replica, ms = attempt.handle.replica, elapsed_ms / attempt.expected_slowdown
         is_cold = now < attempt.handle.health.cold_until
         sent_at = now - elapsed_ms / 1000
-        if not is_cold and self._tools.reach.heard_since(replica.data_centre, sent_at):
-            self._tools.rollouts.note_abandoned(replica, self._route.name, ms)
+        if not is_cold and self._context.reach.heard_since(replica.data_centre, sent_at):
+            self._context.rollouts.note_abandoned(replica, self._route.name, ms)
         attempt.handle.health.given_up(now, attempt, ratio=self._ratio(attempt, elapsed_ms))
 
-    def _note_version(self, now: float, attempt: Attempt, elapsed_ms: float | None) -> None:
-        """Count a reply after so long, None where it is a failure.
+    def _record_version(self, now: float, attempt: Attempt, elapsed_ms: float | None) -> None:
+        """Count a reply for the version of its replica; `elapsed_ms` is None for a failure.
 
-        A cold replica is slow, or drops what it can't bear, whatever its version; nor does a lost
-        or spoiled reply say anything of it.
+        Cold replicas are skipped: they are slow or drop requests whatever their version. Lost and
+        malformed replies aren't evidence about a version and must not be counted either.
         """
         if now < attempt.handle.health.cold_until:
             return
         replica = attempt.handle.replica
-        ms = None if elapsed_ms is None else elapsed_ms / attempt.explained
-        self._tools.rollouts.note_answer(replica, self._route.name, ms)
+        ms = None if elapsed_ms is None else elapsed_ms / attempt.expected_slowdown
+        self._context.rollouts.note_answer(replica, self._route.name, ms)
 
-    def _learn_unqueued(self, attempt: Attempt, elapsed_ms: float) -> None:
-        """Learn what an attempt takes at a free replica.
+    def _record_unqueued(self, attempt: Attempt, elapsed_ms: float) -> None:
+        """Record the latency of an attempt as that of a replica without a queue.
 
-        One that waited for a connection tells nothing of that: a VM that has just started opens
-        them all at once, took the wait for its replicas' pace, and refused callers who came back
-        after an outage. Until enough is known a queued one counts for what its queue leaves of it.
+        An attempt that waited for a connection is ignored: a VM that has just started opens all
+        connections at once, would take the wait for the latency of its replicas, and would refuse
+        callers that return after an outage. Until the profile has enough samples, the latency of a
+        queued attempt is recorded divided by the slowdown expected from its queue.
         """
-        if attempt.waited:
+        if attempt.waited_for_connection:
             return
-        if attempt.explained <= 1.0 or not self._unqueued.known:
-            self._unqueued.add(elapsed_ms / attempt.explained)
+        if attempt.expected_slowdown <= 1.0 or not self._unqueued_profile.known:
+            self._unqueued_profile.add(elapsed_ms / attempt.expected_slowdown)
 
     def _ratio(self, attempt: Attempt, elapsed_ms: float) -> float:
-        """Return a latency over what was to be expected of a replica of usual pace."""
-        usual = self._hedge_times().usual_ms
-        if self._unqueued.known:
-            usual = self._unqueued.quantile(0.5)
-        return elapsed_ms / max(usual * attempt.explained, 0.1)
-
-    def refusal_at_once(self, services: Sequence[str]) -> Refusal | None:
-        """Return the refusal of a request that would only make the queues longer, or None."""
-        now = self._tools.now()
-        usual_ms = self._unqueued.quantile(0.5) if self._unqueued.known else 0.0
+        """Return a latency over the latency expected from a replica of normal speed."""
+        expected_ms = self._hedge_times().usual_ms
+        if self._unqueued_profile.known:
+            expected_ms = self._unqueued_profile.quantile(0.5)
+        return elapsed_ms / max(expected_ms * attempt.expected_slowdown, 0.1)
+
+    def admission_refusal(self, services: Sequence[str]) -> Refusal | None:
+        """Return a refusal if admission control rejects the request, else None."""
+        now = self._context.now()
+        usual_ms = self._unqueued_profile.quantile(0.5) if self._unqueued_profile.known else 0.0
         added_ms = [
             added_ms_of(self._healths(service), now, usual_ms=usual_ms) for service in services
         ]
         shard_set = self._route.shard_set
         least = shard_set.least if shard_set is not None else len(services)
-        aim_ms = (self._times.aim_cut - self._times.started) * 1000
+        aim_ms = (self._times.aim_cutoff - self._times.started) * 1000
         left_ms = (self._times.deadline - now) * 1000
         request = AdmissionRequest(
             group=services[0],
             priority=self._route.priority,
             pressure=pressure_of(added_ms, least=least, aim_ms=aim_ms),
         )
-        if self._tools.gate.admits(now, request, u=random.random()):
+        if self._context.admission.admits(now, request, u=random.random()):
             return None
         wait = return_after_ms(added_ms=max(added_ms), left_ms=left_ms, u=random.random())
         return Refusal(
             ErrorKind.OVERLOADED,
-            f"pressure {request.pressure:.2f}",
+            f"queueing delay is {request.pressure:.2f} times the latency target",
             RunState.NOT_RUN,
             retry_after_ms=int(wait),
         )
 
     def _healths(self, service: str) -> Iterator[ReplicaHealth]:
-        return (handle.health for handle in self._tools.registry.usable(service))
+        return (handle.health for handle in self._context.registry.usable(service))
 
-    def is_hopeless(self) -> bool:
-        """Tell whether this VM is cut off from too many of the route's shards for an answer."""
+    def lacks_reachable_shards(self) -> bool:
+        """Return whether a VM that is cut off reaches too few of the route's shards to answer."""
         shard_set = self._route.shard_set
-        if shard_set is None or not self._tools.reach.is_cut_off(self._tools.now()):
+        if shard_set is None or not self._context.reach.is_cut_off(self._context.now()):
             return False
-        return sum(map(self._tools.registry.has_at_home, shard_set.shards)) < shard_set.least
+        return sum(map(self._context.registry.has_at_home, shard_set.shards)) < shard_set.least
 
     def no_replica_wait_s(self) -> float:
-        """Return how long a service without a usable replica is waited for."""
-        if not self._tools.policy.wait_for_replica or self._tools.reach.is_cut_off(
-            self._tools.now()
+        """Return how long to wait for a usable replica, in seconds."""
+        if not self._context.policy.wait_for_replica or self._context.reach.is_cut_off(
+            self._context.now()
         ):
             return 0.0
         return NO_REPLICA_WAIT_S
 
     def retry_after_ms(self, now: float) -> int:
-        """Return when a caller that was refused unrun may come back.
+        """Return the retry-after, in milliseconds, of a request that was not run.
 
-        Where this VM is cut off, when the balancer sends it to another data centre: sooner it would
-        spend one of its few tries on a VM that is cut off too.
+        If this VM is cut off from other data centres, it is the time until the balancer sends the
+        caller to another one: an earlier retry would be spent on a VM that is cut off as well.
         """
         left_ms = (self._times.deadline - now) * 1000
         wait_ms: float = RETRY_AFTER_MS
-        if self._tools.reach.is_cut_off(now):
-            wait_ms = self._tools.until_elsewhere(now) * 1000
+        if self._context.reach.is_cut_off(now):
+            wait_ms = self._context.until_rerouted(now) * 1000
         return int(max(0.0, min(wait_ms, left_ms / 3)))
 
     def end_to_end(self, reply: ExchangeReply) -> tuple[tuple[bytes, bytes], ...]:
-        """Return the headers of a reply that are not of its hop."""
+        """Return the end-to-end headers of a reply."""
         return tuple((n, v) for n, v in reply.headers if n not in HOP_HEADERS)
 
     def _hedge_times(self) -> HedgeTimes:
-        now = self._tools.now()
-        aim_left_ms = (self._times.aim_cut - now) * 1000
-        aim_ms = (self._times.aim_cut - self._times.started) * 1000
+        now = self._context.now()
+        aim_left_ms = (self._times.aim_cutoff - now) * 1000
+        aim_ms = (self._times.aim_cutoff - self._times.started) * 1000
         return hedge_times(self._profile, aim_left_ms=aim_left_ms, aim_ms=aim_ms)
--- a/libs/forwarding/berylspindle_forwarding/dialect.py
+++ b/libs/forwarding/berylspindle_forwarding/dialect.py
@@ -1,11 +1,10 @@
-"""The names of headers and statuses that callers, replicas and this program use for one thing.
+"""Define the header names and statuses of the protocol with callers and replicas.
 
 Terms:
-  dialect   one set of names; the default is this project's own, an adapter brings another
-  hop       one connection; headers of a hop concern nobody beyond it
+  dialect   one set of names; the default is this project's, an adapter may define another
 
-Flow: everything that reads or writes a header takes its name from the `Dialect` that it was given,
-so that a platform with other names needs another value and no other code.
+Flow: code that reads or writes a header takes the name from its `Dialect`, so a platform with other
+names needs only another value.
 """
 
 from __future__ import annotations
@@ -31,23 +30,23 @@
         b"content-length",
     }
 )
-"""Headers that are not passed on; a body's length is stated anew on each hop."""
+"""Hop-by-hop headers, which are not forwarded; each hop sets its own content-length."""
 
 
 @attrs.frozen(kw_only=True)
 class Dialect:
-    """Header names in lower case, and statuses with a meaning of their own.
+    """Header names in lower case, and statuses with a special meaning.
 
     Attributes:
-        request_id: names one try of a caller; replicas repeat it.
-        time_left: milliseconds that whoever sends still waits.
-        expected: id of the replica that a request is meant for; any other refuses it.
-        not_run: in a replica's answer: it has not run the request.
-        signature: in a replica's answer: its proof of the answer, passed on unchanged.
-        load: in a replica's answer: running, waiting and slots, separated by commas.
-        parts: in a merged answer: the signatures of the parts, separated by commas.
-        absent: in a merged answer: how many shards it lacks.
-        misdirected: status of a replica that is not the expected one and did not run the request.
+        request_id: identifies one try of a caller; replicas echo it.
+        time_left: how long the sender still waits, in milliseconds.
+        expected: id of the replica that the request is addressed to; any other refuses it.
+        not_run: in a replica's reply: the request was not run.
+        signature: in a replica's reply: signature of the answer, forwarded unchanged.
+        load: in a replica's reply: running, waiting and slots, separated by commas.
+        parts: in a merged answer: the signatures of its parts, separated by commas.
+        absent: in a merged answer: the number of missing shards.
+        misdirected: status of a replica that isn't the expected one and did not run the request.
     """
 
     request_id: bytes = REQUEST_ID_HEADER.encode()
--- a/libs/forwarding/berylspindle_forwarding/forward_options.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_options.py
@@ -19,20 +19,21 @@
     """Settings of forwarding on one VM.
 
     Attributes:
-        peers: where this VM's mirror is read, or None; `seeds` are those of some others.
-        announce_key: key of this VM's entry in the store, or empty.
-        announced_here: VMs of a data centre that have entries, the biggest ones; the others follow
-            them without.
-        suspects_prefix: prefix of the keys of requests that crash replicas, or empty.
-        callers_port: where this VM takes requests of others, or 0.
-        bears: what this VM can work on (`decisions.relay_choice`).
-        first_start: whether all VMs of the system start now, for the first time.
+        peers: address of this VM's mirror, or None.
+        seeds: mirror addresses of some other VMs.
+        announce_key: store key of this VM's entry, or empty.
+        announced_here: number of VMs per data centre with an entry, the largest ones; the others
+            follow these without an entry.
+        suspects_prefix: key prefix of requests that crash replicas, or empty.
+        callers_port: port where this VM accepts relayed requests, or 0.
+        bears: capacity of this VM (`decisions.relay_choice`).
+        first_start: whether all VMs of the system start for the first time.
         expected_vms: VMs that share budgets and connections while fewer are known.
-        extra: the bound on hedges and retries of all VMs together.
-        cold: the bound on requests to a cold replica.
-        exposure: the bound on requests to a version that is bad.
-        rollout_entries: where entries of rollouts lie, or None where none are ordered.
-        policy: which decisions are on.
+        extra: limits of the retry budget of all VMs together.
+        cold: limits of the requests to a cold replica.
+        exposure: limits of the requests to a faulty version.
+        rollout_entries: location of rollout entries, or None if rollouts are disabled.
+        policy: which decisions are enabled.
     """
 
     vm: str
--- a/libs/forwarding/berylspindle_forwarding/forward_parts.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_parts.py
@@ -1,4 +1,4 @@
-"""Make the parts of forwarding from its settings."""
+"""Create the components of forwarding from its settings."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def make_registry(
     options: ForwardOptions, vms: VmRegistry, reach: Reach, rollouts: Rollouts, metrics: Metrics
 ) -> ReplicaRegistry:
-    """Return the registry of replicas."""
+    """Create the replica registry."""
     return ReplicaRegistry(
         data_centre=options.data_centre,
         now=asyncio.get_running_loop().time,
@@ -46,7 +46,7 @@
     reach: Reach,
     metrics: Metrics,
 ) -> Relay:
-    """Return the way to VMs that merge searches."""
+    """Create the relay to VMs that merge searches."""
     return Relay(
         bears=options.bears,
         data_centre=options.data_centre,
@@ -56,7 +56,7 @@
         dialect=options.dialect,
         metrics=metrics,
         now=asyncio.get_running_loop().time,
-        u=random.random,
+        uniform=random.random,
         policy=options.policy,
     )
 
@@ -70,7 +70,7 @@
     *,
     is_keeper: Callable[[], bool],
 ) -> RolloutKeeper | None:
-    """Return what takes the steps of rollouts, None where none are ordered."""
+    """Create the keeper of rollouts, or return None if rollouts are disabled."""
     if options.rollout_entries is None:
         return None
     return RolloutKeeper(
@@ -94,7 +94,7 @@
     listed: asyncio.Event,
     on_failure: Callable[[str], None],
 ) -> VmAnnouncer | None:
-    """Return what keeps this VM's entry, None where it has none."""
+    """Create the announcer of this VM, or return None if it has no entry."""
     if not options.announce_key or options.peers is None:
         return None
     entry = VmEntry(
--- a/libs/forwarding/berylspindle_forwarding/forwarder.py
+++ b/libs/forwarding/berylspindle_forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""All parts of forwarding on one VM, put together.
+"""Assemble the forwarding components of one VM.
 
-Flow: `Forwarder` follows the catalogue, keeps the replica registry and the front in step with it,
-and says when this VM is ready for callers. `open_forwarder` starts its task; its exit stack owns
-all that must be closed.
+Flow: `Forwarder` receives catalogue changes, applies them to the replica registry and the front,
+and reports whether this VM is ready for callers. `open_forwarder` starts its task; the exit stack
+owns everything that must be closed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from berylspindle_decisions.forward_policy import switched_off
 from berylspindle_decisions.quarantine import FirstSeen, Quarantine, QuarantineOptions
 from berylspindle_decisions.reach import Reach
-from berylspindle_forwarding.attempt_policy import ForwardTools
+from berylspindle_forwarding.attempt_policy import ForwardContext
 from berylspindle_forwarding.catalogue import (
     AnswersChange,
     Catalogue,
@@ -58,14 +58,14 @@
 from berylspindle_wire.http import HttpLimits
 
 SUSPECT_S: Final = 120.0
-"""Seconds for which a request that has crashed replicas once is tried on one shard first."""
+"""Time in seconds for which a request that crashed a replica is run on one shard first."""
 
-USED_S: Final = 5.0
-"""Seconds after a caller's request in which this VM counts as used."""
+RECENT_REQUEST_S: Final = 5.0
+"""Time in seconds for which this VM counts as in use after a caller's request."""
 
 
 class Forwarder(CatalogueListener):
-    """Forwarding on one VM; made by `open_forwarder`."""
+    """Forwarding on one VM; created by `open_forwarder`."""
 
     def __init__(
         self, options: ForwardOptions, store: Store, reader: CatalogueReader, metrics: Metrics
@@ -82,7 +82,7 @@
             seeds=options.seeds,
             expected_vms=options.expected_vms,
         )
-        self._out: set[str] = set()
+        self._data_centres_out: set[str] = set()
         self._listed: Final = asyncio.Event()
         self._shutting_down = False
         self._store_reached: bool | None = None
@@ -103,7 +103,7 @@
             key_prefix=options.suspects_prefix,
             now=loop.time,
         )
-        self._tools: Final = ForwardTools(
+        self._context: Final = ForwardContext(
             crashes=self._crashes,
             registry=self.registry,
             reach=self._reach,
@@ -111,15 +111,15 @@
             metrics=metrics,
             now=loop.time,
             vms=lambda: self.vms.alike,
-            until_elsewhere=lambda now: self._outside.until_elsewhere(now),
-            bounds=options.extra,
+            until_rerouted=lambda now: self._outside.until_elsewhere(now),
+            budget_options=options.extra,
             started=loop.time(),
             policy=options.policy,
-            gate=AdmissionController(options.policy),
+            admission=AdmissionController(options.policy),
             rollouts=self.rollouts,
         )
         self._relay: Final = make_relay(options, self.vms, self.registry, self._reach, metrics)
-        self.front: Final = Front(self._tools, self._relay, self._may_begin)
+        self.front: Final = Front(self._context, self._relay, self._accepts_relayed)
         self._outside: Final = Outside(
             self._reach,
             self.registry,
@@ -128,9 +128,9 @@
             table=lambda: self.front.table,
             watches=lambda: not self.vms.watchers(),
             is_followed=self.vms.is_watcher,
-            prober=Prober(self._introduction, self._on_losses),
+            prober=Prober(self._upstream_report, self._on_losses),
             now=loop.time,
-            on_change=self._note_cut_off,
+            on_change=self._on_cut_off_change,
         )
         self.mirror: Final = Mirror(loop.time)
         self.mirror.losses = self.registry.losses
@@ -142,7 +142,7 @@
             rng=random.Random(),
             watchers=self.vms.watchers,
             vms_here=self.vms.size_here,
-            introduction=self._introduction,
+            introduction=self._upstream_report,
             on_losses=self._on_losses,
         )
         self._catalogue: Final = Catalogue(
@@ -151,7 +151,7 @@
             self,
             self.mirror,
             first_start=options.first_start,
-            is_used=self._is_used,
+            is_used=self._has_recent_requests,
             now=loop.time,
             u=random.random,
         )
@@ -177,25 +177,25 @@
 
     @property
     def dialect(self) -> Dialect:
-        """Return the names in use."""
+        """Return the header names and statuses in use."""
         return self._options.dialect
 
     def unready(self) -> Refusal | None:
-        """Return why callers should not come here, or None where they may."""
+        """Return the reason why this VM is not ready for callers, or None if it is."""
         if self._shutting_down:
             return Refusal(ErrorKind.SHUTTING_DOWN)
         if not self._listed.is_set() or self.table_version == 0:
             return Refusal(ErrorKind.NOT_READY)
         if self._outside.is_cut_off:
-            return Refusal(ErrorKind.NO_REPLICA, "cut off from the other data centres")
+            return Refusal(ErrorKind.NO_REPLICA, "cut off from other data centres")
         return None
 
     def begin_shutdown(self) -> None:
-        """Be unready; what still comes is served."""
+        """Report not ready from now on; requests that still arrive are served."""
         self._shutting_down = True
 
     async def run(self) -> None:
-        """Follow the catalogue, and keep this VM announced, until cancelled."""
+        """Apply catalogue changes and keep this VM announced until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._catalogue.run())
             tasks.create_task(self._outside.run())
@@ -205,7 +205,7 @@
                 tasks.create_task(self._keeper.run())
 
     async def leave(self) -> None:
-        """Tell the other VMs that this one goes."""
+        """Withdraw this VM's announcement."""
         if self._announcer is not None:
             await self._announcer.withdraw()
 
@@ -218,34 +218,37 @@
         await self.registry.close()
 
     def on_change(self, change: Change) -> None:
-        """Take one change of the catalogue."""
+        """Apply one change of the catalogue."""
         if isinstance(change, TableChange):
             self._set_table(change)
         elif isinstance(change, ReplicaChange):
-            self._take_replica(change)
+            self._update_replica(change)
         elif isinstance(change, OutChange):
             self._set_out(change)
         elif isinstance(change, VmChange):
-            self._take_vm(change)
+            self._update_vm(change)
         elif isinstance(change, SuspectChange):
             self._crashes.merge(change.record)
         elif isinstance(change, Unreadable):
-            self._note_unreadable(change)
+            self._log_unreadable(change)
         else:
             self._on_rollout(change)
 
     def on_listed(self) -> None:
-        """Take that all that there is has been told."""
+        """Handle the end of the initial listing."""
         if not self._listed.is_set():
-            self._log.info("listed", extra={"replicas": len(self.registry), "vms": len(self.vms)})
+            self._log.info(
+                "initial listing complete",
+                extra={"replicas": len(self.registry), "vms": len(self.vms)},
+            )
         self._listed.set()
 
     def on_told_cut_off(self, cut_off: bool, source: object) -> None:
-        """Take whether the VM that this one follows is cut off."""
+        """Record whether the upstream VM reports itself cut off."""
         self._outside.told(cut_off, source=source)
 
     def on_store(self, reached: bool, detail: str) -> None:
-        """Take whether the store answers."""
+        """Record whether the store answers, and log each change."""
         if reached == self._store_reached:
             return
         self._store_reached = reached
@@ -273,7 +276,7 @@
         )
         self._log.info("routing table in force", extra={"version": change.table.version})
 
-    def _take_replica(self, change: ReplicaChange) -> None:
+    def _update_replica(self, change: ReplicaChange) -> None:
         replica = change.replica
         if replica is None:
             self.registry.remove(change.id)
@@ -291,20 +294,20 @@
         )
 
     def _log_entry(self, message: str, **fields: object) -> None:
-        """Log one changed entry, on the VMs that follow the store for the others.
+        """Log a changed entry, only on VMs that watch the store for the others.
 
-        Each VM would else write 400 lines at its start, and 195 VMs a line each for every change.
+        Otherwise each VM would write 400 lines at its start, and 195 VMs one line per change.
         """
         if self._listed.is_set() and not self.vms.watchers():
             self._log.info(message, extra=fields)
 
-    def _note_cut_off(self, cut_off: bool) -> None:
+    def _on_cut_off_change(self, cut_off: bool) -> None:
         self._metrics.gauge(names.CUT_OFF, int(cut_off))
         self.mirror.set_cut_off(cut_off)
         self._log.warning("cut off from other data centres" if cut_off else "no longer cut off")
         self.on_cut_off(cut_off)
 
-    def _take_vm(self, change: VmChange) -> None:
+    def _update_vm(self, change: VmChange) -> None:
         self.vms.take(change)
         message = "VM announced" if change.vm is not None else "VM gone"
         self._log_entry(message, id=change.id, vms=len(self.vms))
@@ -315,22 +318,22 @@
             show_answers(self._metrics, self.rollouts, change.service)
             return
         stage = self.rollouts.stage(change.service)
-        self._log_entry("rollout", service=change.service, stage=stage.value)
+        self._log_entry("rollout updated", service=change.service, stage=stage.value)
 
-    def _introduction(self) -> dict[str, str]:
-        """Return what the VM that this one follows is told of it."""
-        told: dict[str, str] = {}
+    def _upstream_report(self) -> dict[str, str]:
+        """Return the query fields that this VM sends to its upstream VM."""
+        fields: dict[str, str] = {}
         for_others = self.vms.is_watcher() and bool(self.vms.watchers())
         if report := self.rollouts.report(for_others=for_others):
-            told |= {"vm": self._options.vm, "rollouts": report}
+            fields |= {"vm": self._options.vm, "rollouts": report}
         if losses := self.registry.losses.report(asyncio.get_running_loop().time()):
-            told["losses"] = pack_losses(losses)
+            fields["losses"] = pack_losses(losses)
         if self._announcer is not None and not self._announcer.is_announced:
-            told |= {"follower": self._options.vm, "bears": f"{self._options.bears:.3f}"}
-        return told
+            fields |= {"follower": self._options.vm, "bears": f"{self._options.bears:.3f}"}
+        return fields
 
     def _on_losses(self, losses: dict[str, int]) -> None:
-        """Take the losses that another VM reports."""
+        """Merge the lost replies that another VM reports."""
         if self._options.policy.shares_losses:
             self.registry.losses.merge(asyncio.get_running_loop().time(), losses)
 
@@ -338,29 +341,33 @@
         try:
             self.rollouts.take_report(vm, report)
         except codec.MalformedError as error:
-            self._log.warning("report not read", extra={"vm": vm, "detail": str(error)})
+            self._log.warning(
+                "ignored unreadable rollout report", extra={"vm": vm, "detail": str(error)}
+            )
 
-    def _may_begin(self) -> bool:
-        """Tell whether this VM takes work of other VMs."""
+    def _accepts_relayed(self) -> bool:
+        """Return whether this VM accepts requests relayed by other VMs."""
         return not self._shutting_down
 
     def _on_announce_failed(self, detail: str) -> None:
         self._metrics.count(names.ANNOUNCE_FAILED)
-        self._log.debug("this VM is not announced", extra={"detail": detail})
+        self._log.debug("announcement of this VM failed", extra={"detail": detail})
         self._catalogue.doubt()
 
     def _set_out(self, change: OutChange) -> None:
         if change.is_out:
-            self._out.add(change.data_centre)
+            self._data_centres_out.add(change.data_centre)
         else:
-            self._out.discard(change.data_centre)
-        self.registry.set_out(frozenset(self._out))
+            self._data_centres_out.discard(change.data_centre)
+        self.registry.set_out(frozenset(self._data_centres_out))
 
-    def _note_unreadable(self, change: Unreadable) -> None:
-        self._log.warning("entry names nothing", extra={"key": change.key, "reason": change.reason})
+    def _log_unreadable(self, change: Unreadable) -> None:
+        self._log.warning(
+            "ignored unreadable store entry", extra={"key": change.key, "reason": change.reason}
+        )
 
-    def _is_used(self) -> bool:
-        return asyncio.get_running_loop().time() - self.front.last_request < USED_S
+    def _has_recent_requests(self) -> bool:
+        return asyncio.get_running_loop().time() - self.front.last_request < RECENT_REQUEST_S
 
 
 async def open_forwarder(
@@ -371,7 +378,7 @@
     metrics: Metrics,
     stack: AsyncExitStack,
 ) -> Forwarder:
-    """Return a running forwarder, owned by `stack`."""
+    """Start a forwarder that is closed with `stack`."""
     forwarder = Forwarder(options, store, reader, metrics)
     stack.push_async_callback(forwarder.close)
     task = asyncio.get_running_loop().create_task(forwarder.run())
--- a/libs/forwarding/berylspindle_forwarding/front.py
+++ b/libs/forwarding/berylspindle_forwarding/front.py
@@ -1,8 +1,9 @@
-"""The callers' edge of forwarded requests: a raw request in, an answer or a refusal out.
+"""Handle callers' forwarded requests.
 
-Flow: `handle` looks the route up in the table in force, bounds the time, and has a `ScatterGather`
-carry the request out; `request_log` is told how each ended. A refusal becomes a response by the one
-table of error kinds, with the time to come back as a header that may hold parts of a second.
+Flow: `handle` finds the route in the current routing table, sets the time limits, and executes the
+request with `ScatterGather` or relays it; each outcome goes to `request_log`. A refusal becomes a
+response according to the common table of error kinds, with a retry-after header in seconds that may
+have a fraction.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 from berylspindle_decisions.answer_time import MARGIN_MS, NEW_CONNECTION_MS
 from berylspindle_decisions.quarantine import RunMode
 from berylspindle_decisions.weighted_turns import WeightedTurns
-from berylspindle_forwarding.attempt_policy import ForwardTools, RequestTimes
+from berylspindle_forwarding.attempt_policy import ForwardContext, RequestTimes
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_forwarding.relay import Relay, RelayTimes
 from berylspindle_forwarding.request_head import (
     RELAY_LOAD,
     RELAY_UNRUN,
     ForwardRequest,
-    Relayed,
+    RelayInfo,
     read_forward,
 )
-from berylspindle_forwarding.request_log import Beliefs, Ended, RequestLog
+from berylspindle_forwarding.request_log import FinishedRequest, LogContext, RequestLog
 from berylspindle_forwarding.request_trace import RequestTrace
 from berylspindle_forwarding.scatter_gather import ScatterGather
 from berylspindle_forwarding.subset_call import SubsetCall
@@ -38,44 +39,45 @@
 from berylspindle_wire.http import HttpRequest, HttpResponse
 
 ANSWER_MARGIN_MS: Final = 12.0
-"""Milliseconds before the deadline at which the last answer leaves; the way back takes 3 ms, and a
-busy turn of the loop some more."""
+"""Time before the deadline, in milliseconds, at which the last answer is sent: 3 ms for the way
+back, the rest for a busy iteration of the event loop."""
 
-NOT_READY_MS: Final = 200
-"""When a caller may come back to a VM that knows no routes yet; its start takes some tenths."""
+NOT_READY_RETRY_MS: Final = 200
+"""Retry-after of a VM without a routing table, in milliseconds; start-up takes some tenths of a
+second."""
 
-START_PATIENCE_S: Final = 1.5
-START_SHARE: Final = 0.5
-"""How long a request waits for the first routing table, and for which part of its time at most.
-Callers reach a VM that is just starting because others are gone too; told to come back, they spend
-one of their few tries, and the table is there within some tenths of a second."""
+FIRST_TABLE_WAIT_S: Final = 1.5
+FIRST_TABLE_WAIT_SHARE: Final = 0.5
+"""Maximum wait for the first routing table, in seconds and as a share of the request's time left.
+Callers reach a VM that is still starting because others are down too. A refusal would cost one of
+their few retries, while the table arrives within some tenths of a second."""
 
 _STATUS: Final = {ErrorKind.QUARANTINED: 503}
-"""Statuses that differ from the table's: to these callers a 4xx says that a request is improper,
-and is the end of it."""
+"""Statuses that override the common table: these callers treat a 4xx as an invalid request, and
+don't retry it."""
 
-_LEFT: Final = Refusal(ErrorKind.CANCELLED, "the caller went away")
+_CALLER_LEFT: Final = Refusal(ErrorKind.CANCELLED, "the caller disconnected")
 
 
 @attrs.frozen(kw_only=True)
-class Routed:
-    """One request and its route in one routing table.
+class RoutedRequest:
+    """One request with its route and the version of the routing table that the route is from.
 
-    The table in force may change while another VM is asked, so that its version is kept: another VM
-    reads the positions of shards by the table that they were taken from.
+    The current table may change while the request is relayed, and a merger must interpret shard
+    positions by the table they were taken from.
     """
 
     forward: ForwardRequest
     route: Route
     table_version: int
     times: RequestTimes
-    waited_ms: float
+    table_wait_ms: float
 
     @property
     def relay_times(self) -> RelayTimes:
-        """Return the bounds of the request for another VM."""
+        """Return the time limits for relaying the request."""
         return RelayTimes(
-            aim_cut=self.times.aim_cut,
+            aim_cutoff=self.times.aim_cutoff,
             aim=self.times.started + self.route.aim_ms / 1000,
             deadline=self.times.deadline,
             answer_by=self.times.answer_by,
@@ -83,145 +85,153 @@
 
 
 class Front:
-    """Answer callers' forwarded requests."""
+    """Serve callers' forwarded requests."""
 
-    def __init__(self, tools: ForwardTools, relay: Relay, may_begin: Callable[[], bool]) -> None:
-        """Take also whether this VM may begin work of other VMs."""
-        self._tools: Final = tools
+    def __init__(
+        self, context: ForwardContext, relay: Relay, accepts_relayed: Callable[[], bool]
+    ) -> None:
+        """Initialize; `accepts_relayed` returns whether this VM accepts relayed requests."""
+        self._context: Final = context
         self._relay: Final = relay
-        self._may_begin: Final = may_begin
+        self._accepts_relayed: Final = accepts_relayed
         self._table: RoutingTable | None = None
         self._table_known: Final = asyncio.Event()
         self._turns: dict[str, tuple[Route, WeightedTurns]] = {}
         self._in_flight = 0
         self.last_request = float("-inf")
-        self._requests: Final = RequestLog(tools.metrics, tools.now, self._beliefs)
+        self._request_log: Final = RequestLog(context.metrics, context.now, self._log_context)
 
     @property
     def table(self) -> RoutingTable | None:
-        """Return the routing table in force."""
+        """Return the current routing table, or None before the first one."""
         return self._table
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are under way."""
+        """Return the number of requests in flight."""
         return self._in_flight
 
     def set_table(self, table: RoutingTable) -> None:
-        """Serve by a new table from the next request on."""
+        """Set the routing table for subsequent requests."""
         self._table = table
         self._table_known.set()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one request."""
-        started = self.last_request = self._tools.now()
+        started = self.last_request = self._context.now()
         self._in_flight += 1
         try:
-            forward = read_forward(request, self._tools.dialect)
-            if forward.relayed is not None and not self._may_merge(forward.relayed):
-                return _unrun(self._tools.dialect, forward)
-            waited_ms = await self._await_table(forward) if self._table is None else 0.0
+            forward = read_forward(request, self._context.dialect)
+            if forward.relayed is not None and not self._can_merge(forward.relayed):
+                return _unrun_reply(self._context.dialect, forward)
+            table_wait_ms = await self._await_table(forward) if self._table is None else 0.0
             route = self._route(forward)
             if isinstance(route, Refusal):
                 self._count("-", route.kind.value)
-                self._requests.tell(Ended(request=forward, outcome=route, table_wait_ms=waited_ms))
-                return refusal_reply(route, self._tools.dialect.request_id, forward.request_id)
+                self._request_log.record(
+                    FinishedRequest(request=forward, outcome=route, table_wait_ms=table_wait_ms)
+                )
+                return refusal_reply(route, self._context.dialect.request_id, forward.request_id)
             if forward.relayed is not None and forward.relayed.shards:
                 subset_route = _subset_route(route, forward.relayed.shards)
                 if subset_route is None:
-                    return _unrun(self._tools.dialect, forward)
+                    return _unrun_reply(self._context.dialect, forward)
                 route = subset_route
-            routed = Routed(
+            routed = RoutedRequest(
                 forward=forward,
                 route=route,
                 table_version=self._table.version if self._table is not None else 0,
                 times=request_times(route, forward, started, is_first=request.is_first),
-                waited_ms=waited_ms,
+                table_wait_ms=table_wait_ms,
             )
             if route.shard_set is not None and forward.relayed is None:
-                passed = await self._passed_on(routed)
-                if passed is not None:
-                    return passed
-            return await self._carry_out(routed)
+                merged = await self._merge_elsewhere(routed)
+                if merged is not None:
+                    return merged
+            return await self._execute(routed)
         finally:
             self._in_flight -= 1
 
     async def _await_table(self, forward: ForwardRequest) -> float:
-        """Wait for the first routing table; return for how many milliseconds."""
-        began = self._tools.now()
-        patience = START_PATIENCE_S
+        """Wait for the first routing table, and return the wait in milliseconds."""
+        began = self._context.now()
+        wait_s = FIRST_TABLE_WAIT_S
         if forward.left_ms is not None:
-            patience = min(patience, START_SHARE * forward.left_ms / 1000)
+            wait_s = min(wait_s, FIRST_TABLE_WAIT_SHARE * forward.left_ms / 1000)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(wait_s):
                 await self._table_known.wait()
         except TimeoutError:
-            # The request is refused as not run, with a time to come back.
+            # The request is refused as not run, with a retry-after.
             pass
-        return (self._tools.now() - began) * 1000
+        return (self._context.now() - began) * 1000
 
     def _route(self, forward: ForwardRequest) -> Route | Refusal:
         if self._table is None:
-            return Refusal(ErrorKind.NOT_READY, retry_after_ms=NOT_READY_MS)
+            return Refusal(ErrorKind.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         return self._table.find(forward.host, forward.path) or Refusal(ErrorKind.NOT_FOUND)
 
-    async def _carry_out(self, routed: Routed) -> HttpResponse:
-        """Carry a request out, and tell of its end."""
-        forward, id_header = routed.forward, self._tools.dialect.request_id
-        mode = self._tools.crashes.mode(forward)
+    async def _execute(self, routed: RoutedRequest) -> HttpResponse:
+        """Execute a request and record its outcome."""
+        forward, id_header = routed.forward, self._context.dialect.request_id
+        mode = self._context.crashes.mode(forward)
         if isinstance(mode, Refusal):
             self._count(routed.route.name, mode.kind.value)
-            self._requests.tell(Ended(request=forward, outcome=mode, route=routed.route))
+            self._request_log.record(
+                FinishedRequest(request=forward, outcome=mode, route=routed.route)
+            )
             return refusal_reply(mode, id_header, forward.request_id)
         work = self._canary(routed) if mode is RunMode.CANARY else self._plain(routed)
-        outcome: HttpResponse | Refusal = _LEFT
+        outcome: HttpResponse | Refusal = _CALLER_LEFT
         try:
             outcome = await work.run()
         finally:
-            # A caller that leaves has this task cancelled; its request is told of all the same.
-            self._tell(routed, work, outcome)
+            # This task is cancelled if the caller disconnects; the request is recorded anyway.
+            self._record_end(routed, work, outcome)
             if mode is RunMode.CANARY:
-                self._tools.crashes.unsettled(forward)
+                self._context.crashes.unsettled(forward)
         if isinstance(outcome, Refusal):
             outcome = refusal_reply(outcome, id_header, forward.request_id)
         else:
-            self._tools.crashes.answered(forward)
+            self._context.crashes.answered(forward)
         if forward.relayed is not None:
             load = (RELAY_LOAD, b"%d" % self._in_flight)
             return attrs.evolve(outcome, raw_headers=(*outcome.raw_headers, load))
         return outcome
 
-    def _plain(self, routed: Routed) -> ScatterGather:
+    def _plain(self, routed: RoutedRequest) -> ScatterGather:
         return ScatterGather(
-            self._tools,
+            self._context,
             routed.route,
             routed.forward,
             self._services(routed.route),
             routed.times,
-            self._subset(routed),
+            self._subset_call(routed),
         )
 
-    def _canary(self, routed: Routed) -> ScatterGather:
-        """Return the work on a suspected request: one replica a shard, and one shard first."""
+    def _canary(self, routed: RoutedRequest) -> ScatterGather:
+        """Return the execution of a suspect request: one replica per shard, one shard first."""
         route = attrs.evolve(routed.route, max_replicas=1)
         return ScatterGather(
-            self._tools,
+            self._context,
             route,
             routed.forward,
             self._services(route),
             routed.times,
             canary=True,
-            avoided=self._tools.crashes.crashed(routed.forward),
+            avoided=self._context.crashes.crashed(routed.forward),
         )
 
-    def _may_merge(self, relayed: Relayed) -> bool:
-        """Tell whether this VM carries out a request of another one: only by the same table."""
+    def _can_merge(self, relayed: RelayInfo) -> bool:
+        """Return whether to execute a relayed request; the table versions must be equal."""
         return (
-            self._may_begin() and self._table is not None and self._table.version == relayed.table
+            self._accepts_relayed()
+            and self._table is not None
+            and self._table.version == relayed.table
         )
 
-    def _subset(self, routed: Routed) -> SubsetCall | None:
-        """Return the shards of a search that another VM merges, if any."""
+    def _subset_call(self, routed: RoutedRequest) -> SubsetCall | None:
+        """Return the call for the shards of a search that another VM merges, if any."""
         shard_set, relayed = routed.route.shard_set, routed.forward.relayed
         if shard_set is None or (relayed is not None and relayed.shards):
             return None
@@ -229,7 +239,7 @@
         if subset is None:
             return None
         send = partial(
-            self._relay.pass_on,
+            self._relay.dispatch,
             subset.merger,
             routed.forward,
             routed.relay_times,
@@ -238,51 +248,55 @@
         )
         return SubsetCall(positions=subset.positions, send=send)
 
-    async def _passed_on(self, routed: Routed) -> HttpResponse | None:
-        """Return the answer of a bigger VM, or None where this one carries the request out."""
+    async def _merge_elsewhere(self, routed: RoutedRequest) -> HttpResponse | None:
+        """Return the response of another VM, or None if this one must execute the request."""
         route, forward, started = routed.route, routed.forward, routed.times.started
-        merger = self._relay.choose(route.services, self._in_flight)
+        merger = self._relay.choose_merger(route.services, self._in_flight)
         if merger is None:
             return None
-        outcome = await self._relay.pass_on(
+        outcome = await self._relay.dispatch(
             merger, forward, routed.relay_times, table=routed.table_version
         )
         if not isinstance(outcome, Refusal):
             return outcome
-        elapsed_ms = (self._tools.now() - started) * 1000
+        elapsed_ms = (self._context.now() - started) * 1000
         self._count(route.name, outcome.kind.value)
         trace = RequestTrace(started)
         trace.merger = merger
-        self._requests.tell(
-            Ended(request=forward, outcome=outcome, route=route, trace=trace, elapsed_ms=elapsed_ms)
+        self._request_log.record(
+            FinishedRequest(
+                request=forward, outcome=outcome, route=route, trace=trace, elapsed_ms=elapsed_ms
+            )
         )
-        return refusal_reply(outcome, self._tools.dialect.request_id, forward.request_id)
+        return refusal_reply(outcome, self._context.dialect.request_id, forward.request_id)
 
-    def _tell(self, routed: Routed, work: ScatterGather, outcome: HttpResponse | Refusal) -> None:
+    def _record_end(
+        self, routed: RoutedRequest, work: ScatterGather, outcome: HttpResponse | Refusal
+    ) -> None:
         route = routed.route
-        elapsed_ms = (self._tools.now() - routed.times.started) * 1000
-        self._tools.metrics.observe(names.FORWARD_TIME, elapsed_ms, route=route.name)
+        elapsed_ms = (self._context.now() - routed.times.started) * 1000
+        self._context.metrics.observe(names.FORWARD_TIME, elapsed_ms, route=route.name)
         result = outcome if isinstance(outcome, Refusal) else outcome.status
         self._count(route.name, result.kind.value if isinstance(result, Refusal) else str(result))
-        self._requests.tell(
-            Ended(
+        self._request_log.record(
+            FinishedRequest(
                 request=routed.forward,
                 outcome=result,
                 route=route,
                 trace=work.trace,
                 elapsed_ms=elapsed_ms,
-                table_wait_ms=routed.waited_ms,
+                table_wait_ms=routed.table_wait_ms,
                 usual_ms=work.usual_ms,
                 extra_left=work.extra_left,
             )
         )
 
-    def _beliefs(self) -> Beliefs:
-        return Beliefs(
+    def _log_context(self) -> LogContext:
+        return LogContext(
             table_version=self._table.version if self._table is not None else 0,
-            vms=self._tools.vms(),
+            vms=self._context.vms(),
             in_flight=self._in_flight,
-            cut_off=self._tools.reach.is_cut_off(self._tools.now()),
+            cut_off=self._context.reach.is_cut_off(self._context.now()),
         )
 
     def _services(self, route: Route) -> tuple[str, ...]:
@@ -296,33 +310,33 @@
         return (known[1].next(),)
 
     def _count(self, route: str, result: str) -> None:
-        self._tools.metrics.count(names.FORWARD_REQUESTS, route=route, result=result)
+        self._context.metrics.count(names.FORWARD_REQUESTS, route=route, result=result)
 
 
 def request_times(
     route: Route, forward: ForwardRequest, started: float, *, is_first: bool
 ) -> RequestTimes:
-    """Return the bounds of a request that has just been read."""
+    """Return the time limits of a request that has just been read."""
     left_ms = float(route.timeout_ms)
     if forward.left_ms is not None:
         left_ms = min(left_ms, forward.left_ms)
     margin_ms = MARGIN_MS + (NEW_CONNECTION_MS if is_first else 0.0)
     aim_ms = max(1.0, route.aim_ms - margin_ms)
     if forward.relayed is not None:
-        # The origin has kept the margin, and knows when the request came.
+        # The origin has subtracted the margin, and knows when the request arrived.
         aim_ms = forward.relayed.aim_ms
     return RequestTimes(
         started=started,
-        aim_cut=started + aim_ms / 1000,
+        aim_cutoff=started + aim_ms / 1000,
         deadline=started + left_ms / 1000,
         answer_by=started + max(1.0, left_ms - ANSWER_MARGIN_MS) / 1000,
     )
 
 
 def _subset_route(route: Route, positions: tuple[int, ...]) -> Route | None:
-    """Return the route of a search over some of its shards; None where it has no such shards.
+    """Return a route restricted to some of its shards, or None if a position is invalid.
 
-    All that may be missing of the whole may be missing here.
+    All shards that may be missing from the full result may be missing from this subset.
     """
     shard_set = route.shard_set
     if shard_set is None or max(positions) >= len(shard_set.shards):
@@ -334,7 +348,7 @@
 
 
 def refusal_reply(refusal: Refusal, id_header: bytes, request_id: bytes) -> HttpResponse:
-    """Return the response that tells a caller of a refusal, with its own id for the request."""
+    """Return the response for a refusal, with the caller's request id."""
     headers: list[tuple[bytes, bytes]] = []
     if request_id:
         headers.append((id_header, request_id))
@@ -349,7 +363,7 @@
     )
 
 
-def _unrun(dialect: Dialect, forward: ForwardRequest) -> HttpResponse:
-    """Return this VM's word to another one that it has not begun its request."""
+def _unrun_reply(dialect: Dialect, forward: ForwardRequest) -> HttpResponse:
+    """Return the reply to an origin that this VM has not begun the relayed request."""
     reply = refusal_reply(Refusal(ErrorKind.NOT_READY), dialect.request_id, forward.request_id)
     return attrs.evolve(reply, raw_headers=(*reply.raw_headers, (RELAY_UNRUN, b"1")))
--- a/libs/forwarding/berylspindle_forwarding/part_collector.py
+++ b/libs/forwarding/berylspindle_forwarding/part_collector.py
@@ -1,11 +1,11 @@
 """Collect the parts of one search and build its answer.
 
 Terms:
-  part      a shard's answer with the replica's signature
-  subset    parts of several shards that another VM has merged
+  part     the signed answer of one shard
+  subset   parts of several shards merged by another VM
 
-Flow: a request adds each part, and notes what is lost; `verdict` says whether an answer can go out,
-and `response` builds it.
+Flow: a request adds each part and counts lost shards; `verdict` returns whether to answer, and
+`response` builds the answer.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
     @property
     def asked(self) -> int:
-        """Return how many shards the search is over."""
+        """Return the number of shards of the search."""
         return len(self._shard_set.shards)
 
     def add(self, signature: str, body: bytes) -> None:
@@ -40,7 +40,7 @@
         self._bodies.append(body)
 
     def add_subset(self, response: HttpResponse, shards: int) -> bool:
-        """Add the merged parts of so many shards; return whether the response holds such."""
+        """Add merged parts; return False if the response isn't valid for this many shards."""
         signed = _header(response, self._dialect.parts)
         signatures = [part.strip() for part in signed.split(",") if part.strip()]
         absent = _header(response, self._dialect.absent) or "0"
@@ -51,12 +51,12 @@
         self._lost += int(absent)
         return True
 
-    def lose(self, shards: int = 1) -> None:
-        """Note that so many shards give no part."""
+    def add_lost(self, shards: int = 1) -> None:
+        """Count shards that will give no part."""
         self._lost += shards
 
     def verdict(self, *, aim_passed: bool) -> PartsVerdict:
-        """Return whether to answer with the parts that are in."""
+        """Return whether to answer with the parts received so far."""
         return parts_verdict(
             asked=self.asked,
             least=self._shard_set.least,
@@ -66,7 +66,7 @@
         )
 
     def response(self, request_id: bytes) -> HttpResponse:
-        """Return the answer with the parts that are in."""
+        """Return the answer made of the parts received so far."""
         headers = [
             (b"content-type", b"application/octet-stream"),
             (self._dialect.parts, ", ".join(self._signatures).encode("latin-1")),
--- a/libs/forwarding/berylspindle_forwarding/relay.py
+++ b/libs/forwarding/berylspindle_forwarding/relay.py
@@ -1,22 +1,21 @@
-"""Pass a request over shards to a bigger VM, or to one near the replicas, which merges its parts.
+"""Relay a scatter-gather request to a larger VM, or to one near the replicas, for merging.
 
 Terms:
-  origin   the VM that a caller is connected to
-  merger   the VM that carries the request out
-  unrun    the merger's word that it has not begun the request; the origin does so itself
-
-Flow: `choose` says to whom a request goes, if to anyone; `pass_on` sends it to the edge where the
-merger takes callers, with two headers more, and returns the answer, a refusal, or None where the
-merger has surely not begun it. The merger never passes it on again.
-
-A merger that is late is probed; one that doesn't answer the probe either is lost, and the caller is
-told at once, while it still has the time to try again.
-
-Guards: a merger that routes by another table could answer by an older configuration than the
-origin's callers have seen the effect of; it says `unrun` where its table is not the origin's. A
-merger that falls silent may have run the request, and a second fan-out beside it would run it on
-more replicas than the route allows. So nothing more is sent to one that is late, and a request that
-is lost with it fails.
+  origin   the VM that the caller is connected to
+  merger   the VM that runs the scatter-gather
+  unrun    reply header of a merger that has not begun the request; the origin runs it then
+
+Flow: `choose_merger` selects the merger, if any. `dispatch` sends the request to the merger's port
+for callers with additional headers and returns its response, a refusal, or None if the merger has
+certainly not begun the request. A merger never relays a request again.
+
+A merger that has not replied by the route's latency target, the aim, is probed. If the probe times
+out as well, a request sent to it fails at once, while the caller still has time to retry.
+
+Guards: a merger with another routing table could answer from an older configuration than callers of
+the origin have already seen, so it replies `unrun` if the table versions differ. A silent merger
+may have run the request, and a second scatter-gather would run it on more replicas than the route
+allows, so a request lost with its merger fails, and no more requests are sent to a late one.
 """
 
 from __future__ import annotations
@@ -57,29 +56,32 @@
 )
 from berylspindle_wire.http import HttpResponse
 
-CONNECTIONS: Final = 16
-"""Connections of one VM to a merger; a request over shards is under way for a tenth of a second."""
+MAX_CONNECTIONS: Final = 16
+"""Maximum connections to one merger; a scatter-gather request takes about a tenth of a second."""
 
-HOP_MS: Final = 3.0
-FAR_HOP_MS: Final = 5.0
-"""Milliseconds kept for the answer's way back through the origin, from a merger of its own data
-centre and of another one: one to three in the network and two for the origin's own work."""
+HOP_RESERVE_MS: Final = 3.0
+REMOTE_HOP_RESERVE_MS: Final = 5.0
+"""Time reserved for returning the answer through the origin, in milliseconds, from a merger in the
+same data centre and in another one: one to three for the network, two for the origin's work."""
 
-PROBE_S: Final = 0.15
-"""Seconds within which a merger that is late answers a probe; it takes some milliseconds."""
+PROBE_TIMEOUT_S: Final = 0.15
+"""Timeout in seconds of the probe of a late merger; a reply normally takes a few milliseconds."""
 
-LEAST_SUBSET: Final = 6
-"""Shards without a replica here from which on they are merged elsewhere: the hop costs a request
-and an answer, and some milliseconds of the aim."""
+MIN_SUBSET_SHARDS: Final = 6
+"""Minimum number of shards without a local replica for merging them elsewhere: the additional hop
+costs one more exchange and a few milliseconds of the latency target."""
 
 _RELAY_HEADERS: Final = frozenset({RELAY_LOAD, RELAY_UNRUN})
 
 
 @attrs.frozen(kw_only=True)
 class RelayTimes:
-    """The bounds of a request that is passed on, in seconds of the loop's clock."""
+    """Time limits of a relayed request, in seconds of the event loop's clock.
 
-    aim_cut: float
+    `aim` is the time of the route's latency target; the others are as in `RequestTimes`.
+    """
+
+    aim_cutoff: float
     aim: float
     deadline: float
     answer_by: float
@@ -87,39 +89,39 @@
 
 @attrs.frozen(kw_only=True)
 class Subset:
-    """The shards of a search that one VM elsewhere merges, as positions in the list of them."""
+    """Shards of a search that one remote VM merges, as positions in the route's list of shards."""
 
     merger: str
     positions: tuple[int, ...]
 
 
-class _Passed(ExchangeSink):
-    """One request on its way through a merger."""
+class _RelayedExchange(ExchangeSink):
+    """One exchange with a merger."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.done: Final[asyncio.Future[ExchangeReply | ExchangeEnd]] = loop.create_future()
         self.connection: ExchangeConnection | None = None
 
     def on_carried(self, connection: ExchangeConnection) -> None:
-        """Take the connection that carries the request."""
+        """Store the connection that carries the request."""
         self.connection = connection
 
     def on_reply(self, reply: ExchangeReply) -> None:
-        """Take a whole reply."""
+        """Handle a complete reply."""
         if not self.done.done():
             self.done.set_result(reply)
 
     def on_end(self, end: ExchangeEnd) -> None:
-        """Take that there will be no reply."""
+        """Handle the end of the exchange without a reply."""
         if not self.done.done():
             self.done.set_result(end)
 
 
 class Relay:
-    """This VM's ways to bigger ones.
+    """Relay requests to VMs that merge them.
 
-    `vms` returns those that may merge its requests, by name, and another mapping once one has
-    changed.
+    `vms` returns the possible mergers by name, as a new mapping after each change. `uniform`
+    returns random numbers in [0, 1).
     """
 
     def __init__(
@@ -133,7 +135,7 @@
         dialect: Dialect,
         metrics: Metrics,
         now: Callable[[], float],
-        u: Callable[[], float],
+        uniform: Callable[[], float],
         policy: ForwardPolicy,
     ) -> None:
         self._policy: Final = policy
@@ -144,20 +146,20 @@
         self._dialect: Final = dialect
         self._metrics: Final = metrics
         self._now: Final = now
-        self._u: Final = u
+        self._uniform: Final = uniform
         self._choice: Final = RelayChoice(bears)
         self._pools: Final[dict[tuple[str, int], ReplicaPool]] = {}
         self._retired: Final = RetiredPools()
-        self._seen: Mapping[str, VmEntry] = {}
+        self._known_vms: Mapping[str, VmEntry] = {}
         self._probes: Final[set[asyncio.Task[None]]] = set()
 
-    def choose(self, shards: tuple[str, ...], in_flight: int) -> str | None:
-        """Return the merger for a request over shards, or None where this VM carries it out."""
+    def choose_merger(self, shards: tuple[str, ...], in_flight: int) -> str | None:
+        """Return the merger for a request over shards, or None if this VM should execute it."""
         if not self._policy.relays:
             return None
         known = self._vms()
-        if known is not self._seen:
-            self._follow(known)
+        if known is not self._known_vms:
+            self._update_vms(known)
         now, missing = self._now(), self._registry.missing(shards)
         own_missing = missing.get(self._data_centre, 1.0)
         mergers = (
@@ -166,26 +168,26 @@
             if self._is_candidate(now, vm, missing, own_missing)
         )
         return self._choice.pick(
-            now, mergers, in_flight=in_flight, u=self._u(), missing=own_missing
+            now, mergers, in_flight=in_flight, u=self._uniform(), missing=own_missing
         )
 
     def choose_subset(self, shards: tuple[str, ...], in_flight: int) -> Subset | None:
-        """Return who merges the shards that have no replica in this data centre, if anyone."""
+        """Return the merger and positions of the shards without a replica here, if there is one."""
         if not self._policy.subsets:
             return None
-        far = self._registry.far_positions(shards)
-        if len(far) < LEAST_SUBSET or len(far) == len(shards):
+        remote = self._registry.far_positions(shards)
+        if len(remote) < MIN_SUBSET_SHARDS or len(remote) == len(shards):
             return None
-        merger = self.choose(tuple(shards[n] for n in far), in_flight)
+        merger = self.choose_merger(tuple(shards[n] for n in remote), in_flight)
         if merger is None:
             return None
-        data_centre = self._seen[merger].data_centre
+        data_centre = self._known_vms[merger].data_centre
         if data_centre == self._data_centre:
             return None
-        held = tuple(n for n in far if self._registry.holds(data_centre, shards[n]))
+        held = tuple(n for n in remote if self._registry.holds(data_centre, shards[n]))
         return Subset(merger=merger, positions=held)
 
-    async def pass_on(
+    async def dispatch(
         self,
         merger: str,
         forward: ForwardRequest,
@@ -194,42 +196,44 @@
         table: int,
         positions: tuple[int, ...] = (),
     ) -> HttpResponse | Refusal | None:
-        """Return the merger's answer or a refusal; None where it has surely not begun.
+        """Return the merger's response or a refusal, or None if it has certainly not begun.
 
-        With `positions` it is asked for these shards only.
+        If `positions` is not empty, only these shards are requested.
         """
         vm = self._vms().get(merger)
         if vm is None:
             return None
         loop = asyncio.get_running_loop()
-        passed = _Passed(loop)
+        exchange = _RelayedExchange(loop)
         pool = self._pool(vm)
         self._choice.sent(merger)
         self._reach.tried(self._now(), vm.data_centre)
-        late = loop.call_at(times.aim, self._on_late, merger, vm, pool, passed)
-        hop_ms = HOP_MS if vm.data_centre == self._data_centre else FAR_HOP_MS
-        passed.connection = pool.submit(
-            lambda: self._request(forward, times, table, hop_ms, positions), passed
+        late = loop.call_at(times.aim, self._on_late, merger, vm, pool, exchange)
+        hop_ms = HOP_RESERVE_MS if vm.data_centre == self._data_centre else REMOTE_HOP_RESERVE_MS
+        exchange.connection = pool.submit(
+            lambda: self._request(forward, times, table, hop_ms, positions), exchange
         )
-        over = False
+        is_done = False
         try:
             async with asyncio.timeout_at(times.answer_by):
-                outcome = await passed.done
-            over = True
+                outcome = await exchange.done
+            is_done = True
         except TimeoutError:
-            self._doubt(merger, "silent", long=True)
-            return Refusal(ErrorKind.DEADLINE_EXCEEDED, f"{merger} did not answer")
+            self._record_failure(merger, "silent", long=True)
+            return Refusal(
+                ErrorKind.DEADLINE_EXCEEDED, f"{merger} did not reply before the deadline"
+            )
         finally:
             late.cancel()
             self._choice.ended(merger)
-            if not over:
-                # The end of its connection ends the merger's work.
-                pool.withdraw(passed)
-                if passed.connection is not None:
-                    passed.connection.forget()
+            if not is_done:
+                # Closing the connection stops the work at the merger.
+                pool.withdraw(exchange)
+                if exchange.connection is not None:
+                    exchange.connection.forget()
         if isinstance(outcome, ExchangeReply):
             self._reach.heard(self._now(), vm.data_centre)
-        return self._answer(merger, forward, outcome)
+        return self._outcome(merger, forward, outcome)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -239,9 +243,9 @@
         await self._retired.close()
         await asyncio.gather(*(pool.close() for pool in self._pools.values()))
 
-    def _follow(self, known: Mapping[str, VmEntry]) -> None:
-        """Take who takes requests now, and let go of the connections to VMs that are gone."""
-        self._seen = known
+    def _update_vms(self, known: Mapping[str, VmEntry]) -> None:
+        """Set the available mergers, and retire the connections to VMs that have left."""
+        self._known_vms = known
         addresses = {(vm.host, vm.callers_port) for vm in known.values()}
         for address in self._pools.keys() - addresses:
             self._retired.retire(self._pools.pop(address))
@@ -259,20 +263,20 @@
             and not self._reach.is_cut_off(now)
         )
 
-    def _answer(
+    def _outcome(
         self, merger: str, forward: ForwardRequest, outcome: ExchangeReply | ExchangeEnd
     ) -> HttpResponse | Refusal | None:
         if isinstance(outcome, ExchangeEnd):
             not_sent = outcome.kind is EndKind.NOT_SENT
-            self._doubt(merger, outcome.kind.value, long=True)
+            self._record_failure(merger, outcome.kind.value, long=True)
             return None if not_sent else Refusal(ErrorKind.PEER_LOST, f"{merger}: {outcome.detail}")
         if outcome.header(RELAY_UNRUN) is not None:
-            self._doubt(merger, "unrun", long=False)
+            self._record_failure(merger, "unrun", long=False)
             return None
-        named = outcome.header(self._dialect.request_id)
-        if named is None or named.encode("latin-1") != forward.request_id:
-            self._doubt(merger, "foreign", long=True)
-            return Refusal(ErrorKind.BAD_REPLY, f"{merger} answered another request")
+        echoed_id = outcome.header(self._dialect.request_id)
+        if echoed_id is None or echoed_id.encode("latin-1") != forward.request_id:
+            self._record_failure(merger, "foreign", long=True)
+            return Refusal(ErrorKind.BAD_REPLY, f"{merger} replied to another request")
         load = outcome.header(RELAY_LOAD)
         if load is not None and load.isdigit():
             self._choice.reported(self._now(), merger, int(load))
@@ -291,9 +295,9 @@
     ) -> ExchangeRequest:
         now = self._now()
         left_ms = max(1, int((times.deadline - now) * 1000 - hop_ms))
-        aim_ms = max(1, int((times.aim_cut - now) * 1000 - hop_ms))
+        aim_ms = max(1, int((times.aim_cutoff - now) * 1000 - hop_ms))
         headers = [
-            *forward.passed_on,
+            *forward.forwarded_headers,
             (self._dialect.time_left, b"%d" % left_ms),
             (RELAY_TABLE, b"%d" % table),
             (RELAY_AIM, b"%d" % aim_ms),
@@ -307,29 +311,31 @@
         found = self._pools.get(address)
         if found is None:
             found = self._pools[address] = ReplicaPool(
-                *address, limit=CONNECTIONS, options=PoolOptions(), on_opened=lambda: None
+                *address, limit=MAX_CONNECTIONS, options=PoolOptions(), on_opened=lambda: None
             )
         return found
 
-    def _on_late(self, merger: str, vm: VmEntry, pool: ReplicaPool, passed: _Passed) -> None:
-        self._doubt(merger, "late", long=False)
-        probe = asyncio.get_running_loop().create_task(self._probe(vm, pool, passed))
+    def _on_late(
+        self, merger: str, vm: VmEntry, pool: ReplicaPool, exchange: _RelayedExchange
+    ) -> None:
+        self._record_failure(merger, "late", long=False)
+        probe = asyncio.get_running_loop().create_task(self._probe(vm, pool, exchange))
         self._probes.add(probe)
         probe.add_done_callback(self._probes.discard)
 
-    async def _probe(self, vm: VmEntry, pool: ReplicaPool, passed: _Passed) -> None:
-        """End a request whose merger answers nothing any more."""
+    async def _probe(self, vm: VmEntry, pool: ReplicaPool, exchange: _RelayedExchange) -> None:
+        """End the exchange if the merger does not answer a probe."""
         self._reach.tried(self._now(), vm.data_centre)
-        if await answers(vm.host, vm.port, timeout=PROBE_S):
+        if await answers(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
             self._reach.heard(self._now(), vm.data_centre)
             return
-        if passed.done.done():
+        if exchange.done.done():
             return
-        kind = EndKind.NOT_SENT if pool.withdraw(passed) else EndKind.LOST
-        if passed.connection is not None:
-            passed.connection.forget()
-        passed.on_end(ExchangeEnd(kind, "late, and no answer to a probe"))
+        kind = EndKind.NOT_SENT if pool.withdraw(exchange) else EndKind.LOST
+        if exchange.connection is not None:
+            exchange.connection.forget()
+        exchange.on_end(ExchangeEnd(kind, "no reply by the latency target, and a probe timed out"))
 
-    def _doubt(self, merger: str, result: str, *, long: bool) -> None:
+    def _record_failure(self, merger: str, result: str, *, long: bool) -> None:
         self._metrics.count(names.FORWARD_RELAYED, result=result)
         self._choice.doubt(self._now(), merger, long=long)
--- a/libs/forwarding/berylspindle_forwarding/replica_pool.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_pool.py
@@ -1,17 +1,17 @@
-"""The connections of this VM to one replica.
+"""Pool this VM's connections to one replica.
 
 Terms:
   free      a connection that can carry a request now
-  waiting   requests for which there is no free connection yet
-  opening   connects under way
+  waiting   requests for which no connection is free yet
 
-Flow: `submit` sends on the most recently used free connection, else the request waits for the first
-that becomes free or is opened. A connect that fails ends all that wait as NOT_SENT, for the replica
-takes no connection just now and another one may. `withdraw` takes back what still waits.
+Flow: `submit` sends on the most recently used free connection; otherwise the request waits for the
+first connection that becomes free or is opened. A failed connect ends all waiting requests as
+NOT_SENT, because the replica accepts no connections and another one may. `withdraw` removes a
+request that still waits.
 
-Guards: a request may wait for longer than its caller has left, and states the time that is left; so
-it is written only when a connection carries it. A replica takes a limited number of connections of
-all VMs together and resets those beyond, so that each VM keeps to its share of them, `limit`.
+Guards: a request states the time left to its caller and may wait for a connection, so it is built
+only when a connection can carry it. A replica accepts a limited number of connections from all VMs
+together and resets those beyond it, so each VM stays within its share, `limit`.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
     open_exchanges,
 )
 
-WriteRequest = Callable[[], ExchangeRequest]
+BuildRequest = Callable[[], ExchangeRequest]
 
-ASK_AFTER_S: Final = 0.5
-"""Seconds of idleness after which the kernel is asked whether a connection has ended; replicas
-close theirs after several seconds."""
+IDLE_CHECK_AFTER_S: Final = 0.5
+"""Idle time in seconds after which a connection is checked for closure by the peer before reuse;
+replicas close idle connections after several seconds."""
 
 
 @attrs.frozen(kw_only=True)
 class PoolOptions:
-    """Bounds of the connections to one replica.
+    """Limits of the connections to one replica.
 
     Attributes:
-        connect_timeout: seconds for a connect; a replica takes one within some milliseconds, so
-            that half a second means that nobody is there.
-        most_bytes: longest answer that is taken.
+        connect_timeout: connect timeout in seconds; a running replica accepts within a few
+            milliseconds, so half a second without an accept means that it is down.
+        most_bytes: maximum size of a response body.
     """
 
     connect_timeout: float = 0.5
@@ -54,7 +54,7 @@
 
 
 class ReplicaPool:
-    """Connections to one address, `limit` at most; needs a running loop when made."""
+    """At most `limit` connections to one address; requires a running event loop."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._loop: Final = asyncio.get_running_loop()
         self._open: Final[set[ExchangeConnection]] = set()
         self._free: Final[list[ExchangeConnection]] = []
-        self._waiting: Final[deque[tuple[WriteRequest, ExchangeSink]]] = deque()
+        self._waiting: Final[deque[tuple[BuildRequest, ExchangeSink]]] = deque()
         self._tasks: Final[set[asyncio.Task[None]]] = set()
         self._failures = 0
         self._closed = False
@@ -82,24 +82,24 @@
         """Return how many connections are open or being opened."""
         return len(self._open) + len(self._tasks)
 
-    def submit(self, write: WriteRequest, sink: ExchangeSink) -> ExchangeConnection | None:
-        """Send a request, or let it wait; return the connection that carries it, if one does.
+    def submit(self, build: BuildRequest, sink: ExchangeSink) -> ExchangeConnection | None:
+        """Send or queue a request; return its connection, or None if it waits for one.
 
-        `write` returns the request as it is at that moment. One that waits gets its connection by
-        `sink.on_carried`.
+        `build` returns the request as of the time of sending. The connection of a request that
+        waited is passed to `sink.on_carried`.
         """
         while self._free:
-            connection, request = self._free.pop(), write()
-            if self._is_trusted(connection, request):
+            connection, request = self._free.pop(), build()
+            if self._is_usable(connection, request):
                 connection.send(request, sink)
                 return connection
             connection.close()
-        self._waiting.append((write, sink))
+        self._waiting.append((build, sink))
         self._open_more()
         return None
 
     def withdraw(self, sink: ExchangeSink) -> bool:
-        """Take back a request that still waits; return False where it no longer does."""
+        """Remove a request that waits for a connection; return False if it doesn't wait."""
         for entry in self._waiting:
             if entry[1] is sink:
                 self._waiting.remove(entry)
@@ -107,12 +107,12 @@
         return False
 
     def warm_up(self) -> None:
-        """Open one connection ahead of need, unless there is one."""
+        """Open a connection in advance unless one is open or being opened."""
         if not self._open and not self._tasks:
             self._start_opening()
 
     async def is_reachable(self) -> bool:
-        """Return whether the address takes a connection; one that is opened stays in the pool."""
+        """Return whether the address accepts a connection; a new one stays in the pool."""
         if any(not connection.peer_has_ended() for connection in self._free):
             return True
         if self._closed:
@@ -124,29 +124,29 @@
         return self._failures == failures
 
     async def close(self) -> None:
-        """Close all connections; what is under way or waits is told so."""
+        """Close all connections, and end the requests in flight and those that wait."""
         self._closed = True
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for connection in tuple(self._open):
             connection.close()
-        self._end_waiting("the pool is closed")
+        self._fail_waiting("connection pool is closed")
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is under way or waits."""
+        """Return whether no request is in flight or waits."""
         return not self._waiting and len(self._free) == len(self._open)
 
-    def _is_trusted(self, connection: ExchangeConnection, request: ExchangeRequest) -> bool:
-        """Tell whether a connection may carry a request.
+    def _is_usable(self, connection: ExchangeConnection, request: ExchangeRequest) -> bool:
+        """Return whether a connection may carry a request.
 
-        Asking the kernel costs a call, which a request without a body, that can be sent again, is
-        spared on a connection that was in use just now.
+        Checking for closure by the peer costs a system call. It is skipped on a connection used a
+        moment ago if the request has no body and can be sent again.
         """
         if not connection.is_free:
             return False
-        if not request.body and connection.idle_for() < ASK_AFTER_S:
+        if not request.body and connection.idle_for() < IDLE_CHECK_AFTER_S:
             return True
         return not connection.peer_has_ended()
 
@@ -169,7 +169,7 @@
             )
         except OSError as error:
             self._failures += 1
-            self._end_waiting(f"connect: {error or type(error).__name__}")
+            self._fail_waiting(f"connect: {error or type(error).__name__}")
             return
         if self._closed:
             connection.close()
@@ -187,13 +187,13 @@
                 self._open_more()
             return
         while self._waiting:
-            write, sink = self._waiting.popleft()
+            build, sink = self._waiting.popleft()
             sink.on_carried(connection)
-            connection.send(write(), sink)
+            connection.send(build(), sink)
             return
         self._free.append(connection)
 
-    def _end_waiting(self, detail: str) -> None:
+    def _fail_waiting(self, detail: str) -> None:
         ended, waiting = ExchangeEnd(EndKind.NOT_SENT, detail), list(self._waiting)
         self._waiting.clear()
         for _, sink in waiting:
@@ -201,26 +201,26 @@
 
 
 class RetiredPools:
-    """Pools to addresses that are gone; each is closed once what is under way there has ended."""
+    """Pools to addresses no longer in use; each is closed after its last request has ended."""
 
     def __init__(self) -> None:
         self._tasks: Final[set[asyncio.Task[None]]] = set()
 
     def retire(self, pool: ReplicaPool) -> None:
-        """Close a pool as soon as nothing is under way or waits."""
-        task = asyncio.get_running_loop().create_task(_finish(pool))
+        """Close a pool as soon as it is idle."""
+        task = asyncio.get_running_loop().create_task(_close_when_idle(pool))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Wait for nothing any more."""
+        """Stop waiting for pools to become idle."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-async def _finish(pool: ReplicaPool) -> None:
-    # Seldom and unhurried, so that a look now and then costs less than telling of each end.
+async def _close_when_idle(pool: ReplicaPool) -> None:
+    # Retirement is rare and not urgent, so polling costs less than a notification per exchange.
     while not pool.is_idle:  # noqa: ASYNC110
         await asyncio.sleep(0.25)
     await pool.close()
--- a/libs/forwarding/berylspindle_forwarding/reply_check.py
+++ b/libs/forwarding/berylspindle_forwarding/reply_check.py
@@ -1,18 +1,18 @@
-"""Tell what a replica's whole reply means for the request that waits for it.
+"""Classify the complete reply of a replica.
 
 Terms:
-  answer        a success with the replica's signature
-  refused       the replica says that it has not run the request
-  misdirected   another replica has the address; it has not run the request either
-  final         a failure that lies in the request itself
-  failure       a failure of the replica, signed; another replica may do better
-  foreign       the reply to another request, or none of this protocol; nothing is known
-
-Flow: `classify` looks at status and headers alone, by the dialect.
-
-Guards: a replica may send a second reply late, where the next one is expected; it names another
-request. A success without a signature, or in an encoding that nobody asked for, is not the
-replica's own body. None of these may reach a caller as a success.
+  answer        a signed success
+  refused       the replica states that it has not run the request
+  misdirected   the address belongs to another replica, which has not run the request
+  final         a signed client error: the request itself is invalid
+  failure       a signed failure of the replica; another replica may succeed
+  foreign       a reply to another request or outside the protocol; the request may have run
+
+Flow: `classify` uses only status and headers, by the names of the dialect.
+
+Guards: a replica may send a late second reply in place of the next one; its request id differs. A
+success that is unsigned, or in an encoding that was not requested, isn't the replica's own body.
+Neither may reach a caller as a success.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ReplyClass(enum.StrEnum):
-    """What a reply means."""
+    """Class of a reply."""
 
     ANSWER = "answer"
     REFUSED = "refused"
@@ -36,9 +36,9 @@
 
 
 def classify(reply: ExchangeReply, request: ForwardRequest, dialect: Dialect) -> ReplyClass:
-    """Return what a reply means for a request."""
-    named = reply.header(dialect.request_id)
-    if named is not None and named.encode("latin-1") != request.request_id:
+    """Return the class of a reply to a request."""
+    echoed_id = reply.header(dialect.request_id)
+    if echoed_id is not None and echoed_id.encode("latin-1") != request.request_id:
         return ReplyClass.FOREIGN
     if reply.status == dialect.misdirected:
         return ReplyClass.MISDIRECTED
--- a/libs/forwarding/berylspindle_forwarding/request_head.py
+++ b/libs/forwarding/berylspindle_forwarding/request_head.py
@@ -1,7 +1,7 @@
-"""What the edge reads out of a caller's request, and what goes on to a replica.
+"""Read a caller's request head, and build the request to a replica.
 
-Flow: `read_forward` checks the headers that the edge itself uses; `replica_request` writes the
-request anew for one replica, with the caller's method, target and body unchanged.
+Flow: `read_forward` parses the headers that this VM uses; `replica_request` builds the request to
+one replica, with the caller's method, target and body unchanged.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from berylspindle_wire.exchange import ExchangeRequest
 from berylspindle_wire.http import HttpRequest
 
-MOST_MS: Final = 600_000
+MAX_TIME_LEFT_MS: Final = 600_000
 
 _HEX: Final = re.compile(rb"[0-9a-f]{1,1024}")
 
@@ -25,16 +25,16 @@
 RELAY_SHARDS: Final = b"x-relay-shards"
 RELAY_LOAD: Final = b"x-relay-load"
 RELAY_UNRUN: Final = b"x-relay-unrun"
-"""Headers between VMs: the origin's table version, the time to its aim, and the shards that are
-asked for where these are not all; the merger's work under way, and its word that it has not begun
-the request."""
+"""Headers between VMs. From the origin: its table version, the time to its aim, and the requested
+shards unless all are requested. From the merger: its requests in flight, and a mark that it has not
+begun the request."""
 
 
 @attrs.frozen
-class Relayed:
-    """What another VM says of a request that it passes on to this one.
+class RelayInfo:
+    """Relay headers of a request from another VM.
 
-    `shards` holds positions in the route's list of shards; empty for all of them.
+    `shards` are positions in the route's list of shards; empty means all shards.
     """
 
     table: int
@@ -47,10 +47,10 @@
     """One caller's request.
 
     Attributes:
-        request_id: the caller's name for this try, or empty.
-        left_ms: how long the caller still waits, or None where it does not say.
-        passed_on: its headers but those of the hop and those that are set anew.
-        relayed: None where it comes from a caller, and not from another VM.
+        request_id: the caller's id for this try, or empty.
+        left_ms: how long the caller still waits, or None if not stated.
+        forwarded_headers: headers except hop-by-hop headers and those set anew on each hop.
+        relayed: None if the request is from a caller and not from another VM.
     """
 
     method: bytes
@@ -59,21 +59,21 @@
     path: str
     request_id: bytes
     left_ms: float | None
-    passed_on: tuple[tuple[bytes, bytes], ...]
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    relayed: Relayed | None = None
+    relayed: RelayInfo | None = None
 
 
 def read_forward(request: HttpRequest, dialect: Dialect) -> ForwardRequest:
-    """Return what the edge needs of a request that was read raw."""
+    """Parse a raw request; invalid values of optional headers are ignored."""
     request_id, left_ms, host = b"", None, ""
     relay_table, relay_aim = None, None
     relay_shards: tuple[int, ...] = ()
-    passed_on: list[tuple[bytes, bytes]] = []
+    forwarded_headers: list[tuple[bytes, bytes]] = []
     hop = set(HOP_HEADERS)
     for name, value in request.raw_headers:
         if name == b"connection":
-            # Headers that the connection header names concern this hop alone too.
+            # Headers listed in the connection header are hop-by-hop as well.
             hop |= {part.strip().lower() for part in value.split(b",")}
     for name, value in request.raw_headers:
         if name == dialect.time_left:
@@ -82,7 +82,7 @@
         if name in hop or name == dialect.expected:
             continue
         if name == RELAY_TABLE:
-            relay_table = _whole(value)
+            relay_table = _integer(value)
             continue
         if name == RELAY_AIM:
             relay_aim = _milliseconds(value)
@@ -94,7 +94,7 @@
             request_id = value
         elif name == b"host":
             host = value.decode("latin-1").lower().rpartition(":")[0] or value.decode("latin-1")
-        passed_on.append((name, value))
+        forwarded_headers.append((name, value))
     return ForwardRequest(
         method=request.method.encode("latin-1"),
         target=request.target.encode("latin-1"),
@@ -102,10 +102,10 @@
         path=request.target.partition("?")[0],
         request_id=request_id,
         left_ms=left_ms,
-        passed_on=tuple(passed_on),
+        forwarded_headers=tuple(forwarded_headers),
         body=request.body,
         relayed=(
-            Relayed(relay_table, relay_aim, relay_shards)
+            RelayInfo(relay_table, relay_aim, relay_shards)
             if relay_table is not None and relay_aim is not None
             else None
         ),
@@ -115,9 +115,9 @@
 def replica_request(
     request: ForwardRequest, dialect: Dialect, *, replica: str, left_ms: float
 ) -> ExchangeRequest:
-    """Return the request as it goes to one replica, with the time that is left."""
+    """Return the request to one replica, with the time left in its header."""
     headers = (
-        *request.passed_on,
+        *request.forwarded_headers,
         (dialect.time_left, b"%d" % max(1, int(left_ms))),
         (dialect.expected, replica.encode("latin-1")),
     )
@@ -125,12 +125,12 @@
 
 
 def pack_positions(positions: Iterable[int]) -> bytes:
-    """Return positions as hexadecimal bits."""
+    """Encode positions as a hexadecimal bit set."""
     return b"%x" % sum(1 << position for position in positions)
 
 
 def unpack_positions(value: bytes) -> tuple[int, ...]:
-    """Return the positions that `pack_positions` has packed; none where they can't be read."""
+    """Decode positions encoded by `pack_positions`; return () if the value is malformed."""
     if not _HEX.fullmatch(value):
         return ()
     bits = int(value, 16)
@@ -141,8 +141,8 @@
     text = value.strip()
     if not text.isdigit():
         return None
-    return float(min(int(text), MOST_MS))
+    return float(min(int(text), MAX_TIME_LEFT_MS))
 
 
-def _whole(value: bytes) -> int | None:
+def _integer(value: bytes) -> int | None:
     return int(value) if value.isdigit() else None
--- a/libs/forwarding/berylspindle_forwarding/request_log.py
+++ b/libs/forwarding/berylspindle_forwarding/request_log.py
@@ -1,12 +1,11 @@
-"""The log's lines and counters of forwarded requests.
+"""Write the log lines and counters of forwarded requests.
 
 Terms:
-  line     one request that is over: its id, outcome, cause, every step, and what this VM went by
-  sample   a line of a request that was answered in time by first attempts alone
+  line     the record of one finished request: id, outcome, cause, all steps and the VM's state
+  sample   a line for a request that was answered in time by first attempts alone
 
-Flow: the front tells of each request that is over; here its kind is found, the line budget asked,
-and the line written. Requests that were refused, failed or late are counted by cause, whether or
-not there is room for their lines.
+Flow: the front records each finished request; its line is written if the rate limit of its kind
+allows. Refused, failed and late requests are counted by cause even if their lines are dropped.
 """
 
 from __future__ import annotations
@@ -29,14 +28,16 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ended:
-    """A request that is over; times are milliseconds.
+class FinishedRequest:
+    """A finished request; times are in milliseconds.
 
     Attributes:
-        outcome: the refusal, or the status of the answer.
-        route: None where none was found.
-        trace: None where no attempt could be made.
-        extra_left: extra arrivals that this VM may still cause at the route's first service.
+        outcome: the refusal, or the status of the response.
+        route: None if no route matched.
+        trace: None if no attempt could be made.
+        table_wait_ms: wait for the first routing table.
+        usual_ms: median latency of the route's sub-requests, or 0 if unknown.
+        extra_left: what is left of this VM's retry budget for the route's first service.
     """
 
     request: ForwardRequest
@@ -50,8 +51,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Beliefs:
-    """What this VM goes by just now, as each line holds it."""
+class LogContext:
+    """State of this VM that is written with each line."""
 
     table_version: int
     vms: int
@@ -60,49 +61,51 @@
 
 
 class RequestLog:
-    """Tell of requests; `beliefs` returns what this VM goes by."""
+    """Log and count finished requests; `log_context` returns the current state of this VM."""
 
     def __init__(
-        self, metrics: Metrics, now: Callable[[], float], beliefs: Callable[[], Beliefs]
+        self, metrics: Metrics, now: Callable[[], float], log_context: Callable[[], LogContext]
     ) -> None:
         self._metrics: Final = metrics
         self._now: Final = now
-        self._beliefs: Final = beliefs
-        self._budget: Final = LogRateLimiter()
+        self._log_context: Final = log_context
+        self._limiter: Final = LogRateLimiter()
         self._log: Final = logger("request")
 
-    def tell(self, ended: Ended) -> None:
-        """Count a request that is over, and write its line where one is due."""
-        kind = _kind(ended)
+    def record(self, finished: FinishedRequest) -> None:
+        """Count a finished request, and write its line unless the rate limit drops it."""
+        kind = _line_kind(finished)
         cause: Cause | None = None
         if kind not in (LineKind.HEDGED, LineKind.SAMPLE):
             cause = cause_of(
                 RequestFacts(
-                    outcome=ended.outcome,
-                    left_ms=ended.request.left_ms,
-                    table_wait_ms=ended.table_wait_ms,
-                    usual_ms=ended.usual_ms,
+                    outcome=finished.outcome,
+                    left_ms=finished.request.left_ms,
+                    table_wait_ms=finished.table_wait_ms,
+                    usual_ms=finished.usual_ms,
                 ),
-                ended.trace,
+                finished.trace,
             )
             self._metrics.count(names.FORWARD_CAUSES, cause=cause.value)
-        if not self._budget.may_write(self._now(), kind):
+        if not self._limiter.may_write(self._now(), kind):
             self._metrics.count(names.LOG_LEFT_OUT, kind=kind.value)
             return
-        self._log.info(kind.value, extra=self._fields(ended, kind, cause))
+        self._log.info(kind.value, extra=self._fields(finished, kind, cause))
 
-    def _fields(self, ended: Ended, kind: LineKind, cause: Cause | None) -> dict[str, Any]:
-        request, outcome, route = ended.request, ended.outcome, ended.route
-        beliefs = self._beliefs()
+    def _fields(
+        self, finished: FinishedRequest, kind: LineKind, cause: Cause | None
+    ) -> dict[str, Any]:
+        request, outcome, route = finished.request, finished.outcome, finished.route
+        context = self._log_context()
         fields: dict[str, Any] = {
             "request": request.request_id.decode("latin-1"),
             "route": route.name if route is not None else "-",
             "result": outcome.kind.value if isinstance(outcome, Refusal) else outcome,
-            "ms": f"{ended.elapsed_ms:.1f}",
+            "ms": f"{finished.elapsed_ms:.1f}",
             "left_ms": request.left_ms,
-            "table": beliefs.table_version,
-            "vms": beliefs.vms,
-            "in_flight": beliefs.in_flight,
+            "table": context.table_version,
+            "vms": context.vms,
+            "in_flight": context.in_flight,
         }
         if cause is not None:
             fields["cause"] = cause.value
@@ -113,31 +116,31 @@
             fields["asked"] = f"{request.host}{request.path}"
         else:
             fields["aim_ms"] = route.aim_ms
-        if ended.table_wait_ms >= 1.0:
-            fields["table_wait_ms"] = f"{ended.table_wait_ms:.1f}"
-        if ended.usual_ms:
-            fields["usual_ms"] = f"{ended.usual_ms:.1f}"
-        if ended.extra_left is not None:
-            fields["extra_left"] = f"{ended.extra_left:.1f}"
-        if beliefs.cut_off:
+        if finished.table_wait_ms >= 1.0:
+            fields["table_wait_ms"] = f"{finished.table_wait_ms:.1f}"
+        if finished.usual_ms:
+            fields["usual_ms"] = f"{finished.usual_ms:.1f}"
+        if finished.extra_left is not None:
+            fields["extra_left"] = f"{finished.extra_left:.1f}"
+        if context.cut_off:
             fields["cut_off"] = True
-        if ended.trace is not None and ended.trace.merger:
-            fields["merger"] = ended.trace.merger
-        elif ended.trace is not None:
-            fields["steps"] = ended.trace.told()
-        if left_out := self._budget.left_out(kind):
+        if finished.trace is not None and finished.trace.merger:
+            fields["merger"] = finished.trace.merger
+        elif finished.trace is not None:
+            fields["steps"] = finished.trace.text()
+        if left_out := self._limiter.left_out(kind):
             fields["left_out"] = left_out
         return fields
 
 
-def _kind(ended: Ended) -> LineKind:
-    if isinstance(ended.outcome, Refusal):
-        not_run = ended.outcome.run_state is RunState.NOT_RUN
+def _line_kind(finished: FinishedRequest) -> LineKind:
+    if isinstance(finished.outcome, Refusal):
+        not_run = finished.outcome.run_state is RunState.NOT_RUN
         return LineKind.REFUSED if not_run else LineKind.FAILED
-    if ended.outcome >= 300:
+    if finished.outcome >= 300:
         return LineKind.FAILED
-    if ended.route is not None and ended.elapsed_ms > ended.route.aim_ms:
+    if finished.route is not None and finished.elapsed_ms > finished.route.aim_ms:
         return LineKind.LATE
-    if ended.trace is not None and ended.trace.extras:
+    if finished.trace is not None and finished.trace.extra_attempts:
         return LineKind.HEDGED
     return LineKind.SAMPLE
--- a/libs/forwarding/berylspindle_forwarding/request_trace.py
+++ b/libs/forwarding/berylspindle_forwarding/request_trace.py
@@ -1,11 +1,10 @@
-"""Trace of one request: each attempt, its end and each shard given up.
+"""Trace the attempts of one request, their outcomes and the shards without an answer.
 
 Terms:
-  step   one decision or one thing learned: an attempt that went out, how one ended, a shard lost
+  step   one event: an attempt was sent, replied to or ended without a reply, or a shard was lost
 
-Flow: `scatter_gather` notes the steps of a request, which costs an append each; they are written
-out only for requests that the log tells of in full. `failure_cause` finds in them why a request
-failed.
+Flow: `scatter_gather` records steps, at the cost of one append each; they are formatted only for
+requests whose log line is written. `failure_cause` derives the cause of a failure from them.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 class StepKind(enum.Enum):
-    """What a step is; the words of the log are `Step.what`."""
+    """Kind of a step; the log line has `Step.label` instead."""
 
     SENT = "sent"
     REPLIED = "replied"
@@ -29,16 +28,16 @@
 
 
 class Step(NamedTuple):
-    """One step. A tuple, for some forty are noted for each request over ten shards.
+    """One step; a tuple, since a request over ten shards has about forty.
 
-    `what` is the reason of an attempt, the class of a reply, the kind of an end or why a shard is
-    lost. `load` and `pace` are what this VM held of a replica when it sent: attempts that were out,
-    and its latency over the usual one.
+    `label` is the reason of an attempt, the class of a reply, the kind of an end, or the reason why
+    a shard is lost. `load` and `pace` are the state of the replica as known at the time of sending:
+    attempts in flight, and its latency over the usual one.
     """
 
     at: float
     kind: StepKind
-    what: str | ReplyClass | EndKind | LossReason
+    label: str | ReplyClass | EndKind | LossReason
     service: str
     replica: str = ""
     detail: str | int = ""
@@ -47,22 +46,22 @@
 
 
 class RequestTrace:
-    """The steps of one request; times are milliseconds since it came."""
+    """The steps of one request, formatted with milliseconds since its arrival."""
 
-    __slots__ = ("_started", "cut_off", "extras", "merger", "pressed", "steps")
+    __slots__ = ("_started", "cut_off", "extra_attempts", "merger", "overloaded", "steps")
 
     def __init__(self, started: float) -> None:
         self._started: Final = started
         self.steps: list[Step] = []
-        self.extras = 0
+        self.extra_attempts = 0
         self.cut_off = False
-        self.pressed = False
+        self.overloaded = False
         self.merger = ""
 
     def sent(self, now: float, handle: ReplicaHandle, reason: str) -> None:
-        """Note an attempt that goes out, and what this VM held of the replica."""
+        """Record an attempt that is sent, with the known state of the replica."""
         if reason != "first":
-            self.extras += 1
+            self.extra_attempts += 1
         replica, health = handle.replica, handle.health
         self.steps.append(
             Step(
@@ -78,29 +77,29 @@
         )
 
     def replied(self, now: float, handle: ReplicaHandle, verdict: ReplyClass, status: int) -> None:
-        """Note a whole reply."""
+        """Record a complete reply."""
         replica = handle.replica
         self.steps.append(Step(now, StepKind.REPLIED, verdict, replica.service, replica.id, status))
 
     def ended(self, now: float, handle: ReplicaHandle, end: ExchangeEnd) -> None:
-        """Note an attempt without a reply."""
+        """Record the end of an attempt without a reply."""
         replica = handle.replica
         self.steps.append(
             Step(now, StepKind.ENDED, end.kind, replica.service, replica.id, end.detail)
         )
 
     def lost(self, now: float, service: str, reason: LossReason) -> None:
-        """Note a service that gives no answer."""
+        """Record that a service will not answer."""
         self.steps.append(Step(now, StepKind.LOST, reason, service))
 
-    def told(self) -> str:
-        """Return all steps as one text."""
-        return "; ".join(map(self._text, self.steps))
+    def text(self) -> str:
+        """Return the steps as written to the log: `<ms> <step>` joined by "; "."""
+        return "; ".join(map(self._step_text, self.steps))
 
-    def _text(self, step: Step) -> str:
+    def _step_text(self, step: Step) -> str:
         at = f"{(step.at - self._started) * 1000:.1f}"
         if step.kind is StepKind.SENT:
-            return f"{at} {step.what} {step.replica} out={step.load} pace={step.pace:.1f}"
+            return f"{at} {step.label} {step.replica} out={step.load} pace={step.pace:.1f}"
         if step.kind is StepKind.LOST:
-            return f"{at} given up {step.service} {step.what}"
-        return f"{at} {step.what} {step.replica} {step.detail}"
+            return f"{at} given up {step.service} {step.label}"
+        return f"{at} {step.label} {step.replica} {step.detail}"
--- a/libs/forwarding/berylspindle_forwarding/subset_call.py
+++ b/libs/forwarding/berylspindle_forwarding/subset_call.py
@@ -1,4 +1,4 @@
-"""A part of a search that another VM merges, and what its answer means."""
+"""Describe the call that asks another VM to merge a subset of a search."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @attrs.frozen(kw_only=True)
 class SubsetCall:
-    """Shards that another VM merges, and the call that asks it.
+    """Positions of the shards that another VM merges, and the call to it.
 
-    The call returns its answer or a refusal; None where it has surely not begun.
+    `send` returns the response or a refusal, or None if the VM has certainly not begun.
     """
 
     positions: tuple[int, ...]
@@ -25,7 +25,7 @@
 
 
 def refusal_of(response: HttpResponse) -> Refusal:
-    """Return the refusal that another VM has answered, with its time to come back."""
+    """Return the refusal of another VM, with its retry-after."""
     seconds = dict(response.raw_headers).get(b"retry-after", b"")
     try:
         retry_after_ms = int(float(seconds) * 1000)
@@ -33,7 +33,7 @@
         retry_after_ms = None
     return Refusal(
         ErrorKind.OVERLOADED,
-        "the merger of a subset refused it",
+        "the VM merging a subset of the shards refused it",
         RunState.NOT_RUN,
         retry_after_ms=retry_after_ms,
     )
--- a/tests/forwarding/forward_site.py
+++ b/tests/forwarding/forward_site.py
@@ -1,4 +1,4 @@
-"""What the tests of forwarding share: replicas on sockets, and a front that knows them."""
+"""Share test fixtures for forwarding: replicas on sockets, and a front that routes to them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def plain_route(service: str = "booking", **changes) -> Route:
-    """Return a route to one service; `changes` replace its fields."""
+    """Return a route to one service; `changes` override its fields."""
     fields = {
         "name": "plain",
         "host": HOST,
@@ -50,7 +50,7 @@
 
 
 def merged_route(shards: tuple[str, ...], least: float = 0.7, **changes) -> Route:
-    """Return a route over shards."""
+    """Return a route over shards; `changes` override its fields."""
     fields = {
         "name": "merged",
         "host": HOST,
@@ -65,7 +65,7 @@
 
 
 class NoStore(Store):
-    """A store that is never asked; tests tell the forwarder all changes themselves."""
+    """A store that is never called; tests pass all changes to the forwarder themselves."""
 
     async def get(self, key):
         raise NotImplementedError
@@ -91,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class Site:
-    """A front on a socket, its forwarder, and replicas that it may know."""
+    """A front on a socket, its forwarder, and replicas that may be announced to it."""
 
     forwarder: Forwarder
     server: HttpServer
@@ -102,7 +102,7 @@
     count: int = 0
 
     def route(self, *routes: Route, limits: CallerLimits | None = None, **rules: ServiceRules):
-        """Bring these routes into force."""
+        """Publish a new routing table with these routes."""
         self.version += 1
         table = RoutingTable(self.version, routes, rules, limits or CallerLimits())
         self.forwarder.on_change(TableChange(table))
@@ -116,8 +116,8 @@
         return replica
 
     def announce(self, replica: ForwardReplica, *, slots: int = 3, **fields) -> None:
-        """Announce a replica, as it is or with other fields."""
-        said = {
+        """Announce a replica; `fields` override what is announced."""
+        defaults = {
             "id": replica.id,
             "service": replica.service,
             "host": "127.0.0.1",
@@ -125,15 +125,15 @@
             "data_centre": "a",
             "slots": slots,
         }
-        announced = Replica(**{**said, **fields})
+        announced = Replica(**{**defaults, **fields})
         self.forwarder.on_change(ReplicaChange(announced.id, announced))
 
     def withdraw(self, replica: ForwardReplica) -> None:
-        """Say that a replica has gone."""
+        """Withdraw the announcement of a replica."""
         self.forwarder.on_change(ReplicaChange(replica.id, None))
 
     def take_out(self, data_centre: str, *, out: bool = True) -> None:
-        """Take a data centre out, or return it."""
+        """Take a data centre out of service, or return it."""
         self.forwarder.on_change(OutChange(data_centre, out))
 
     async def ask(
@@ -146,7 +146,7 @@
         left_ms: int | None = 4000,
         host: str = HOST,
     ) -> HttpResponse:
-        """Send one request and return what comes back."""
+        """Send one request and return the response."""
         self.count += 1
         headers = {
             "host": host,
@@ -157,7 +157,7 @@
         return await self.client.request(method, path, headers=headers, body=body, timeout=10)
 
     def runs(self) -> dict[str, int]:
-        """Return how often each replica ran anything."""
+        """Return the number of runs at each replica."""
         return {name: sum(r.counts.runs.values()) for name, r in self.replicas.items()}
 
 
@@ -170,8 +170,8 @@
         forwarder = Forwarder(settings, store or NoStore(), None, Metrics())  # type: ignore[arg-type]
         stack.push_async_callback(forwarder.registry.close)
         stack.push_async_callback(forwarder._crashes.close)
-        # The slack of the extra share grows over the first seconds of a process.
-        forwarder._tools.started -= 60.0
+        # The slack of the retry budget grows over the first seconds of a process.
+        forwarder._context.started -= 60.0
         server = await serve(
             forwarder.front.handle,
             host="127.0.0.1",
--- a/tests/forwarding/test_merged.py
+++ b/tests/forwarding/test_merged.py
@@ -1,4 +1,4 @@
-"""Requests that go to one replica of each shard, over sockets."""
+"""Test requests over all shards of a shard set, over sockets."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
             await site.replica(f"{shard}-{number}", shard)
 
 
-def parts_of(told: HttpResponse) -> set[str]:
-    return set(filter(None, told.headers.get(DIALECT.parts.decode(), "").split(", ")))
+def parts_of(response: HttpResponse) -> set[str]:
+    return set(filter(None, response.headers.get(DIALECT.parts.decode(), "").split(", ")))
 
 
-def check(told: HttpResponse, path: str, request_id: str, *, absent: tuple[str, ...] = ()) -> None:
-    """Check that an answer is made of exactly the shards that it names."""
-    assert told.status == 200
+def check(
+    response: HttpResponse, path: str, request_id: str, *, absent: tuple[str, ...] = ()
+) -> None:
+    """Check that an answer consists of exactly the parts that it names."""
+    assert response.status == 200
     bodies = {shard: answer_body(shard, path) for shard in SHARDS if shard not in absent}
-    assert parts_of(told) == {signature_of(s, request_id, body) for s, body in bodies.items()}
-    assert told.headers[DIALECT.absent.decode()] == str(len(absent))
-    assert told.body == greatest(bodies.values(), 5)
+    assert parts_of(response) == {signature_of(s, request_id, body) for s, body in bodies.items()}
+    assert response.headers[DIALECT.absent.decode()] == str(len(absent))
+    assert response.body == greatest(bodies.values(), 5)
 
 
-async def test_an_answer_holds_the_greatest_records_of_all_shards_and_names_them():
+async def test_answer_has_the_greatest_records_of_all_shards_and_names_them():
     async with open_site() as site:
         await open_shards(site)
         site.route(merged_route(SHARDS))
@@ -46,8 +48,8 @@
 
 
 @pytest.mark.parametrize("spoil", [s for s in Spoil if s is not Spoil.EARLY])
-async def test_a_spoiled_part_is_left_out_or_asked_again_and_never_merged(spoil: Spoil):
-    """A search shows lots that belong to another search, or hides some and says it is whole."""
+async def test_malformed_part_is_omitted_or_retried_and_never_merged(spoil: Spoil):
+    """Guard against merging parts of another search, and against hiding missing parts."""
     async with open_site() as site:
         await open_shards(site)
         bad = site.replicas["s0-0"]
@@ -55,26 +57,26 @@
         site.route(merged_route(SHARDS))
         for number in range(10):
             path = f"/lots/{number}"
-            told = await site.ask(path, request_id=f"id-{number}")
+            response = await site.ask(path, request_id=f"id-{number}")
             await asyncio.sleep(0.012)
-            absent = () if told.headers[DIALECT.absent.decode()] == "0" else ("s0",)
-            check(told, path, f"id-{number}", absent=absent)
+            absent = () if response.headers[DIALECT.absent.decode()] == "0" else ("s0",)
+            check(response, path, f"id-{number}", absent=absent)
 
 
-async def test_a_shard_without_a_replica_is_named_as_absent_and_too_few_are_no_answer():
+async def test_unreachable_shard_is_counted_as_absent_and_too_few_parts_fail():
     async with open_site() as site:
         await open_shards(site, per_shard=1)
         site.route(merged_route(SHARDS))
         site.replicas["s1-0"].go_down()
         check(await site.ask("/lots/1", request_id="id-1"), "/lots/1", "id-1", absent=("s1",))
         site.replicas["s2-0"].go_down()
-        told = await site.ask("/lots/2")
-        assert told.status in (502, 503, 504)
-        assert told.body != b""
+        response = await site.ask("/lots/2")
+        assert response.status in (502, 503, 504)
+        assert response.body != b""
 
 
-async def test_a_paused_replica_is_hedged_in_time_and_its_late_answer_is_dropped():
-    """A search waits for the one replica of ten that pauses just now, and is late."""
+async def test_paused_replica_is_hedged_in_time_and_its_late_reply_is_dropped():
+    """Guard against a search that is late because a single replica pauses."""
     async with open_site() as site:
         await open_shards(site)
         site.route(merged_route(SHARDS, aim_ms=400))
@@ -92,21 +94,21 @@
         check(await site.ask("/lots/after", request_id="id-a"), "/lots/after", "id-a")
 
 
-async def test_at_the_aim_an_answer_goes_out_with_enough_of_the_parts():
-    """A search over a shard whose replicas all hang is answered when nobody wants it any more."""
+async def test_partial_result_is_sent_at_the_latency_target():
+    """Guard against waiting for a hanging shard beyond the latency target."""
     async with open_site() as site:
         await open_shards(site)
         for number in range(2):
             site.replicas[f"s3-{number}"].pause()
         site.route(merged_route(SHARDS, aim_ms=150))
         began = time.monotonic()
-        told = await site.ask("/lots/1", request_id="id-1")
+        response = await site.ask("/lots/1", request_id="id-1")
         assert 0.05 < time.monotonic() - began < 1.0
-        check(told, "/lots/1", "id-1", absent=("s3",))
+        check(response, "/lots/1", "id-1", absent=("s3",))
 
 
-async def test_a_route_keeps_the_shards_of_one_table_for_each_request():
-    """A search over a repartitioned index mixes shards of the old and the new cut."""
+async def test_request_uses_the_shards_of_a_single_table():
+    """Guard against mixing shards of the old and the new partitioning in one answer."""
     async with open_site() as site:
         await open_shards(site, per_shard=1)
         for shard in ("t0", "t1"):
@@ -123,8 +125,8 @@
         assert parts_of(after) == {signature_of(s, "id-2", body) for s, body in bodies.items()}
 
 
-async def test_no_shard_of_one_request_runs_at_more_replicas_than_the_route_allows():
-    """Searches that fail everywhere run three times the work when the replicas are in trouble."""
+async def test_shard_runs_at_no_more_replicas_than_the_route_allows():
+    """Guard against multiplying the work when all replicas fail."""
     async with open_site() as site:
         await open_shards(site, per_shard=4)
         for replica in site.replicas.values():
@@ -141,21 +143,21 @@
                 assert ran <= 2
 
 
-async def test_a_request_that_waits_wakes_its_vm_only_when_something_is_due(
+async def test_waiting_request_runs_its_timer_only_when_a_step_is_due(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A VM of a few cores' worth spends half of its processor on requests that wait.
+    """Guard against a busy loop of timers while a request waits.
 
-    A shard that has answered leaves the time of its hedge behind, which has passed; a timer for it
-    is due at once, again and again, until the whole request has its answer.
+    If an answered shard keeps the past time of its hedge, the timer is due at once, again and
+    again, until the request completes. On a VM with few cores this takes half of the processor.
     """
-    woken = 0
+    calls = 0
     on_timer = ScatterGather._on_timer
 
-    def counted(drive: ScatterGather) -> None:
-        nonlocal woken
-        woken += 1
-        on_timer(drive)
+    def counted(request: ScatterGather) -> None:
+        nonlocal calls
+        calls += 1
+        on_timer(request)
 
     monkeypatch.setattr(ScatterGather, "_on_timer", counted)
     async with open_site() as site:
@@ -165,7 +167,7 @@
             site.replicas[f"s3-{number}"].pause()
         asking = asyncio.create_task(site.ask("/lots/1", request_id="id-1"))
         await asyncio.sleep(0.5)
-        assert woken <= 12
+        assert calls <= 12
         for number in range(2):
             site.replicas[f"s3-{number}"].resume()
         check(await asking, "/lots/1", "id-1")
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -1,4 +1,4 @@
-"""A burst over sockets: what callers get, and what reaches the replicas."""
+"""Test a burst of requests over sockets: responses to callers and requests at replicas."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def send(site: Site, path: str, count: int, gap: float) -> dict[str, HttpResponse]:
-    """Send requests at an even pace, whether or not earlier ones were answered."""
+    """Send requests at a constant rate without waiting for earlier responses."""
     sending = {}
     for number in range(count):
         request_id = f"{path.strip('/')}-{number}"
@@ -40,58 +40,58 @@
     return {r.service for r in site.replicas.values() if r.counts.runs[request_id]}
 
 
-async def test_a_burst_beyond_capacity_is_refused_whole_at_once_and_unrun():
-    """Everybody's search is late, for each shard works on other searches than the next.
+async def test_requests_beyond_capacity_are_refused_at_once_and_run_at_no_shard():
+    """Guard against a burst that makes all searches late because each shard serves other searches.
 
-    Eight slots bear two hundred parts a second where the burst brings six hundred. What is refused
-    reaches no replica at all; what begins runs at all of its shards; both are there.
+    The burst brings three times the parts that the eight slots can run. A refused search must reach
+    no replica, an admitted one all of its shards, and the burst must have both.
     """
     async with open_site() as site:
         await open_shards(site)
         for number in range(40):
             await site.ask(f"/lots/warm-{number}")
-        told = await send(site, "/lots/", 150, WORK_S / 6)
-        refused = [name for name, answer in told.items() if answer.status == 503]
-        answered = [name for name, answer in told.items() if answer.status == 200]
+        responses = await send(site, "/lots/", 150, WORK_S / 6)
+        refused = [name for name, answer in responses.items() if answer.status == 503]
+        answered = [name for name, answer in responses.items() if answer.status == 200]
         assert len(refused) >= 20
         assert len(answered) >= 20
         assert len(refused) + len(answered) == 150
         for name in refused:
             assert shards_that_ran(site, name) == set()
-            wait_ms = float(told[name].headers["retry-after"]) * 1000
+            wait_ms = float(responses[name].headers["retry-after"]) * 1000
             assert 0 < wait_ms <= LEFT_MS / 3
         for name in answered:
             assert shards_that_ran(site, name) == set(SHARDS)
-        waits = {told[name].headers["retry-after"] for name in refused}
+        waits = {responses[name].headers["retry-after"] for name in refused}
         assert len(waits) >= len(refused) / 2, "callers are told to come back together"
 
 
-async def test_the_usual_load_is_refused_nothing_after_a_burst():
-    """The queues of a burst stay for as long as callers come, though they could be worked off."""
+async def test_normal_load_after_a_burst_is_not_refused():
+    """Guard against queues of a burst that persist under a load the replicas can serve."""
     async with open_site() as site:
         await open_shards(site)
         for number in range(40):
             await site.ask(f"/lots/warm-{number}")
         await send(site, "/lots/", 100, WORK_S / 6)
         await asyncio.sleep(0.5)
-        told = await send(site, "/check/", 20, WORK_S * 2)
-        assert {answer.status for answer in told.values()} == {200}
+        responses = await send(site, "/check/", 20, WORK_S * 2)
+        assert {answer.status for answer in responses.values()} == {200}
 
 
-async def test_a_vm_that_has_just_started_does_not_take_waits_for_connections_for_slow_replicas():
-    """After an outage all callers are back at once, and VMs that have just started refuse them.
+async def test_waits_for_connections_do_not_count_as_replica_latency():
+    """Guard against refusals by a VM that has just started when all callers return after an outage.
 
-    Such a VM opens its connections only then. What waited for one took long, though its replica
-    was free; learnt as usual, every short queue afterwards looked as long as the aim.
+    The VM opens its connections only then, so attempts wait although the replica is free. If the
+    wait counts as latency without a queue, every short queue seems as long as the latency target.
     """
     async with open_site(expected_vms=12) as site:
         replica = await site.replica("b-0", "booking", slots=3)
         replica.behaviour.work = WORK_S
         site.route(plain_route(aim_ms=400))
-        told = await asyncio.gather(*(site.ask(f"/booking/{n}") for n in range(45)))
-        assert {answer.status for answer in told} == {200}
+        responses = await asyncio.gather(*(site.ask(f"/booking/{n}") for n in range(45)))
+        assert {answer.status for answer in responses} == {200}
         for number in range(40):
             await site.ask(f"/booking/later-{number}")
-        (unqueued,) = site.forwarder._tools.unqueued.values()
+        (unqueued,) = site.forwarder._context.unqueued_profiles.values()
         assert unqueued.known
         assert unqueued.quantile(0.75) < 5 * WORK_S * 1000
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -1,4 +1,4 @@
-"""Requests that go to one replica, over sockets."""
+"""Test requests to a single service, over sockets."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 NOT_RUN = {429, 503}
 
 
-async def test_a_request_is_passed_on_unchanged_and_its_answer_too():
+async def test_request_and_response_are_forwarded_unchanged():
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
         site.route(plain_route())
         target = "/booking/7%2F8/?a=1&a=%20&b"
-        told = await site.client.request(
+        response = await site.client.request(
             "POST",
             "/booking/raw",
             headers={"host": HOST, DIALECT.request_id.decode(): "id-1"},
             body=b"\x00raw\r\n",
         )
-        assert (told.status, told.body) == (200, answer_body("booking", "/booking/raw"))
-        assert told.headers[DIALECT.signature.decode()] == signature_of(
-            "booking", "id-1", told.body
+        assert (response.status, response.body) == (200, answer_body("booking", "/booking/raw"))
+        assert response.headers[DIALECT.signature.decode()] == signature_of(
+            "booking", "id-1", response.body
         )
         assert replica.counts.bodies == [b"\x00raw\r\n"]
         reader, writer = await asyncio.open_connection("127.0.0.1", site.server.port)
@@ -38,7 +38,7 @@
         assert replica.counts.targets == ["/booking/raw", target]
 
 
-async def test_the_longest_prefix_wins_and_an_unknown_one_is_not_found():
+async def test_longest_prefix_matches_and_unknown_prefix_is_not_found():
     async with open_site() as site:
         await site.replica("r1", "booking")
         await site.replica("r2", "customs")
@@ -54,16 +54,16 @@
         assert (await site.ask("/booking/1", host=f"{HOST.upper()}:8080")).status == 200
 
 
-async def test_before_any_table_a_request_is_not_run_and_not_unknown():
-    """A caller's booking is told as "no such route" while a VM starts, and it gives up for good."""
+async def test_request_before_first_table_is_refused_with_retry_after():
+    """Guard against a 404 from a VM that is still starting, which callers treat as final."""
     async with open_site() as site:
-        told = await site.ask("/booking/1")
-        assert told.status == 503
-        assert 0 < float(told.headers["retry-after"]) < 1
+        response = await site.ask("/booking/1")
+        assert response.status == 503
+        assert 0 < float(response.headers["retry-after"]) < 1
 
 
-async def test_a_request_that_comes_while_a_vm_starts_waits_for_its_first_table():
-    """After a loss of power callers spend their one other try on VMs that answer "not ready"."""
+async def test_request_during_start_up_waits_for_first_table():
+    """Guard against callers that spend their only retry on a VM that is still starting."""
     async with open_site() as site:
         asking = asyncio.create_task(site.ask("/booking/1"))
         await asyncio.sleep(0.1)
@@ -72,8 +72,8 @@
         assert (await asking).status == 200
 
 
-async def test_what_a_replica_is_told_of_the_time_is_what_is_left():
-    """A replica works for a caller that has long left, since each hop hands on its own time-out."""
+async def test_replica_gets_the_remaining_time():
+    """Guard against work for callers that have left, if a hop forwards its own timeout instead."""
     async with open_site() as site:
         first = await site.replica("r1", "booking")
         site.route(plain_route(timeout_ms=3000))
@@ -86,7 +86,7 @@
         assert 2900 < unsaid <= 3000
 
 
-async def test_weights_hold_exactly_over_few_requests():
+async def test_weights_are_exact_over_few_requests():
     async with open_site() as site:
         await site.replica("r1", "old")
         await site.replica("r2", "new")
@@ -103,11 +103,10 @@
 
 
 @pytest.mark.parametrize("spoil", [s for s in Spoil if s is not Spoil.EARLY])
-async def test_no_spoiled_answer_reaches_a_caller_as_a_success(spoil: Spoil):
-    """A caller reads another caller's booking, or half of its own, as if it were whole.
+async def test_malformed_reply_never_reaches_a_caller_as_a_success(spoil: Spoil):
+    """Guard against a caller that gets another caller's answer, or a truncated one, as a success.
 
-    The replica breaks the framing of its answers; each way is a place where the tail of one answer
-    can be taken for the next.
+    The replica breaks the framing of its replies so that the tail of one can be taken for the next.
     """
     async with open_site() as site:
         bad = await site.replica("bad", "booking")
@@ -117,22 +116,22 @@
             if number == 6:
                 await site.replica("good", "booking")
             path = f"/booking/{number}"
-            told = await site.ask(path, request_id=f"id-{number}")
+            response = await site.ask(path, request_id=f"id-{number}")
             await asyncio.sleep(0.012)
-            if told.status == 200:
-                assert told.body == answer_body("booking", path)
-                expected = signature_of("booking", f"id-{number}", told.body)
-                assert told.headers[DIALECT.signature.decode()] == expected
+            if response.status == 200:
+                assert response.body == answer_body("booking", path)
+                expected = signature_of("booking", f"id-{number}", response.body)
+                assert response.headers[DIALECT.signature.decode()] == expected
             else:
-                assert told.status in (502, 504)
+                assert response.status in (502, 504)
         assert site.runs()["bad"] > 0
 
 
 @pytest.mark.parametrize("spoil", [Spoil.LOST, Spoil.CUT, Spoil.GARBAGE, Spoil.FOREIGN])
-async def test_what_may_not_be_repeated_runs_once_and_is_never_told_as_not_run(spoil: Spoil):
-    """A pallet is booked twice, or a booking that stands is told as not made.
+async def test_non_repeatable_request_runs_once_and_is_never_reported_as_not_run(spoil: Spoil):
+    """Guard against a booking that runs twice, or that has run but is reported as not run.
 
-    The replica runs the booking and its answer is lost or spoiled.
+    The replica runs the booking, and its reply is lost or malformed.
     """
     async with open_site() as site:
         for name in ("r1", "r2", "r3"):
@@ -140,13 +139,13 @@
             replica.behaviour.spoil, replica.behaviour.spoiled = spoil, -1
         site.route(plain_route(repeatable=False))
         for number in range(6):
-            told = await site.ask(f"/booking/{number}", method="POST", body=b"{}")
-            assert told.status not in NOT_RUN
-            assert told.status >= 500
+            response = await site.ask(f"/booking/{number}", method="POST", body=b"{}")
+            assert response.status not in NOT_RUN
+            assert response.status >= 500
         assert sum(site.runs().values()) == 6
 
 
-async def test_what_was_surely_not_run_goes_to_another_replica():
+async def test_request_that_was_not_run_is_retried_on_another_replica():
     async with open_site() as site:
         full = await site.replica("full", "booking")
         full.behaviour.refuse = -1
@@ -159,31 +158,31 @@
         assert site.runs() == {"full": 0, "gone": 0, "good": 10}
 
 
-async def test_when_every_replica_refuses_the_caller_is_told_not_run_and_when_to_come_back():
-    """A caller's confirmation stays open: nobody says whether it was made."""
+async def test_refusal_by_every_replica_is_reported_as_not_run_with_retry_after():
+    """Guard against an unknown outcome for a request that certainly was not run."""
     async with open_site() as site:
         for name in ("r1", "r2"):
             replica = await site.replica(name, "booking")
             replica.behaviour.refuse = -1
         site.route(plain_route(repeatable=False))
-        told = await site.ask("/booking/1", method="POST", body=b"{}", left_ms=300)
-        assert told.status == 503
-        assert 0 <= float(told.headers["retry-after"]) <= 0.1
+        response = await site.ask("/booking/1", method="POST", body=b"{}", left_ms=300)
+        assert response.status == 503
+        assert 0 <= float(response.headers["retry-after"]) <= 0.1
         assert sum(site.runs().values()) == 0
 
 
-async def test_a_replica_s_own_failure_is_passed_on_when_no_other_does_better():
+async def test_failure_of_a_replica_is_forwarded_if_no_other_succeeds():
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
         replica.behaviour.fail = -1
         site.route(plain_route())
-        told = await site.ask("/booking/1")
-        assert told.status == 500
-        assert told.headers[DIALECT.signature.decode()] == "booking.failed"
+        response = await site.ask("/booking/1")
+        assert response.status == 500
+        assert response.headers[DIALECT.signature.decode()] == "booking.failed"
 
 
-async def test_an_address_that_belongs_to_another_replica_gets_nothing_more():
-    """A booking runs at the wrong service: an address is used again by another replica."""
+async def test_address_of_another_replica_gets_no_more_requests():
+    """Guard against running a request at the wrong service after an address is reused."""
     async with open_site() as site:
         other = await site.replica("r1", "booking")
         other.behaviour.misplaced = True
@@ -198,8 +197,8 @@
         assert (await site.ask("/booking/9")).status == 200
 
 
-async def test_a_caller_that_leaves_ends_the_work_at_the_replica():
-    """Replicas work for callers who have hung up, while others wait for the slots."""
+async def test_caller_disconnect_stops_the_work_at_the_replica():
+    """Guard against replica slots held by requests whose callers have disconnected."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
         replica.behaviour.work = 5.0
@@ -214,20 +213,20 @@
                 await asyncio.sleep(0.005)
 
 
-async def test_an_early_answer_to_a_long_request_poisons_no_later_one():
-    """A long request is answered before it is read, and the next one is read as its tail."""
+async def test_early_answer_to_a_long_request_does_not_affect_later_ones():
+    """Guard against a request read as the tail of a long one that was answered before its end."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
         replica.behaviour.spoil, replica.behaviour.spoiled = Spoil.EARLY, 1
         site.route(plain_route())
-        told = await site.ask("/booking/1", method="POST", body=b"x" * 200_000)
-        assert told.body == answer_body("booking", "/booking/1")
+        response = await site.ask("/booking/1", method="POST", body=b"x" * 200_000)
+        assert response.body == answer_body("booking", "/booking/1")
         for number in range(2, 6):
             path = f"/booking/{number}"
             assert (await site.ask(path)).body == answer_body("booking", path)
 
 
-async def test_a_leaving_replica_and_a_data_centre_that_is_out_get_nothing_new():
+async def test_draining_replica_and_data_centre_out_of_service_get_no_requests():
     async with open_site() as site:
         leaving = await site.replica("leaving", "booking")
         out = await site.replica("out", "booking", data_centre="b")
@@ -244,8 +243,8 @@
         assert out.counts.arrivals == 1
 
 
-async def test_a_connection_past_the_replica_s_idle_time_is_not_used_again():
-    """A booking is written into a connection that its replica is just closing."""
+async def test_connection_past_the_idle_timeout_of_the_replica_is_not_reused():
+    """Guard against a booking written to a connection that the replica is closing."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
         replica.behaviour.idle = 1.0
@@ -256,11 +255,11 @@
         assert replica.counts.connections == 2
 
 
-async def test_what_waits_for_a_connection_is_not_sent_once_it_is_answered_elsewhere() -> None:
-    """A replica gets a request long after its caller has been answered, with time that is over.
+async def test_waiting_attempt_is_withdrawn_after_the_request_is_answered() -> None:
+    """Guard against a request that reaches a replica after its caller has been answered.
 
-    A VM may hold one connection to each replica, and the first one's is busy with long work. A
-    second request waits for it, is hedged, and answered by the other replica.
+    The only connection to the first replica is busy with a long request. A second request waits for
+    it, is hedged, and is answered by the other replica.
     """
     async with open_site() as site:
         slow = await site.replica("slow", "booking")
@@ -270,17 +269,17 @@
         first = asyncio.create_task(site.ask("/booking/first"))
         await asyncio.sleep(0.05)
         await site.replica("quick", "booking", data_centre="b")
-        # Known to be slow, so that the second request first waits for the other one.
+        # Marked as slow, so that the first attempt of the second request goes to the other replica.
         health = site.forwarder.registry.get("quick").health
         health._pace, health._pace_at = 9.0, asyncio.get_running_loop().time()
-        told = await site.ask("/booking/second", left_ms=3000)
-        assert told.status == 200
+        response = await site.ask("/booking/second", left_ms=3000)
+        assert response.status == 200
         assert (await first).status == 200
         await asyncio.sleep(0.8)
         assert slow.counts.targets == ["/booking/first"]
 
 
-async def test_what_has_waited_for_a_connection_states_the_time_that_is_left_then() -> None:
+async def test_request_that_waited_for_a_connection_states_the_time_left_then() -> None:
     async with open_site() as site:
         only = await site.replica("only", "booking")
         site.route(plain_route(), booking=ServiceRules(name="booking", max_connections=1))
@@ -292,8 +291,8 @@
         assert only.counts.times_left[-1] <= 1500
 
 
-async def test_what_may_not_be_repeated_avoids_a_replica_that_lost_an_answer_elsewhere() -> None:
-    """Guards against a lost booking at each VM for each replica that loses answers."""
+async def test_non_repeatable_request_avoids_a_replica_with_losses_at_another_vm() -> None:
+    """Guard against one lost booking per VM for each replica that loses replies."""
     async with open_site() as site, open_site(vm="vm-2") as other:
         lossy = await site.replica("lossy", "booking")
         lossy.behaviour.spoil, lossy.behaviour.spoiled = Spoil.LOST, 100
@@ -303,9 +302,9 @@
         other.announce(lossy)
         other.announce(await site.replica("sound", "booking"))
         mirror = await serve(site.forwarder.mirror.answer, host="127.0.0.1", port=0)
-        prober = Prober(other.forwarder._introduction, other.forwarder._on_losses)
+        prober = Prober(other.forwarder._upstream_report, other.forwarder._on_losses)
         assert await prober.answers("127.0.0.1", mirror.port, timeout=1.0)
-        told = [await other.ask(f"/booking/{n}", method="POST") for n in range(20)]
-        assert {one.status for one in told} == {200}
+        responses = [await other.ask(f"/booking/{n}", method="POST") for n in range(20)]
+        assert {one.status for one in responses} == {200}
         await prober.close()
         await mirror.close(0.0)
