--- a/libs/forwarding/berylspindle_forwarding/failure_cause.py
+++ b/libs/forwarding/berylspindle_forwarding/failure_cause.py
@@ -67,7 +67,7 @@
 
 
 def cause_of(facts: RequestFacts, trace: RequestTrace | None) -> Cause:
-    """Return the cause why a request was refused, failed or late."""
+    """Return the cause of a refused, failed or late request."""
     outcome = facts.outcome
     if isinstance(outcome, Refusal) and outcome.kind in _BY_KIND:
         return _BY_KIND[outcome.kind]
--- a/libs/forwarding/berylspindle_forwarding/relay.py
+++ b/libs/forwarding/berylspindle_forwarding/relay.py
@@ -15,7 +15,7 @@
 Guards: a merger with another routing table could answer from an older configuration than callers of
 the origin have already seen, so it replies `unrun` if the table versions differ. A silent merger
 may have run the request, and a second scatter-gather would run it on more replicas than the route
-allows, so a request lost with its merger fails, and no more requests are sent to a late one.
+allows, so a request lost with its merger fails, and later requests avoid a late merger.
 """
 
 from __future__ import annotations
--- a/libs/forwarding/berylspindle_forwarding/replica_pool.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_pool.py
@@ -46,7 +46,7 @@
     Attributes:
         connect_timeout: connect timeout in seconds; a running replica accepts within a few
             milliseconds, so half a second without an accept means that it is down.
-        most_bytes: maximum size of a response body.
+        most_bytes: maximum size of a reply body, in bytes.
     """
 
     connect_timeout: float = 0.5
@@ -141,8 +141,8 @@
     def _is_usable(self, connection: ExchangeConnection, request: ExchangeRequest) -> bool:
         """Return whether a connection may carry a request.
 
-        Checking for closure by the peer costs a system call. It is skipped on a connection used a
-        moment ago if the request has no body and can be sent again.
+        Checking for closure by the peer costs a system call. It is skipped on a recently used
+        connection for a request without a body, which can be sent again.
         """
         if not connection.is_free:
             return False
--- a/libs/forwarding/berylspindle_forwarding/scatter_gather.py
+++ b/libs/forwarding/berylspindle_forwarding/scatter_gather.py
@@ -58,7 +58,7 @@
 
 
 class ScatterGather(AttemptOwner):
-    """Execute one request."""
+    """Execution of one request: its attempts, the parts received and the outcome."""
 
     def __init__(
         self,
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -26,7 +26,7 @@
 
 
 @asynccontextmanager
-async def pair() -> AsyncIterator[tuple[Site, Site]]:
+async def open_pair() -> AsyncIterator[tuple[Site, Site]]:
     """Yield the sites of a small and a large VM with the same replicas."""
     async with AsyncExitStack() as stack:
         big = await stack.enter_async_context(open_site(vm="big", bears=2.0))
@@ -43,29 +43,29 @@
         yield small, big
 
 
-def merged(site: Site) -> int:
+def services_with_sub_requests(site: Site) -> int:
     """Return how many services this VM has sent sub-requests to itself."""
     return len(site.forwarder._context.retry_budgets)
 
 
-def whole(path: str) -> bytes:
+def full_answer(path: str) -> bytes:
     return greatest([answer_body(shard, path) for shard in SHARDS], 5)
 
 
 async def test_search_is_merged_by_the_large_vm_and_booking_is_not_relayed() -> None:
-    async with pair() as (small, big):
+    async with open_pair() as (small, big):
         for number in range(5):
             path = f"/lots/{number}"
             response = await small.ask(path)
             assert response.status == 200
-            assert response.body == whole(path)
+            assert response.body == full_answer(path)
             assert len(response.headers[DIALECT.parts.decode()].split(", ")) == 3
             assert not [name for name in response.headers if name.startswith("x-relay")]
-        assert merged(small) == 0
+        assert services_with_sub_requests(small) == 0
         assert sum(big.runs().values()) == 15
         assert (await small.ask("/booking/1", method="POST", body=b"{}")).status == 200
-        assert merged(small) == 1
-        assert merged(big) == 3
+        assert services_with_sub_requests(small) == 1
+        assert services_with_sub_requests(big) == 3
 
 
 @pytest.mark.parametrize("why", ["stopping", "older", "newer", "gone"])
@@ -75,7 +75,7 @@
     The merger is stopping, has another routing table, or is down. It has not begun the search, so
     the small VM executes it.
     """
-    async with pair() as (small, big):
+    async with open_pair() as (small, big):
         if why == "stopping":
             big.forwarder.begin_shutdown()
         elif why == "older":
@@ -86,15 +86,15 @@
             await big.server.close(0.0)
         response = await small.ask("/lots/7")
         assert response.status == 200
-        assert response.body == whole("/lots/7")
-        assert merged(big) == 0
-        assert merged(small) == 3
+        assert response.body == full_answer("/lots/7")
+        assert services_with_sub_requests(big) == 0
+        assert services_with_sub_requests(small) == 3
         assert sum(big.runs().values()) == 3
 
 
 async def test_vm_without_local_replicas_has_its_search_merged_elsewhere() -> None:
     """Guard against sending every part of a search over the links between data centres."""
-    async with pair() as (_, big), open_site(vm="far", bears=2.0, data_centre="f") as far:
+    async with open_pair() as (_, big), open_site(vm="far", bears=2.0, data_centre="f") as far:
         for replica in big.replicas.values():
             far.announce(replica)
         entry = VmEntry(
@@ -102,14 +102,14 @@
         )
         far.forwarder.on_change(VmChange("big", entry))
         publish_routes(far)
-        assert (await far.ask("/lots/1")).body == whole("/lots/1")
-        assert merged(far) == 0
+        assert (await far.ask("/lots/1")).body == full_answer("/lots/1")
+        assert services_with_sub_requests(far) == 0
         far.take_out("a")
         assert far.forwarder.registry.missing(SHARDS) == {}
 
 
 @asynccontextmanager
-async def halves() -> AsyncIterator[tuple[Site, Site]]:
+async def open_halves() -> AsyncIterator[tuple[Site, Site]]:
     """Yield sites of two data centres, each with the replicas of half of the shards."""
     async with AsyncExitStack() as stack:
         here = await stack.enter_async_context(open_site(vm="here", bears=2.0))
@@ -129,7 +129,7 @@
 
 async def test_shards_without_a_local_replica_arrive_as_one_answer() -> None:
     """Guard against one part per remote shard over the links between data centres."""
-    async with halves() as (here, there):
+    async with open_halves() as (here, there):
         path = "/lots/1"
         response = await here.ask(path)
         assert response.body == greatest([answer_body(shard, path) for shard in TWELVE], 5)
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("why", ["gone", "older"])
 async def test_subset_that_its_merger_has_not_begun_is_requested_locally(why: str) -> None:
     """Guard against searches that fail because the merger of a subset is unavailable."""
-    async with halves() as (here, there):
+    async with open_halves() as (here, there):
         if why == "gone":
             await there.server.close(0.0)
         else:
@@ -159,7 +159,7 @@
     The first merger replies that it has not begun, and a new table arrives. Both VMs that execute
     the search have the new table by then, while its route is from the old one.
     """
-    async with halves() as (here, there):
+    async with open_halves() as (here, there):
         other = tuple(reversed(TWELVE))
 
         async def replace(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -184,7 +184,7 @@
 
 async def test_shards_that_the_merger_lacks_are_counted_as_absent() -> None:
     """Guard against an answer that claims parts which the merger did not receive."""
-    async with halves() as (here, there):
+    async with open_halves() as (here, there):
         for shard in (TWELVE[1], TWELVE[3]):
             there.replicas[f"{shard}-0"].behaviour.fail = 10
         response = await here.ask("/lots/1", left_ms=1500)
@@ -202,7 +202,7 @@
 
 async def test_request_with_a_silent_merger_fails_soon() -> None:
     """Guard against callers that wait for a dead merger until they have no time to retry."""
-    async with pair() as (small, _):
+    async with open_pair() as (small, _):
         silent = await asyncio.start_server(lambda r, w: asyncio.sleep(3600), "127.0.0.1", 0)
         port = silent.sockets[0].getsockname()[1]
         entry = VmEntry(host="127.0.0.1", port=port, data_centre="a", callers_port=port, bears=2.0)
@@ -218,7 +218,7 @@
 
 async def test_late_merger_that_answers_a_probe_is_waited_for() -> None:
     """Guard against failing a search while its merger waits for a slow shard."""
-    async with pair() as (small, big):
+    async with open_pair() as (small, big):
         mirror = await serve(big.forwarder.mirror.answer, host="127.0.0.1", port=0)
         entry = VmEntry(
             host="127.0.0.1",
@@ -234,8 +234,8 @@
             site.route(merged_route(SHARDS, aim_ms=100, least=0.9))
         for replica in big.replicas.values():
             replica.behaviour.work = 0.5
-        assert (await small.ask("/lots/1", left_ms=4000)).body == whole("/lots/1")
-        assert merged(small) == 0
+        assert (await small.ask("/lots/1", left_ms=4000)).body == full_answer("/lots/1")
+        assert services_with_sub_requests(small) == 0
         await mirror.close(0.0)
 
 
@@ -245,7 +245,7 @@
     Requests at the merger may still run, and a second fan-out would exceed the runs that the route
     allows, so they end at their deadline; later requests are not sent to it.
     """
-    async with pair() as (small, _):
+    async with open_pair() as (small, _):
         silent = await asyncio.start_server(lambda r, w: asyncio.sleep(3600), "127.0.0.1", 0)
         port = silent.sockets[0].getsockname()[1]
         entry = VmEntry(host="127.0.0.1", port=1, data_centre="a", callers_port=port, bears=2.0)
@@ -254,12 +254,12 @@
         assert response.status == 504
         response = await small.ask("/lots/2", left_ms=2000)
         assert response.status == 200
-        assert merged(small) == 3
+        assert services_with_sub_requests(small) == 3
         silent.close()
 
 
 async def test_caller_disconnect_stops_the_work_at_the_replicas_of_the_merger() -> None:
-    async with pair() as (small, big):
+    async with open_pair() as (small, big):
         for replica in big.replicas.values():
             replica.behaviour.work = 1.0
         asking = asyncio.create_task(small.ask("/lots/1"))
@@ -275,7 +275,7 @@
 
 
 async def test_merger_that_loses_a_connection_is_reported_and_avoided() -> None:
-    async with pair() as (small, _):
+    async with open_pair() as (small, _):
 
         async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -297,13 +297,13 @@
 
     The pool of a merger is closed once its announcement is withdrawn, and searches run without it.
     """
-    async with pair() as (small, _):
+    async with open_pair() as (small, _):
         await small.ask("/lots/1")
         relay = small.forwarder._relay
         (pool,) = relay._pools.values()
         assert pool.open_connections == 1
         small.forwarder.on_change(VmChange("big", None))
-        assert (await small.ask("/lots/2")).body == whole("/lots/2")
+        assert (await small.ask("/lots/2")).body == full_answer("/lots/2")
         assert relay._pools == {}
         async with asyncio.timeout(5):
             while pool.open_connections:  # noqa: ASYNC110
