--- a/tests/platform_adapter/free_ports.py
+++ b/tests/platform_adapter/free_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are free just now."""
+"""Find free TCP ports for tests."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different free ports of the loopback interface."""
+    """Return `count` distinct ports that are free on the loopback interface."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in sockets:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in sockets]
+        for sock in sockets:
+            sock.bind(("127.0.0.1", 0))
+        return [sock.getsockname()[1] for sock in sockets]
--- a/tests/platform_adapter/kv_standin.py
+++ b/tests/platform_adapter/kv_standin.py
@@ -1,12 +1,13 @@
-"""A stand-in of the platform's store, which can misbehave in each way that the platform names.
+"""Stand-in for the platform's key-value store, with the faults that the platform documents.
 
 Terms:
-  history   the changes that a watch can still be told; `forget` drops them
-  outage    how calls end meanwhile: answered that nothing was done, reset, or never answered
-  late      a write that is done and not answered, or done some time after its connection broke
+  history   the changes that a watch can still return; `compact_history` drops them
+  outage    how calls end during an outage: an error status, "reset" (the connection is reset) or
+            "silent" (no response)
+  unanswered write   a write whose connection is reset and which takes effect after a delay
 
-Flow: `open_kv` listens; each call is counted, turned away where an outage says so, and answered
-from one table of items with one revision.
+Flow: `open_kv` listens. Each call is counted, rejected during an outage, and otherwise served from
+one table of items with one revision.
 """
 
 from __future__ import annotations
@@ -33,49 +34,58 @@
 
 @attrs.define(kw_only=True)
 class KvStandin:
-    """The store's state; tests change it directly, as operator and replicas do."""
+    """State of the store; tests change it directly in place of the operator and the replicas.
+
+    Attributes:
+        rev: revision of the last change.
+        compacted_rev: watches from a lower revision are answered with 410.
+        stale_items: items returned to lists that allow stale results, or None for the current ones.
+        outage: "silent", "reset" or an error status; empty if the store works.
+        unanswered_writes: number of following writes whose connection is reset.
+        write_delay_s: seconds after which such a write takes effect.
+    """
 
     port: int = 0
     rev: int = 100
-    page: int = 500
+    page_size: int = 500
     items: dict[str, Item] = attrs.field(factory=dict)
     history: list[tuple[int, str, bytes | None]] = attrs.field(factory=list)
-    first: int = 100
+    compacted_rev: int = 100
     stale_items: dict[str, Item] | None = None
     leases: dict[int, float] = attrs.field(factory=dict)
     calls: Counter[str] = attrs.field(factory=Counter)
     outage: str = ""
-    lose: int = 0
-    late: float = 0.0
+    unanswered_writes: int = 0
+    write_delay_s: float = 0.0
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
 
     def put(self, key: str, value: object, lease: int = 0) -> None:
-        """Write an item; anything but bytes is written as JSON."""
+        """Write an item; a value other than bytes is encoded as JSON."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.rev += 1
         created = self.items[key].created if key in self.items else self.rev
         self.items[key] = Item(data, self.rev, created, lease)
-        self._note(key, data)
+        self._record_event(key, data)
 
     def remove(self, key: str) -> None:
         """Remove an item."""
         del self.items[key]
         self.rev += 1
-        self._note(key, None)
+        self._record_event(key, None)
 
-    def forget(self) -> None:
-        """Drop the history and cut the watches."""
+    def compact_history(self) -> None:
+        """Drop the history and reset all connections."""
         self.history.clear()
-        self.first = self.rev
-        self.cut()
+        self.compacted_rev = self.rev
+        self.reset_connections()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all connections."""
         for writer in tuple(self.writers):
             writer.transport.abort()
 
-    def _note(self, key: str, value: bytes | None) -> None:
+    def _record_event(self, key: str, value: bytes | None) -> None:
         self.history.append((self.rev, key, value))
         self.changed.set()
         self.changed = asyncio.Event()
@@ -107,32 +117,32 @@
             writer.transport.abort()
             return False
         if self.outage:
-            self._write(writer, int(self.outage), {})
+            self._write_response(writer, int(self.outage), {})
             return True
-        if method == "POST" and self.lose and "kv-txn" in url.path:
-            self.lose -= 1
-            asyncio.get_running_loop().call_later(self.late, self._change, body)
+        if method == "POST" and self.unanswered_writes and "kv-txn" in url.path:
+            self.unanswered_writes -= 1
+            asyncio.get_running_loop().call_later(self.write_delay_s, self._apply_transaction, body)
             writer.transport.abort()
             return False
-        status, answer = await self._answer(
+        status, payload = await self._handle(
             method, url.path, dict(parse_qsl(url.query, keep_blank_values=True)), body
         )
-        self._write(writer, status, answer)
+        self._write_response(writer, status, payload)
         return True
 
-    def _write(self, writer: asyncio.StreamWriter, status: int, answer: object) -> None:
-        data = json.dumps(answer).encode()
+    def _write_response(self, writer: asyncio.StreamWriter, status: int, payload: object) -> None:
+        data = json.dumps(payload).encode()
         writer.write(
             f"HTTP/1.1 {status} -\r\ncontent-type: application/json\r\n"
             f"content-length: {len(data)}\r\n\r\n".encode() + data
         )
 
-    async def _answer(
+    async def _handle(
         self, method: str, path: str, query: dict[str, str], body: dict[str, Any]
     ) -> tuple[int, object]:
         if path == "/-/kv-key":
             item = self.items.get(query["key"])
-            return (200, self._shown(query["key"], item)) if item else (404, {})
+            return (200, self._encode_item(query["key"], item)) if item else (404, {})
         if path == "/-/kv-range":
             items = self.stale_items if query.get("stale_ok") else None
             items = self.items if items is None else items
@@ -140,7 +150,7 @@
         if path == "/-/kv-watch":
             return await self._watch(query)
         if path == "/-/kv-txn":
-            return self._change(body)
+            return self._apply_transaction(body)
         if path == "/-/kv-lease":
             lease = 1 + len(self.leases)
             self.leases[lease] = body["ttl_ms"]
@@ -155,7 +165,7 @@
             return 200, {}
         return 200, {"ttl_ms": self.leases[lease]}
 
-    def _shown(self, key: str, item: Item) -> dict[str, object]:
+    def _encode_item(self, key: str, item: Item) -> dict[str, object]:
         text = base64.b64encode(item.value).decode()
         return {
             "key": key,
@@ -168,22 +178,22 @@
 
     def _range(self, prefix: str, after: str, items: dict[str, Item]) -> dict[str, object]:
         keys = sorted(k for k in items if k.startswith(prefix) and k > after)
-        shown = [self._shown(key, items[key]) for key in keys[: self.page]]
-        return {"items": shown, "has_more": len(keys) > self.page, "current_rev": self.rev}
+        encoded = [self._encode_item(key, items[key]) for key in keys[: self.page_size]]
+        return {"items": encoded, "has_more": len(keys) > self.page_size, "current_rev": self.rev}
 
     async def _watch(self, query: dict[str, str]) -> tuple[int, object]:
-        after, ends = int(query["after"]), int(query["wait_ms"]) / 1000
-        if after < self.first:
+        after, wait_s = int(query["after"]), int(query["wait_ms"]) / 1000
+        if after < self.compacted_rev:
             return 410, {"current_rev": self.rev}
         try:
-            async with asyncio.timeout(ends):
-                while not self._since(query["prefix"], after):
+            async with asyncio.timeout(wait_s):
+                while not self._events_since(query["prefix"], after):
                     await self.changed.wait()
         except TimeoutError:
             pass
-        return 200, {"events": self._since(query["prefix"], after), "current_rev": self.rev}
+        return 200, {"events": self._events_since(query["prefix"], after), "current_rev": self.rev}
 
-    def _since(self, prefix: str, after: int) -> list[dict[str, object]]:
+    def _events_since(self, prefix: str, after: int) -> list[dict[str, object]]:
         return [
             (
                 {"key": key, "rev": rev, "deleted": True}
@@ -194,12 +204,12 @@
             if rev > after and key.startswith(prefix)
         ]
 
-    def _change(self, body: dict[str, Any]) -> tuple[int, object]:
+    def _apply_transaction(self, body: dict[str, Any]) -> tuple[int, object]:
         for row in body.get("if_rev", []):
             item = self.items.get(row["key"])
             if row["rev"] != (item.rev if item else 0):
-                shown = [self._shown(row["key"], item)] if item else []
-                return 412, {"items": shown}
+                encoded = [self._encode_item(row["key"], item)] if item else []
+                return 412, {"items": encoded}
         for row in body.get("writes", []):
             if row.get("lease") and row["lease"] not in self.leases:
                 return 404, {}
@@ -219,4 +229,4 @@
         yield kv
     finally:
         server.close()
-        kv.cut()
+        kv.reset_connections()
--- a/tests/platform_adapter/test_entries.py
+++ b/tests/platform_adapter/test_entries.py
@@ -1,4 +1,4 @@
-"""What entries of the platform's store mean, readable and not."""
+"""Decoding of store entries and of the settings file, well-formed and malformed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from berylspindle_adapter.entry_reader import PlatformReader
 from berylspindle_adapter.node_file import SettingsError, callers_address, read_fields
-from berylspindle_adapter.node_settings import NodeSettings, settings_from
+from berylspindle_adapter.node_settings import NodeSettings, parse_settings
 from berylspindle_forwarding.catalogue import (
     OutChange,
     ReplicaChange,
@@ -59,7 +59,7 @@
         "idle_timeout_ms": 15000,
     },
 }
-SAID = {
+ANNOUNCEMENT = {
     "service": "s1",
     "addr": "10.1.2.3:8080",
     "zone": "north",
@@ -72,15 +72,15 @@
 }
 
 
-def read(key: str, value: object):
+def read_change(key: str, value: object):
     data = None if value is None else value if isinstance(value, bytes) else json.dumps(value)
     if isinstance(data, str):
         data = data.encode()
     return PlatformReader().read(StoredValue(key=key, value=data, revision=9))
 
 
-def test_a_configuration_becomes_a_routing_table():
-    change = read("op/config", CONFIGURATION)
+def test_configuration_entry_yields_a_routing_table():
+    change = read_change("op/config", CONFIGURATION)
     assert isinstance(change, TableChange)
     table = change.table
     assert table.version == 7
@@ -96,8 +96,8 @@
     assert table.limits.idle_timeout == 15.0
 
 
-def test_an_announcement_becomes_a_replica():
-    change = read("servers/i-1", SAID)
+def test_announcement_entry_yields_a_replica():
+    change = read_change("servers/i-1", ANNOUNCEMENT)
     assert change == ReplicaChange(
         "i-1",
         Replica(
@@ -112,8 +112,8 @@
             version="v1",
         ),
     )
-    assert read("servers/i-1", None) == ReplicaChange("i-1", None)
-    draining = read("servers/i-1", {**SAID, "state": "draining"})
+    assert read_change("servers/i-1", None) == ReplicaChange("i-1", None)
+    draining = read_change("servers/i-1", {**ANNOUNCEMENT, "state": "draining"})
     assert isinstance(draining, ReplicaChange)
     assert draining.replica is not None
     assert draining.replica.draining
@@ -125,31 +125,31 @@
         b"\xff\xfe\x00",
         b"[]",
         b"",
-        {**SAID, "slots": "three"},
-        {**SAID, "state": "asleep"},
-        {**SAID, "addr": "nowhere"},
-        {**SAID, "service": None},
-        {**SAID, "born": 1.5},
-        {key: value for key, value in SAID.items() if key != "zone"},
+        {**ANNOUNCEMENT, "slots": "three"},
+        {**ANNOUNCEMENT, "state": "asleep"},
+        {**ANNOUNCEMENT, "addr": "nowhere"},
+        {**ANNOUNCEMENT, "service": None},
+        {**ANNOUNCEMENT, "born": 1.5},
+        {key: value for key, value in ANNOUNCEMENT.items() if key != "zone"},
     ],
 )
-def test_an_announcement_of_another_writer_names_no_replica(value: object):
-    """One entry that can't be read keeps a VM from following all that come after it."""
-    change = read("servers/i-1", value)
+def test_malformed_announcement_is_unreadable(value: object):
+    """Guard against a malformed entry that stops a VM from processing later entries."""
+    change = read_change("servers/i-1", value)
     assert isinstance(change, Unreadable)
     assert change.key == "servers/i-1"
     assert change.reason
 
 
-def test_other_entries():
-    assert read("op/evacuate/north", {}) == OutChange("north", True)
-    assert read("op/evacuate/north", None) == OutChange("north", False)
+def test_evacuation_vm_and_unknown_entries():
+    assert read_change("op/evacuate/north", {}) == OutChange("north", True)
+    assert read_change("op/evacuate/north", None) == OutChange("north", False)
     entry = VmEntry(host="10.0.0.1", port=7740, data_centre="north")
-    said = {"host": "10.0.0.1", "port": 7740, "data_centre": "north"}
-    assert read("berylspindle/vms/vm-1", said) == VmChange("vm-1", entry)
-    assert isinstance(read("berylspindle/vms/vm-1", b"10.0.0.1"), Unreadable)
-    assert read("somebody/else", {}) is None
-    assert isinstance(read("op/config", {"version": "7"}), Unreadable)
+    document = {"host": "10.0.0.1", "port": 7740, "data_centre": "north"}
+    assert read_change("berylspindle/vms/vm-1", document) == VmChange("vm-1", entry)
+    assert isinstance(read_change("berylspindle/vms/vm-1", b"10.0.0.1"), Unreadable)
+    assert read_change("somebody/else", {}) is None
+    assert isinstance(read_change("op/config", {"version": "7"}), Unreadable)
 
 
 SETTINGS = """
@@ -169,16 +169,16 @@
 """
 
 
-def load(path: Path) -> NodeSettings:
+def load_settings(path: Path) -> NodeSettings:
     fields = read_fields({"BERYLSPINDLE_NODE_FILE": str(path)})
     callers_address(fields)
-    return settings_from(fields)
+    return parse_settings(fields)
 
 
-def test_settings_become_options(tmp_path: Path):
+def test_settings_file_yields_options(tmp_path: Path):
     path = tmp_path / "node.toml"
     path.write_text(SETTINGS)
-    settings = load(path)
+    settings = load_settings(path)
     assert settings.edges.callers.port == 8226
     assert (settings.forward.vm, settings.forward.data_centre) == ("front-1", "north")
     assert settings.forward.extra.ratio == 0.25
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "matched"),
     [
         ("node = ", "node.toml"),
         (SETTINGS.replace('zone = "north"', ""), "zone"),
@@ -195,11 +195,11 @@
         (SETTINGS.replace("127.0.0.1:8226", "nowhere"), "listen.front"),
     ],
 )
-def test_settings_that_cannot_be_used_are_said_in_one_line(tmp_path: Path, text: str, named: str):
+def test_unusable_settings_are_reported_in_one_line(tmp_path: Path, text: str, matched: str):
     path = tmp_path / "node.toml"
     path.write_text(text)
-    with pytest.raises(SettingsError, match=named) as caught:
-        load(path)
-    assert "\n" not in str(caught.value)
+    with pytest.raises(SettingsError, match=matched) as raised:
+        load_settings(path)
+    assert "\n" not in str(raised.value)
     with pytest.raises(SettingsError):
         read_fields({})
--- a/tests/platform_adapter/test_explain.py
+++ b/tests/platform_adapter/test_explain.py
@@ -1,4 +1,4 @@
-"""Each failed request of a real process is explained by its log alone."""
+"""The log of a daemon process is enough to explain each failed request."""
 
 from __future__ import annotations
 
@@ -17,37 +17,41 @@
 from berylspindle_wire.http_client import HttpFailure
 
 REQUESTS = 1000
-AT_A_TIME = 12
+CONCURRENT_REQUESTS = 12
 PATHS = ("/lots/", "/booking/", "/none/")
 
 
-def logged(folder: Path) -> list[LogLine]:
+def read_log(folder: Path) -> list[LogLine]:
     return read_lines((folder / "front-1.jsonl").read_text().splitlines())
 
 
-async def ask(platform: Platform, path: str, request: str, method: str, left_ms: int) -> int:
-    """Return the status that a caller got, or 0 for none."""
-    headers = {"host": HOST, "Request-Id": request, "Deadline-Ms": str(left_ms)}
+async def send_request(
+    platform: Platform, path: str, request_id: str, method: str, deadline_ms: int
+) -> int:
+    """Return the status of the response, or 0 if there is none."""
+    headers = {"host": HOST, "Request-Id": request_id, "Deadline-Ms": str(deadline_ms)}
     try:
-        told = await platform.client.request(method, path, headers=headers, timeout=10)
+        response = await platform.client.request(method, path, headers=headers, timeout=10)
     except HttpFailure:
         return 0
-    return told.status
+    return response.status
 
 
-def spoil_bookings(platform: Platform, trouble: Trouble) -> None:
-    """Let both replicas of the service whose requests may not be repeated misbehave alike."""
+def inject_fault(platform: Platform, fault: Fault) -> None:
+    """Inject a fault into both replicas of the service with non-idempotent requests."""
     for number in range(2):
         behaviour = platform.replicas[f"i-booking-{number}"].behaviour
-        behaviour.spoil, behaviour.spoiled = trouble.spoil, SPOILED * (trouble.spoil is not None)
-        behaviour.fail = SPOILED * (trouble.name == "fail")
-        behaviour.refuse = -1 if trouble.name == "refuse" else 0
-        behaviour.work = trouble.work
+        behaviour.spoil, behaviour.spoiled = fault.spoil, FAULTY_REQUESTS * (
+            fault.spoil is not None
+        )
+        behaviour.fail = FAULTY_REQUESTS * (fault.name == "fail")
+        behaviour.refuse = -1 if fault.name == "refuse" else 0
+        behaviour.work = fault.work
 
 
 @attrs.frozen
-class Trouble:
-    """A trouble of one phase, and the causes that its failed bookings may have."""
+class Fault:
+    """Fault injected during one phase, and the causes that failed bookings may have in it."""
 
     name: str
     causes: set[Cause]
@@ -55,67 +59,69 @@
     work: float = 0.0
 
 
-SPOILED = 15
-TROUBLES = (
-    Trouble("lost", {Cause.ANSWER_LOST}, spoil=Spoil.LOST),
-    Trouble("fail", {Cause.REPLICA_FAILED}),
-    Trouble("foreign", {Cause.BAD_REPLY}, spoil=Spoil.FOREIGN),
-    Trouble("refuse", {Cause.REPLICAS_REFUSED, Cause.RETRY_BUDGET_SPENT}),
-    Trouble("slow", {Cause.REPLICAS_SILENT, Cause.LITTLE_TIME}, work=0.15),
+FAULTY_REQUESTS = 15
+FAULTS = (
+    Fault("lost", {Cause.ANSWER_LOST}, spoil=Spoil.LOST),
+    Fault("fail", {Cause.REPLICA_FAILED}),
+    Fault("foreign", {Cause.BAD_REPLY}, spoil=Spoil.FOREIGN),
+    Fault("refuse", {Cause.REPLICAS_REFUSED, Cause.RETRY_BUDGET_SPENT}),
+    Fault("slow", {Cause.REPLICAS_SILENT, Cause.LITTLE_TIME}, work=0.15),
 )
-LITTLE = {Cause.REPLICAS_SILENT, Cause.LITTLE_TIME}
+SHORT_DEADLINE_CAUSES = {Cause.REPLICAS_SILENT, Cause.LITTLE_TIME}
 
 
-async def test_each_of_a_thousand_requests_of_mixed_fates_has_one_cause(tmp_path: Path) -> None:
-    """A caller names the request that failed, and nobody can say why.
+async def test_each_failed_request_has_one_cause_in_the_log(tmp_path: Path) -> None:
+    """Guard against a failed request whose cause cannot be found in the log.
 
-    Replicas of bookings lose answers, fail, send other requests' answers, refuse and are slow, one
-    trouble after the other; some routes do not exist; some callers leave little time. Every request
-    that was not answered with success has one line with one cause, the one that its trouble allows,
-    unless the allowance of lines was spent, and then the lines say how many are missing.
+    Booking replicas lose responses, fail, respond with another request's ID, reject requests or
+    are slow, one fault for each phase. Some routes do not exist and some deadlines are short. Each
+    failed request has one line with a cause that the injected fault allows, except for lines that
+    the rate limit dropped and counted.
     """
     rng = random.Random(7)
     statuses: dict[str, int] = {}
-    troubles: dict[str, Trouble] = {}
-    hurried: set[str] = set()
+    faults: dict[str, Fault] = {}
+    short_deadlines: set[str] = set()
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
-        free = asyncio.Semaphore(AT_A_TIME)
+        semaphore = asyncio.Semaphore(CONCURRENT_REQUESTS)
 
-        async def one(number: int, trouble: Trouble) -> None:
-            async with free:
+        async def send_one(number: int, fault: Fault) -> None:
+            async with semaphore:
                 path = rng.choices(PATHS, (6, 3, 1))[0]
-                name, left_ms = f"{path[1:5]}-{number}", rng.choice((4000, 4000, 400, 60))
-                troubles[name] = trouble
-                if left_ms < 1000:
-                    hurried.add(name)
+                name, deadline_ms = f"{path[1:5]}-{number}", rng.choice((4000, 4000, 400, 60))
+                faults[name] = fault
+                if deadline_ms < 1000:
+                    short_deadlines.add(name)
                 method = "POST" if path.startswith("/booking") else "GET"
-                statuses[name] = await ask(platform, path + str(number), name, method, left_ms)
-
-        for phase, trouble in enumerate(TROUBLES):
-            spoil_bookings(platform, trouble)
-            each = REQUESTS // len(TROUBLES)
-            numbers = range(phase * each, (phase + 1) * each)
-            await asyncio.gather(*(one(number, trouble) for number in numbers))
-            # The allowance of lines grows again.
+                statuses[name] = await send_request(
+                    platform, path + str(number), name, method, deadline_ms
+                )
+
+        for phase, fault in enumerate(FAULTS):
+            inject_fault(platform, fault)
+            phase_requests = REQUESTS // len(FAULTS)
+            numbers = range(phase * phase_requests, (phase + 1) * phase_requests)
+            await asyncio.gather(*(send_one(number, fault) for number in numbers))
+            # Let the log rate limiter refill.
             await asyncio.sleep(1.0)
-        lines = logged(tmp_path)
+        lines = read_log(tmp_path)
     failed = [name for name, status in statuses.items() if not 200 <= status < 300]
-    found: dict[str, Explanation] = {name: explain_request(lines, name) for name in failed}
-    without = [name for name in failed if len(found[name].ends) != 1]
-    left_out = sum(int(line.fields.get("left_out", 0)) for line in lines)
-    assert len(without) <= left_out, (without[:5], left_out)
-    assert len(without) <= len(failed) / 4
+    explanations: dict[str, Explanation] = {name: explain_request(lines, name) for name in failed}
+    unexplained = [name for name in failed if len(explanations[name].ends) != 1]
+    suppressed = sum(int(line.fields.get("left_out", 0)) for line in lines)
+    assert len(unexplained) <= suppressed, (unexplained[:5], suppressed)
+    assert len(unexplained) <= len(failed) / 4
     seen: set[Cause] = set()
     for name in failed:
-        if not found[name].ends:
+        if not explanations[name].ends:
             continue
-        cause = found[name].ends[0].cause
+        cause = explanations[name].ends[0].cause
         assert cause is not None
-        allowed = {Cause.NO_ROUTE} if name.startswith("none") else troubles[name].causes
-        if name in hurried and not name.startswith("none"):
-            allowed = allowed | LITTLE
-        assert cause in allowed, (name, troubles[name].name, found[name])
+        allowed = {Cause.NO_ROUTE} if name.startswith("none") else faults[name].causes
+        if name in short_deadlines and not name.startswith("none"):
+            allowed = allowed | SHORT_DEADLINE_CAUSES
+        assert cause in allowed, (name, faults[name].name, explanations[name])
         seen.add(cause)
     assert seen >= {
         Cause.NO_ROUTE,
@@ -126,7 +132,7 @@
     assert seen & {Cause.REPLICAS_REFUSED, Cause.RETRY_BUDGET_SPENT}
 
 
-async def test_a_route_that_is_gone_and_replicas_that_are_gone_are_told_apart(
+async def test_missing_route_and_missing_replicas_have_different_causes(
     tmp_path: Path,
 ) -> None:
     async with open_platform(tmp_path) as platform:
@@ -134,40 +140,43 @@
         for number in range(2):
             platform.kv.remove(f"servers/i-booking-{number}")
         await asyncio.sleep(2.5)
-        assert await ask(platform, "/booking/1", "no-replica", "POST", 4000) == 503
+        assert await send_request(platform, "/booking/1", "no-replica", "POST", 4000) == 503
         platform.kv.put("op/config", configuration(2, routes=configuration(2)["routes"][:1]))
         await asyncio.sleep(2.0)
-        assert await ask(platform, "/booking/1", "no-route", "POST", 4000) == 404
+        assert await send_request(platform, "/booking/1", "no-route", "POST", 4000) == 404
         await asyncio.sleep(0.3)
-        lines = logged(tmp_path)
-    gone = explain_request(lines, "no-replica")
-    assert gone.ends[0].cause is Cause.NO_USABLE_REPLICA
-    assert gone.ends[0].inputs["table"] == "1"
+        lines = read_log(tmp_path)
+    no_replica = explain_request(lines, "no-replica")
+    assert no_replica.ends[0].cause is Cause.NO_USABLE_REPLICA
+    assert no_replica.ends[0].inputs["table"] == "1"
     assert any(line.message == "replica gone" for line in lines)
-    absent = explain_request(lines, "no-route")
-    assert absent.ends[0].cause is Cause.NO_ROUTE
-    assert absent.ends[0].inputs["table"] == "2"
-    assert absent.ends[0].inputs["asked"] == f"{HOST}/booking/1"
-    assert any(line.message == "routing table in force" for line in absent.context)
+    no_route = explain_request(lines, "no-route")
+    assert no_route.ends[0].cause is Cause.NO_ROUTE
+    assert no_route.ends[0].inputs["table"] == "2"
+    assert no_route.ends[0].inputs["asked"] == f"{HOST}/booking/1"
+    assert any(line.message == "routing table in force" for line in no_route.context)
 
 
-async def test_five_times_too_much_is_logged_within_the_bound(tmp_path: Path) -> None:
-    """The log of a VM that refuses a thousand requests a second takes the processor from them."""
+async def test_log_lines_of_rejected_requests_are_rate_limited(tmp_path: Path) -> None:
+    """Guard against logging that takes CPU time from requests.
+
+    Without a limit, a VM that rejects a thousand requests a second logs each of them.
+    """
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         for replica in platform.replicas.values():
             replica.behaviour.refuse = -1
-        began = time.monotonic()
-        free = asyncio.Semaphore(20)
+        started_at = time.monotonic()
+        semaphore = asyncio.Semaphore(20)
 
-        async def one(number: int) -> None:
-            async with free:
-                await ask(platform, f"/booking/{number}", f"flood-{number}", "POST", 60)
+        async def send_one(number: int) -> None:
+            async with semaphore:
+                await send_request(platform, f"/booking/{number}", f"flood-{number}", "POST", 60)
 
-        await asyncio.gather(*map(one, range(1200)))
+        await asyncio.gather(*map(send_one, range(1200)))
         await asyncio.sleep(0.5)
-        seconds = time.monotonic() - began
-        lines = [line for line in logged(tmp_path) if line.channel == "request"]
+        seconds = time.monotonic() - started_at
+        lines = [line for line in read_log(tmp_path) if line.channel == "request"]
     bound = sum(rate.burst + seconds * rate.per_second for rate in RATES.values())
     assert len(lines) <= bound
     assert len(lines) < 1200
--- a/tests/platform_adapter/test_main.py
+++ b/tests/platform_adapter/test_main.py
@@ -1,4 +1,4 @@
-"""The program's start: where it listens, and what it says of settings that can't be used."""
+"""Startup of the program: the listen address and errors in it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 """
 
 
-def run(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+def run_main(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
     path = folder / "node.toml"
     path.write_text(SETTINGS)
     return subprocess.run(
@@ -34,18 +34,18 @@
 
 
 @pytest.mark.parametrize(
-    ("argument", "code", "said"),
+    ("argument", "code", "message"),
     [
-        ("nowhere", 2, "no address to listen on: 'nowhere'"),
-        ("192.0.2.1:80", 3, "can't listen on 192.0.2.1:80"),
-        ("127.0.0.1:0", 2, "listen.front is 127.0.0.1:9, the argument says 127.0.0.1:0"),
+        ("nowhere", 2, "invalid listen address: 'nowhere'"),
+        ("192.0.2.1:80", 3, "cannot listen on 192.0.2.1:80"),
+        ("127.0.0.1:0", 2, "listen.front is 127.0.0.1:9, but the address argument is 127.0.0.1:0"),
     ],
 )
-def test_an_address_that_cannot_be_used_ends_the_start_with_one_line(
-    tmp_path: Path, argument: str, code: int, said: str
+def test_unusable_listen_address_ends_startup_with_one_line(
+    tmp_path: Path, argument: str, code: int, message: str
 ) -> None:
-    """Guard against a daemon that listens where the platform does not send callers."""
-    ended = run(tmp_path, argument)
-    assert ended.returncode == code
-    assert ended.stderr.startswith(f"berylspindle: {said}")
-    assert len(ended.stderr.splitlines()) == 1
+    """Guard against a daemon that listens on an address to which the platform sends no callers."""
+    completed = run_main(tmp_path, argument)
+    assert completed.returncode == code
+    assert completed.stderr.startswith(f"berylspindle: {message}")
+    assert len(completed.stderr.splitlines()) == 1
--- a/tests/platform_adapter/test_platform_store.py
+++ b/tests/platform_adapter/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the product's `Store`, against the stand-in over sockets."""
+"""`PlatformStore` against the stand-in store over sockets."""
 
 from __future__ import annotations
 
@@ -22,31 +22,34 @@
 
 
 @asynccontextmanager
-async def opened() -> AsyncIterator[tuple[KvStandin, PlatformStore]]:
+async def open_store() -> AsyncIterator[tuple[KvStandin, PlatformStore]]:
     async with open_kv() as kv, PlatformStore("127.0.0.1", kv.port, OPTIONS) as store:
         yield kv, store
 
 
-async def test_what_is_written_is_read_and_a_wrong_revision_changes_nothing():
-    async with opened() as (_, store):
+async def test_written_value_is_read_and_wrong_revision_is_rejected():
+    async with open_store() as (_, store):
         assert await store.get("mine/a") is None
-        made = await store.compare_and_swap("mine/a", b"\x00one", expect=0)
+        created = await store.compare_and_swap("mine/a", b"\x00one", expect=0)
         read = await store.get("mine/a")
         assert read is not None
-        assert (read.value, read.revision) == (b"\x00one", made.revision)
-        with pytest.raises(StoreConflict) as caught:
+        assert (read.value, read.revision) == (b"\x00one", created.revision)
+        with pytest.raises(StoreConflict) as raised:
             await store.compare_and_swap("mine/a", b"two", expect=0)
-        assert caught.value.current == read
-        await store.compare_and_swap("mine/a", None, expect=made.revision)
-        with pytest.raises(StoreConflict) as caught:
-            await store.compare_and_swap("mine/a", b"two", expect=made.revision)
-        assert caught.value.current is None
+        assert raised.value.current == read
+        await store.compare_and_swap("mine/a", None, expect=created.revision)
+        with pytest.raises(StoreConflict) as raised:
+            await store.compare_and_swap("mine/a", b"two", expect=created.revision)
+        assert raised.value.current is None
 
 
-async def test_a_list_of_many_pages_goes_on_from_the_first_one_s_revision():
-    """A change between two pages is never told, since the watch begins after the last page."""
-    async with opened() as (kv, store):
-        kv.page = 7
+async def test_list_of_many_pages_has_the_revision_of_the_first_page():
+    """Guard against losing a change made between two pages.
+
+    That happens if the watch starts at the revision of the last page.
+    """
+    async with open_store() as (kv, store):
+        kv.page_size = 7
         for number in range(30):
             kv.put(f"servers/{number:02}", {"n": number})
         before = kv.rev
@@ -56,9 +59,9 @@
         assert kv.calls["kv-range"] == 5
 
 
-async def test_a_watch_after_a_cached_list_tells_all_that_the_list_lacks():
-    """Guards against changes lost between a list that is seconds old and the watch after it."""
-    async with opened() as (kv, store):
+async def test_watch_after_a_cached_list_returns_all_newer_changes():
+    """Guard against losing changes between a list that is seconds old and the watch after it."""
+    async with open_store() as (kv, store):
         kv.put("servers/a", {"n": 1})
         kv.put("servers/b", {"n": 1})
         kv.stale_items = dict(kv.items)
@@ -66,15 +69,15 @@
         kv.remove("servers/b")
         listed = await store.list_cached("servers/")
         assert [entry.key for entry in listed.entries] == ["servers/a", "servers/b"]
-        told = await store.watch("servers/", after=listed.revision, wait=1.0)
-        assert [(entry.key, entry.value is None) for entry in told.entries] == [
+        watched = await store.watch("servers/", after=listed.revision, wait=1.0)
+        assert [(entry.key, entry.value is None) for entry in watched.entries] == [
             ("servers/a", False),
             ("servers/b", True),
         ]
 
 
-async def test_a_watch_tells_changes_in_order_and_a_forgotten_history():
-    async with opened() as (kv, store):
+async def test_watch_returns_changes_in_order_and_reports_compaction():
+    async with open_store() as (kv, store):
         kv.put("op/config", {"version": 1})
         after = kv.rev
         waiting = asyncio.create_task(store.watch("op/", after=after, wait=5))
@@ -83,47 +86,47 @@
         await asyncio.sleep(0.02)
         assert not waiting.done()
         kv.put("op/config", {"version": 2})
-        told = await waiting
-        assert [entry.value for entry in told.entries] == [b'{"version": 2}']
+        watched = await waiting
+        assert [entry.value for entry in watched.entries] == [b'{"version": 2}']
         kv.remove("op/config")
-        rest = await store.watch("op/", after=told.revision, wait=5)
+        rest = await store.watch("op/", after=watched.revision, wait=5)
         assert [entry.value for entry in rest.entries] == [None]
-        kv.forget()
+        kv.compact_history()
         await asyncio.sleep(0.02)
         kv.put("op/config", {"version": 3})
         assert (await store.watch("op/", after=after, wait=1)).compacted
 
 
 @pytest.mark.parametrize(
-    ("outage", "write"),
+    ("outage", "write_error"),
     [("503", StoreAway), ("429", StoreAway), ("reset", StoreUnsure), ("silent", StoreUnsure)],
 )
-async def test_what_an_outage_says_of_a_write(outage: str, write: type[Exception]):
-    """A claim counts as not made though it stands: the store took it and did not answer."""
-    async with opened() as (kv, store):
+async def test_outage_maps_to_store_errors(outage: str, write_error: type[Exception]):
+    """Guard against a claim treated as not made when the store applied it without a response."""
+    async with open_store() as (kv, store):
         kv.outage = outage
         with pytest.raises(StoreAway):
             await store.get("a")
         with pytest.raises(StoreAway):
             await store.watch("a", after=kv.rev, wait=0.1)
-        with pytest.raises(write):
+        with pytest.raises(write_error):
             await store.compare_and_swap("a", b"1", expect=0)
 
 
-async def test_a_write_that_is_done_late_is_told_as_unsure_and_found_by_its_condition():
-    async with opened() as (kv, store):
-        kv.lose, kv.late = 1, 0.05
+async def test_delayed_write_is_reported_as_unsure_and_then_conflicts():
+    async with open_store() as (kv, store):
+        kv.unanswered_writes, kv.write_delay_s = 1, 0.05
         with pytest.raises(StoreUnsure):
             await store.compare_and_swap("a", b"mine", expect=0)
         await asyncio.sleep(0.1)
-        with pytest.raises(StoreConflict) as caught:
+        with pytest.raises(StoreConflict) as raised:
             await store.compare_and_swap("a", b"again", expect=0)
-        assert caught.value.current is not None
-        assert caught.value.current.value == b"mine"
+        assert raised.value.current is not None
+        assert raised.value.current.value == b"mine"
 
 
-async def test_leases_bind_entries_and_end():
-    async with opened() as (kv, store):
+async def test_revoked_lease_removes_its_entries():
+    async with open_store() as (kv, store):
         lease = await store.grant_lease(5.0)
         assert lease.ttl == 5.0
         await store.compare_and_swap("a", b"1", expect=0, lease=lease.id)
--- a/tests/platform_adapter/test_rollout.py
+++ b/tests/platform_adapter/test_rollout.py
@@ -1,4 +1,4 @@
-"""A rollout over the adapter's program: an order, replicas of two versions, and a status."""
+"""Rollouts in a running daemon: an order, replicas of two versions, and the status."""
 
 from __future__ import annotations
 
@@ -14,41 +14,42 @@
 TERM_S = 6
 CALLERS = 6
 WORK_S = 0.02
-"""What an answer takes, so that a busy machine's milliseconds do not make it a slow one."""
+"""Processing time of a request, long enough that a delay of some milliseconds on a busy machine
+does not make the response look slow."""
 STATUS = f"status/rollout/{SERVICE}"
 
 
-def state(platform: Platform) -> str:
+def rollout_state(platform: Platform) -> str:
     item = platform.kv.items.get(STATUS)
     return json.loads(item.value)["state"] if item is not None else ""
 
 
-async def until(platform: Platform, *states: str) -> None:
+async def wait_for_state(platform: Platform, *states: str) -> None:
     async with asyncio.timeout(4 * TERM_S):
-        while state(platform) not in states:  # noqa: ASYNC110
+        while rollout_state(platform) not in states:  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
 
 @asynccontextmanager
 async def under_load(platform: Platform):
-    """Send searches one after the other from some callers; yield their statuses."""
+    """Send searches from `CALLERS` concurrent callers; yield the list of response statuses."""
     statuses: list[int] = []
 
     async def call() -> None:
         while True:
-            statuses.append((await platform.ask(f"/lots/{len(statuses)}")).status)
+            statuses.append((await platform.request(f"/lots/{len(statuses)}")).status)
             await asyncio.sleep(0.02)
 
     callers = [asyncio.create_task(call()) for _ in range(CALLERS)]
     yield statuses
     for caller in callers:
         caller.cancel()
-    ended = await asyncio.gather(*callers, return_exceptions=True)
-    assert all(isinstance(one, asyncio.CancelledError) for one in ended)
+    results = await asyncio.gather(*callers, return_exceptions=True)
+    assert all(isinstance(result, asyncio.CancelledError) for result in results)
 
 
-async def order(platform: Platform, *, fails: bool) -> tuple[list, list]:
-    """Order a move to v2; return the replicas of v1 and those of v2."""
+async def order_rollout(platform: Platform, *, fails: bool) -> tuple[list, list]:
+    """Order a rollout to v2; return the replicas of v1 and those of v2."""
     old = [r for r in platform.replicas.values() if r.service == SERVICE]
     for replica in old:
         replica.behaviour.work = WORK_S
@@ -68,49 +69,49 @@
     return old, new
 
 
-def runs(replicas: list) -> int:
+def count_runs(replicas: list) -> int:
     return sum(sum(replica.counts.runs.values()) for replica in replicas)
 
 
-async def test_a_sound_version_takes_over_and_the_old_one_may_stop_at_once(tmp_path: Path) -> None:
-    """Guards against requests that are cut since the old replicas stop with the status."""
+async def test_old_replicas_may_stop_as_soon_as_the_rollout_is_completed(tmp_path: Path) -> None:
+    """Guard against cut requests: old replicas stop as soon as the status is `completed`."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         async with under_load(platform) as statuses:
-            old, new = await order(platform, fails=False)
-            await until(platform, "running")
-            await until(platform, "completed", "rolled_back")
-            assert state(platform) == "completed"
-            ran = runs(old)
+            old, new = await order_rollout(platform, fails=False)
+            await wait_for_state(platform, "running")
+            await wait_for_state(platform, "completed", "rolled_back")
+            assert rollout_state(platform) == "completed"
+            runs_before = count_runs(old)
             for replica in old:
                 await replica.close()
-            sent = len(statuses)
-            while len(statuses) < sent + 30:  # noqa: ASYNC110
+            sent_before = len(statuses)
+            while len(statuses) < sent_before + 30:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-            assert runs(old) == ran
-        assert runs(new) > 30
+            assert count_runs(old) == runs_before
+        assert count_runs(new) > 30
         assert set(statuses) == {200}
 
 
-async def test_a_version_that_fails_is_rolled_back_and_gets_nothing_more(tmp_path: Path) -> None:
+async def test_failing_version_is_rolled_back_and_receives_no_more_requests(tmp_path: Path) -> None:
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         async with under_load(platform) as statuses:
-            _, new = await order(platform, fails=True)
-            await until(platform, "completed", "rolled_back")
-            assert state(platform) == "rolled_back"
-            # The program hears of its own status by its watch.
+            _, new = await order_rollout(platform, fails=True)
+            await wait_for_state(platform, "completed", "rolled_back")
+            assert rollout_state(platform) == "rolled_back"
+            # The daemon receives its own status entry through its watch.
             await asyncio.sleep(1.5)
-            ran, sent = runs(new), len(statuses)
-            while len(statuses) < sent + 50:  # noqa: ASYNC110
+            runs_before, sent_before = count_runs(new), len(statuses)
+            while len(statuses) < sent_before + 50:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-            assert runs(new) == ran
-            assert 0 < ran <= 0.1 * sent + 50
+            assert count_runs(new) == runs_before
+            assert 0 < runs_before <= 0.1 * sent_before + 50
         assert set(statuses) == {200}
 
 
-async def test_another_vm_goes_on_with_a_rollout_when_the_first_is_killed(tmp_path: Path) -> None:
-    """Guards against a rollout that waits for a VM that is gone."""
+async def test_another_vm_continues_a_rollout_when_the_first_is_killed(tmp_path: Path) -> None:
+    """Guard against a rollout that waits for a VM that was killed."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         _, client, ready, _ = await start_vm(
@@ -120,39 +121,39 @@
         await platform.until_ready()
         platform.client, platform.ready = client, first
         async with under_load(platform) as statuses:
-            await order(platform, fails=False)
-            await until(platform, "running")
+            await order_rollout(platform, fails=False)
+            await wait_for_state(platform, "running")
             platform.process.kill()
-            await until(platform, "completed", "rolled_back")
+            await wait_for_state(platform, "completed", "rolled_back")
         assert set(statuses) == {200}
 
 
-async def test_an_order_for_the_version_in_force_is_completed_at_once(tmp_path: Path) -> None:
-    """Guards against a service without usable replicas, since all are of the ordered version."""
+async def test_order_for_the_current_version_is_completed_at_once(tmp_path: Path) -> None:
+    """Guard against a service without usable replicas when all already run the ordered version."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         replicas = [r for r in platform.replicas.values() if r.service == SERVICE]
         for replica in replicas:
             platform.announce(replica, version="v2")
         async with under_load(platform) as statuses:
-            ran = runs(replicas)
+            runs_before = count_runs(replicas)
             platform.kv.put(
                 f"op/rollout/{SERVICE}",
                 {"service": SERVICE, "target_version": "v2", "term_s": TERM_S},
             )
-            await until(platform, "completed")
-            sent = len(statuses)
-            while len(statuses) < sent + 20:  # noqa: ASYNC110
+            await wait_for_state(platform, "completed")
+            sent_before = len(statuses)
+            while len(statuses) < sent_before + 20:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-            assert runs(replicas) - ran >= len(statuses)
+            assert count_runs(replicas) - runs_before >= len(statuses)
         assert set(statuses) == {200}
 
 
-@pytest.mark.parametrize("said", [b"", b"[]", b'{"target_version": 3}'])
-async def test_an_order_that_cannot_be_read_changes_nothing(tmp_path: Path, said: bytes) -> None:
+@pytest.mark.parametrize("value", [b"", b"[]", b'{"target_version": 3}'])
+async def test_malformed_order_is_ignored(tmp_path: Path, value: bytes) -> None:
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
-        platform.kv.put(f"op/rollout/{SERVICE}", said)
+        platform.kv.put(f"op/rollout/{SERVICE}", value)
         await asyncio.sleep(1.0)
-        assert (await platform.ask("/lots/1")).status == 200
-        assert state(platform) == ""
+        assert (await platform.request("/lots/1")).status == 200
+        assert rollout_state(platform) == ""
--- a/tests/platform_adapter/test_whole_path.py
+++ b/tests/platform_adapter/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The adapter's program as a process of its own, between stand-ins of the platform on sockets."""
+"""The daemon as a separate process, between stand-ins for the platform on sockets."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 @attrs.define(kw_only=True)
 class Platform:
-    """A store, replicas that it knows, and one VM of the system."""
+    """A store, the replicas announced in it, and one VM."""
 
     kv: KvStandin
     process: asyncio.subprocess.Process
@@ -73,7 +73,7 @@
     control: int
     count: int = 0
 
-    async def ask(self, path: str, method: str = "GET", body: bytes = b"") -> HttpResponse:
+    async def request(self, path: str, method: str = "GET", body: bytes = b"") -> HttpResponse:
         self.count += 1
         headers = {"host": HOST, "Request-Id": f"id-{self.count}", "Deadline-Ms": "4000"}
         return await self.client.request(method, path, headers=headers, body=body, timeout=10)
@@ -90,7 +90,7 @@
                 await asyncio.sleep(0.02)
 
     def announce(self, replica: ForwardReplica, state: str = "ready", **fields: object) -> None:
-        said = {
+        announcement = {
             "service": replica.service,
             "addr": f"127.0.0.1:{replica.port}",
             "zone": "north",
@@ -99,19 +99,22 @@
             "warmup_left_ms": 0,
             "sequence": 1,
         }
-        self.kv.put(f"servers/{replica.id}", said | fields)
+        self.kv.put(f"servers/{replica.id}", announcement | fields)
 
 
 async def start_vm(
     stack: AsyncExitStack, kv: KvStandin, folder: Path, name: str, seeds: tuple[int, ...] = ()
 ) -> tuple[asyncio.subprocess.Process, HttpClient, HttpClient, int]:
-    """Start one VM; return its process, clients of its edges, and its port for peers."""
+    """Start one VM.
+
+    Return its process, clients for callers and readiness, and its port for peers.
+    """
     front, ready, metrics, control = free_ports(4)
     path = folder / f"{name}.toml"
-    known = ", ".join(f'"127.0.0.1:{seed}"' for seed in (control, *seeds))
+    seed_list = ", ".join(f'"127.0.0.1:{seed}"' for seed in (control, *seeds))
     path.write_text(
         f'node = "{name}"\nzone = "north"\nip = "127.0.0.1"\nmetrics_port = {metrics}\n'
-        f"seeds = [{known}]\n"
+        f"seeds = [{seed_list}]\n"
         f'[listen]\nfront = "127.0.0.1:{front}"\nready = "127.0.0.1:{ready}"\n'
         f'control = "127.0.0.1:{control}"\n'
         f"[bounds]\ngrace_s = 5\nbudget_slack = 60\nexposure = 0.1\nexposure_slack = 50\n"
@@ -126,10 +129,10 @@
         stdout=(folder / f"{name}.jsonl").open("wb"),
         cwd=folder,
     )
-    stack.push_async_callback(_end, process)
+    stack.push_async_callback(_kill, process)
     clients = [HttpClient("127.0.0.1", port, limit=20) for port in (front, ready)]
-    for one in clients:
-        await stack.enter_async_context(one)
+    for client in clients:
+        await stack.enter_async_context(client)
     return process, clients[0], clients[1], control
 
 
@@ -160,112 +163,114 @@
         yield platform
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
+async def _kill(process: asyncio.subprocess.Process) -> None:
     if process.returncode is None:
         process.kill()
         await process.wait()
 
 
-async def test_a_search_and_a_booking_pass_and_the_operator_s_changes_come_into_force(
+async def test_requests_are_forwarded_and_operator_changes_take_effect(
     tmp_path: Path,
 ) -> None:
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
-        told = await platform.ask("/lots/1")
+        response = await platform.request("/lots/1")
         bodies = {shard: answer_body(shard, "/lots/1") for shard in SHARDS}
-        assert told.status == 200
-        assert told.body == greatest(bodies.values(), 5)
-        assert set(told.headers["part-stamps"].split(", ")) == {
+        assert response.status == 200
+        assert response.body == greatest(bodies.values(), 5)
+        assert set(response.headers["part-stamps"].split(", ")) == {
             signature_of(shard, "id-1", body) for shard, body in bodies.items()
         }
-        assert (await platform.ask("/booking/1", "POST", b"{}")).status == 200
+        assert (await platform.request("/booking/1", "POST", b"{}")).status == 200
         leaving = platform.replicas["i-booking-0"]
         platform.announce(leaving, state="draining")
         platform.kv.put("servers/i-broken", b"\xff\x00")
         platform.kv.put("op/config", configuration(2, routes=configuration(2)["routes"][1:]))
         async with asyncio.timeout(5):
-            while (await platform.ask("/lots/2")).status != 404:  # noqa: ASYNC110
+            while (await platform.request("/lots/2")).status != 404:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
         before = leaving.counts.arrivals
         for _ in range(10):
-            assert (await platform.ask("/booking/2", "POST", b"{}")).status == 200
+            assert (await platform.request("/booking/2", "POST", b"{}")).status == 200
         assert leaving.counts.arrivals == before
 
 
-async def test_with_the_store_away_a_vm_serves_by_what_it_knew_and_follows_when_it_is_back(
+async def test_vm_serves_during_a_store_outage_and_catches_up_after_it(
     tmp_path: Path,
 ) -> None:
-    """Searches end with the store: a VM that can't reach it forgets its routes or its replicas."""
+    """Guard against a VM that drops its routes or replicas when the store is unreachable."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         platform.kv.outage = "reset"
-        platform.kv.cut()
+        platform.kv.reset_connections()
         await asyncio.sleep(0.3)
-        assert (await platform.ask("/lots/1")).status == 200
-        # Leases of live replicas lapse meanwhile; they announce themselves again in time.
+        assert (await platform.request("/lots/1")).status == 200
+        # Leases of live replicas expire during the outage; the replicas announce themselves again.
         for replica in platform.replicas.values():
             platform.kv.remove(f"servers/{replica.id}")
-        platform.kv.forget()
+        platform.kv.compact_history()
         platform.kv.outage = ""
         await asyncio.sleep(0.8)
         for number in range(5):
-            assert (await platform.ask(f"/lots/{number}")).status == 200
+            assert (await platform.request(f"/lots/{number}")).status == 200
         for replica in platform.replicas.values():
             if replica.service != "booking":
                 platform.announce(replica)
         await asyncio.sleep(3.5)
-        assert (await platform.ask("/lots/9")).status == 200
-        # These have not come back within the time for it, and count as gone.
-        assert (await platform.ask("/booking/9", "POST", b"{}")).status == 503
+        assert (await platform.request("/lots/9")).status == 200
+        # The booking replicas were not announced again in time and are removed.
+        assert (await platform.request("/booking/9", "POST", b"{}")).status == 503
 
 
-async def test_a_vm_that_starts_while_the_store_is_away_learns_all_from_its_peers(
+async def test_vm_started_during_a_store_outage_loads_from_its_peers(
     tmp_path: Path,
 ) -> None:
-    """A VM that is replaced during an outage of the store serves nobody until the outage ends."""
+    """Guard against a VM replaced during a store outage that cannot serve until the outage ends."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         platform.kv.outage = "reset"
-        platform.kv.cut()
+        platform.kv.reset_connections()
         _, client, ready, _ = await start_vm(
             platform.stack, platform.kv, tmp_path, "front-2", seeds=(platform.control,)
         )
         platform.client, platform.ready = client, ready
         await platform.until_ready()
-        assert (await platform.ask("/lots/1")).status == 200
+        assert (await platform.request("/lots/1")).status == 200
         platform.kv.outage = ""
         platform.kv.put("op/config", configuration(2, routes=configuration(2)["routes"][1:]))
         async with asyncio.timeout(8):
-            while (await platform.ask("/lots/2")).status != 404:  # noqa: ASYNC110
+            while (await platform.request("/lots/2")).status != 404:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
 
 
-async def test_a_vm_that_the_store_turns_away_follows_its_peers(tmp_path: Path) -> None:
-    """A VM goes on with old routes while its neighbours follow the operator's changes.
+async def test_vm_rejected_by_the_store_follows_its_peers(tmp_path: Path) -> None:
+    """Guard against a VM that keeps old routes while its peers apply the operator's changes.
 
-    The store turns this one VM away, as its stand-in does on a port of its own.
+    The store rejects calls of this VM only; a second stand-in on another port does so here.
     """
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
-        turned_away = KvStandin(rev=platform.kv.rev, items=platform.kv.items)
-        server = await asyncio.start_server(turned_away.serve, "127.0.0.1", 0)
-        turned_away.port = server.sockets[0].getsockname()[1]
-        turned_away.outage = "503"
+        rejecting_kv = KvStandin(rev=platform.kv.rev, items=platform.kv.items)
+        server = await asyncio.start_server(rejecting_kv.serve, "127.0.0.1", 0)
+        rejecting_kv.port = server.sockets[0].getsockname()[1]
+        rejecting_kv.outage = "503"
         _, client, ready, _ = await start_vm(
-            platform.stack, turned_away, tmp_path, "front-2", seeds=(platform.control,)
+            platform.stack, rejecting_kv, tmp_path, "front-2", seeds=(platform.control,)
         )
         platform.client, platform.ready = client, ready
         await platform.until_ready()
-        assert (await platform.ask("/lots/1")).status == 200
+        assert (await platform.request("/lots/1")).status == 200
         platform.kv.put("op/config", configuration(2, routes=configuration(2)["routes"][1:]))
         async with asyncio.timeout(5):
-            while (await platform.ask("/lots/2")).status != 404:  # noqa: ASYNC110
+            while (await platform.request("/lots/2")).status != 404:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
         server.close()
 
 
-async def test_a_stop_ends_within_its_grace_while_the_store_is_silent(tmp_path: Path) -> None:
-    """Guards against a process that waits for the store until it is killed."""
+async def test_shutdown_ends_within_its_grace_period_while_the_store_is_silent(
+    tmp_path: Path,
+) -> None:
+    """Guard against a process that waits for the store during shutdown until it is killed."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         async with asyncio.timeout(10):
@@ -277,38 +282,38 @@
         platform.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(GRACE_S):
             await asyncio.sleep(1.2)
-            asking = asyncio.create_task(platform.ask("/lots/1"))
+            pending = asyncio.create_task(platform.request("/lots/1"))
             assert await platform.process.wait() == 0
-        await asyncio.gather(asking, return_exceptions=True)
+        await asyncio.gather(pending, return_exceptions=True)
 
 
-async def test_on_sigterm_a_vm_is_unready_at_once_and_answers_all_that_comes(
+async def test_on_sigterm_vm_is_unready_at_once_and_serves_until_it_closes(
     tmp_path: Path,
 ) -> None:
-    """Callers get errors while a VM is replaced."""
+    """Guard against errors for callers while a VM is replaced."""
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         for replica in platform.replicas.values():
             replica.behaviour.work = 0.05
-        told: list[HttpResponse] = []
+        responses: list[HttpResponse] = []
         failures: list[HttpFailure] = []
 
-        async def ask_all_along() -> None:
+        async def send_until_stopped() -> None:
             while platform.process.returncode is None:
                 try:
-                    told.append(await platform.ask("/lots/1"))
+                    responses.append(await platform.request("/lots/1"))
                 except HttpFailure as failure:
                     failures.append(failure)
                     return
 
-        askers = [asyncio.create_task(ask_all_along()) for _ in range(6)]
+        senders = [asyncio.create_task(send_until_stopped()) for _ in range(6)]
         await asyncio.sleep(0.2)
         platform.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
         assert not await platform.is_ready()
-        await asyncio.gather(*askers)
+        await asyncio.gather(*senders)
         assert await asyncio.wait_for(platform.process.wait(), 6) == 0
-        # Once the port is closed nothing is taken, and each caller is told so.
+        # Once the port is closed, connections are refused before a request is sent.
         assert {failure.phase for failure in failures} == {FailurePhase.NOT_SENT}
-        assert {one.status for one in told} == {200}
-        assert len(told) > 20
+        assert {response.status for response in responses} == {200}
+        assert len(responses) > 20
