--- a/libs/controlplane/berylspindle_controlplane/__init__.py
+++ b/libs/controlplane/berylspindle_controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration, intents, membership and ownership."""
+"""Control plane: configuration, intents, membership and ownership."""
--- a/libs/controlplane/berylspindle_controlplane/documents.py
+++ b/libs/controlplane/berylspindle_controlplane/documents.py
@@ -1,11 +1,11 @@
-"""The keys and values of the control plane in the configuration store.
+"""Keys and values of the control plane in the configuration store.
 
 Terms:
   view key            views/<data centre>, changed only by compare-and-swap
-  configuration key   config/current, the one document with its revision inside
+  configuration key   config/current, a single document that contains its revision
 
-Flow: whoever reads a value decodes it here; what cannot be decoded is reported and left alone, so
-that a value which somebody wrote by hand stops no VM that has a good one.
+Readers report and ignore values that cannot be decoded, so that a value written by hand does not
+stop a VM that has a valid one.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 def view_key(data_centre: str) -> str:
-    """Return the key of a data centre's view."""
+    """Return the store key of a data centre's view."""
     return VIEWS_PREFIX + data_centre
 
 
 def view_to_value(view: View) -> bytes:
-    """Return the value that the store holds for a view."""
+    """Encode a view for the store."""
     return codec.to_json(view)
 
 
 def view_from_value(value: bytes) -> View:
-    """Return the view that a value holds; raises codec.MalformedError for anything else."""
+    """Decode a view from the store. Raises codec.MalformedError."""
     return codec.from_json(value, View)
--- a/libs/controlplane/berylspindle_controlplane/joiner.py
+++ b/libs/controlplane/berylspindle_controlplane/joiner.py
@@ -1,12 +1,12 @@
-"""Learn the first configuration and join the view, as often as this VM is not in it.
+"""Fetch the first configuration and keep this VM in the view of its data centre.
 
 Terms:
-  seeds    addresses of a few VMs from the settings, asked first by a VM that knows nobody
+  seeds    addresses of a few VMs from the settings, called by a VM that knows no other VMs
 
-Flow: `learn` asks the store and, while it is away, seeds and listed VMs; `join_forever` asks a
-member to collect this VM with others into one change of the view, or changes it itself.
-What it guards against: a VM that was held dead while it was paused finds itself out of the view
-when it wakes; it joins again as a member of a new epoch, with none of its old rights.
+Flow: `fetch_initial_state` reads the store or, while that is unavailable, calls seeds and listed
+VMs; `maintain_membership` asks a member to add this VM to the view, in one change with other joins,
+or changes the view itself. A VM that was removed as dead while it was paused joins again, as a
+member of a new epoch and without its former rights.
 """
 
 from __future__ import annotations
@@ -20,8 +20,14 @@
 
 from berylspindle_controlplane.gossip import Gossip
 from berylspindle_controlplane.store_watcher import StoreWatcher
-from berylspindle_controlplane.transport import JOIN, PULL, Address, Transport, TransportError
-from berylspindle_controlplane.view_keeper import Join, ViewKeeper
+from berylspindle_controlplane.transport import (
+    JOIN_METHOD,
+    PULL_METHOD,
+    Address,
+    Transport,
+    TransportError,
+)
+from berylspindle_controlplane.view_keeper import Join, ViewWriter
 from berylspindle_model import codec
 from berylspindle_model.control_messages import PullRequest
 from berylspindle_model.delta import Changes, unpack_changes
@@ -29,19 +35,19 @@
 from berylspindle_store.store import StoreAway, StoreUnsure
 from berylspindle_store.vm_list import VmList, VmRole
 
-# Joins of other VMs that arrive within this time share one change of the view.
-COLLECT: Final = 0.1
-_MAX_SEEDS: Final = 5
-# Joins go to the same few members, so that they meet there.
-_JOIN_MEMBERS: Final = 2
+# Joins of other VMs that arrive within this time are combined into one change of the view.
+JOIN_BATCH_WINDOW_S: Final = 0.1
+_MAX_SEEDS_PER_ROUND: Final = 5
+# All joins are sent to the same few members, so that these can combine them.
+_MAX_JOIN_TARGETS: Final = 2
 
 
 @attrs.frozen(kw_only=True)
 class JoinLimits:
     """The times of joining, in seconds.
 
-    `retry` is doubled up to `max_retry`, and `alone_after` up to `max_alone`; see
-    `Joiner._may_join_alone`.
+    `retry` doubles up to `max_retry`, and `alone_after` up to `max_alone`; see
+    `Joiner._may_join_directly`.
     """
 
     alone_after: float = 5.0
@@ -53,40 +59,40 @@
 
 
 class Joiner:
-    """The first steps of one VM, and its way back."""
+    """The join of one VM, at its start and after a removal."""
 
     def __init__(
         self,
-        me: Vm,
+        local_vm: Vm,
         limits: JoinLimits,
         *,
         gossip: Gossip,
-        keeper: ViewKeeper,
+        view_writer: ViewWriter,
         watcher: StoreWatcher,
         transport: Transport,
         vm_list: VmList | None,
         seeds: Sequence[Address],
         rng: random.Random,
     ) -> None:
-        self._me: Final = me
+        self._local_vm: Final = local_vm
         self._limits: Final = limits
         self._gossip: Final = gossip
-        self._keeper: Final = keeper
+        self._view_writer: Final = view_writer
         self._watcher: Final = watcher
         self._transport: Final = transport
         self._vm_list: Final = vm_list
         self._seeds: Final = tuple(seeds)
         self._rng: Final = rng
         self._leaving = False
-        self._out_since: float | None = None
-        self._alone_after = limits.alone_after
+        self._not_member_since: float | None = None
+        self._direct_join_after = limits.alone_after
 
     def stop(self) -> None:
-        """Join no more, and take no other VM's join; the VM is about to leave."""
+        """Stop joining and stop accepting joins of other VMs, before this VM leaves."""
         self._leaving = True
 
-    async def learn(self) -> None:
-        """Ask the store and the seeds in turn until a configuration is known."""
+    async def fetch_initial_state(self) -> None:
+        """Read the store and call the seeds in turn until a configuration is known."""
         wait = self._limits.retry
         while self._gossip.knowledge.revision == 0:
             try:
@@ -94,79 +100,83 @@
             except (StoreAway, StoreUnsure):
                 pass
             if self._gossip.knowledge.revision == 0:
-                await self._ask_seeds()
-                wait = await self._pause(wait)
+                await self._pull_from_seeds()
+                wait = await self._back_off(wait)
 
-    async def join_forever(self) -> None:
-        """Join the view, and again whenever this VM finds itself removed."""
+    async def maintain_membership(self) -> None:
+        """Join the view, and join again whenever this VM has been removed."""
         wait = self._limits.retry
         while not self._leaving:
             if self._gossip.ownership.is_member:
                 wait = self._limits.retry
-                self._out_since = None
+                self._not_member_since = None
                 await asyncio.sleep(self._limits.check)
             elif not await self._join_once():
-                wait = await self._pause(wait)
+                wait = await self._back_off(wait)
 
-    async def answer_join(self, payload: bytes) -> bytes:
-        """Add the VM that asks, together with others that ask now; return all that is known."""
+    async def handle_join(self, payload: bytes) -> bytes:
+        """Add the calling VM to the view, with other VMs that join now; return the full state."""
         vm = codec.from_pack(payload, Vm)
-        await asyncio.sleep(COLLECT)
-        if vm.data_centre == self._me.data_centre and not self._leaving:
-            await self._keeper.submit(Join(vm))
-        nothing = PullRequest(sender=vm.id, revision=0, epochs={})
-        return self._gossip.answer_pull(codec.to_pack(nothing))
+        await asyncio.sleep(JOIN_BATCH_WINDOW_S)
+        if vm.data_centre == self._local_vm.data_centre and not self._leaving:
+            await self._view_writer.submit(Join(vm))
+        from_scratch = PullRequest(sender=vm.id, revision=0, epochs={})
+        return self._gossip.handle_pull(codec.to_pack(from_scratch))
 
-    async def _pause(self, wait: float) -> float:
+    async def _back_off(self, wait: float) -> float:
         await asyncio.sleep(wait * (0.5 + self._rng.random()))
         return min(self._limits.max_retry, 2 * wait)
 
     async def _join_once(self) -> bool:
         now = asyncio.get_running_loop().time()
-        if self._out_since is None:
-            self._out_since = now
-        # One member collects the joins of many VMs into one swap: a data centre that starts at
-        # once would else race itself for each epoch.
+        if self._not_member_since is None:
+            self._not_member_since = now
+        # One member combines the joins of many VMs into one swap; if all VMs of a data centre
+        # start at once, they would otherwise compete for each epoch.
         members = self._members()
         if members:
-            await self._ask(self._rng.choice(members), JOIN, codec.to_pack(self._me))
-        if not self._gossip.ownership.is_member and self._may_join_alone(members, now):
-            await self._keeper.submit(Join(self._me))
-            self._alone_after = min(self._limits.max_alone, 2 * self._alone_after)
+            await self._fetch_changes(
+                self._rng.choice(members), JOIN_METHOD, codec.to_pack(self._local_vm)
+            )
+        if not self._gossip.ownership.is_member and self._may_join_directly(members, now):
+            await self._view_writer.submit(Join(self._local_vm))
+            self._direct_join_after = min(self._limits.max_alone, 2 * self._direct_join_after)
         return self._gossip.ownership.is_member
 
-    def _may_join_alone(self, members: list[Vm], now: float) -> bool:
-        """Tell whether to join without the word of a member.
+    def _may_join_directly(self, members: list[Vm], now: float) -> bool:
+        """Return whether to join without the help of a member.
 
-        A VM that only the store hears would join, be removed by its guardians and join again, for
-        ever, and its backend servers would have no holder meanwhile. A member that takes its call
-        shows that it can be reached. Where all members are dead nobody can, so it waits, longer
-        each time, and then joins all the same.
+        A VM that can reach only the store would join, be removed by its guardians and join again
+        indefinitely, and its backend servers would have no owner meanwhile. A call to a member
+        proves that the VM is reachable. If all members are dead, no call succeeds, so the VM joins
+        directly after a wait that grows with each attempt.
         """
-        if self._leaving or self._out_since is None:
+        if self._leaving or self._not_member_since is None:
             return False
-        return not members or now - self._out_since >= self._alone_after
+        return not members or now - self._not_member_since >= self._direct_join_after
 
     def _members(self) -> list[Vm]:
         state = self._gossip.state
-        view = state.view(self._me.data_centre)
+        view = state.view(self._local_vm.data_centre)
         members = view.members if view is not None else ()
-        others = [vm for vm in members if vm.id != self._me.id]
+        others = [vm for vm in members if vm.id != self._local_vm.id]
         live = [vm for vm in others if vm.id not in state.suspects]
-        return (live or others)[:_JOIN_MEMBERS]
+        return (live or others)[:_MAX_JOIN_TARGETS]
 
-    async def _ask_seeds(self) -> None:
-        addresses = [*self._seeds, *await self._listed()]
+    async def _pull_from_seeds(self) -> None:
+        addresses = [*self._seeds, *await self._listed_addresses()]
         self._rng.shuffle(addresses)
-        for host, port in addresses[:_MAX_SEEDS]:
-            if (host, port) == (self._me.host, self._me.peer_port):
+        for host, port in addresses[:_MAX_SEEDS_PER_ROUND]:
+            if (host, port) == (self._local_vm.host, self._local_vm.peer_port):
                 continue
             seed = Vm(id=f"{host}:{port}", data_centre="", host=host, peer_port=port)
-            await self._ask(seed, PULL, codec.to_pack(self._gossip.knowledge.request(self._me.id)))
+            await self._fetch_changes(
+                seed, PULL_METHOD, codec.to_pack(self._gossip.knowledge.request(self._local_vm.id))
+            )
             if self._gossip.knowledge.revision > 0:
                 return
 
-    async def _ask(self, vm: Vm, method: str, payload: bytes) -> None:
+    async def _fetch_changes(self, vm: Vm, method: str, payload: bytes) -> None:
         try:
             answer = await self._transport.call(
                 vm, method, payload, timeout=self._limits.call_timeout
@@ -176,7 +186,7 @@
             return
         self._gossip.offer(changes, asyncio.get_running_loop().time())
 
-    async def _listed(self) -> list[Address]:
+    async def _listed_addresses(self) -> list[Address]:
         if self._vm_list is None:
             return []
         try:
--- a/libs/controlplane/berylspindle_controlplane/operations.py
+++ b/libs/controlplane/berylspindle_controlplane/operations.py
@@ -1,17 +1,17 @@
-"""Answer operators: plan an intent, and apply a plan that they confirm.
+"""Plan operators' intents and apply confirmed plans.
 
 Terms:
-  accepted   a configuration that the store holds; its revision is in force everywhere soon after
-  settle     to find out, by the intent's own id, what became of a write whose reply was lost
+  accepted   a configuration that is in the store; its revision is in force everywhere soon after
 
-Flow: `plan` works on the newest configuration that the store or this VM knows. `confirm` reads the
-accepted one, lets `apply_plan` make the next and swaps it in. A conflict brings the newer one and
-begins again, which ends in the intent's record or in STALE_PLAN.
+Flow: `plan` uses the newest configuration that the store or this VM has. `confirm` reads the
+accepted configuration, makes its successor by `apply_plan` and writes it by compare-and-swap. A
+conflict returns a newer configuration, with which the procedure starts again; it ends with the
+intent's record or with STALE_PLAN.
 
-Guard: the reply to a swap can be lost after it took effect. An operator would confirm again and
-have the change twice, or be told that it failed while it is in force. The same swap is tried again
-with the same expected revision: the store refuses it with the entry as it is, and the record with
-the plan's id tells.
+The reply to a swap can be lost after the swap took effect. The operator would then confirm again
+and apply the change twice, or get an error although the change is in force. The swap is therefore
+repeated with the same expected revision: the store refuses it and returns the current entry, in
+which a record with the plan's id shows whether the plan was applied.
 """
 
 from __future__ import annotations
@@ -34,55 +34,56 @@
     StoreUnsure,
 )
 
-# Tries of one swap whose reply was lost, and the wait between them in seconds.
-_TRIES: Final = 8
-_RETRY: Final = 0.25
-# Other operators may win the race; each time the plan turns out stale, so this is never reached.
+# For a swap whose reply was lost.
+_SWAP_ATTEMPTS: Final = 8
+_RETRY_WAIT_S: Final = 0.25
+# Not reached in practice: after a conflict with another operator's change, the plan is stale.
 _MAX_CONFLICTS: Final = 5
 
-Busy = Callable[[], Mapping[str, float]]
+SlotsInUse = Callable[[], Mapping[str, float]]
 
 
 class Operations:
-    """The operators' side of the control plane.
+    """Operators' intents and plans.
 
-    `known` returns the configuration in force here, `adopt` takes one that was accepted, and
-    `busy` tells the slots in use by service, where known.
+    `local_configuration` returns the configuration in force on this VM, `adopt` puts an accepted
+    configuration into force, and `slots_in_use` returns the slots in use by service, where known.
     """
 
     def __init__(
         self,
         store: Store,
         *,
-        known: Callable[[], Configuration | None],
+        local_configuration: Callable[[], Configuration | None],
         adopt: Callable[[Configuration], None],
-        busy: Busy,
+        slots_in_use: SlotsInUse,
     ) -> None:
         self._store: Final = store
-        self._known: Final = known
+        self._local_configuration: Final = local_configuration
         self._adopt: Final = adopt
-        self._busy: Final = busy
+        self._slots_in_use: Final = slots_in_use
 
     async def plan(self, intent: Intent) -> Plan:
-        """Return the plan of an intent; nothing is changed. Raises RefusalError."""
+        """Return the plan of an intent, without changing anything. Raises RefusalError."""
         try:
-            current, _ = await self._accepted(intent)
+            current, _ = await self._read_accepted(intent)
         except (StoreAway, StoreUnsure):
-            # A plan may be read during an outage; it can be confirmed once the store is back.
+            # Plans can be made during an outage of the store, and confirmed after it.
             current = Configuration(revision=0, deployment=_deployment(intent))
-        known = self._known()
-        if known is not None and known.revision > current.revision:
-            current = known
-        return make_plan(current, intent, self._busy())
+        local = self._local_configuration()
+        if local is not None and local.revision > current.revision:
+            current = local
+        return make_plan(current, intent, self._slots_in_use())
 
     async def confirm(self, plan: Plan, operator: str, *, override: bool = False) -> Confirmation:
-        """Apply exactly this plan, once.
+        """Apply exactly this plan, at most once.
 
-        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN, STORE_AWAY with nothing changed, and
-        OUTCOME_UNKNOWN where the store stopped answering meanwhile; confirming again settles that.
+        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN or STORE_AWAY if nothing was changed, and
+        OUTCOME_UNKNOWN if the store stopped responding during the write; a second confirmation then
+        returns the outcome.
         """
         try:
-            current, revision = await self._accepted(plan.intent)
+            current, revision = await self._read_accepted(plan.intent)
         except (StoreAway, StoreUnsure) as error:
             raise refuse(ErrorKind.STORE_AWAY, str(error)) from error
         for _ in range(_MAX_CONFLICTS):
@@ -90,54 +91,60 @@
             if record is not None:
                 self._adopt(current)
                 return Confirmation(id=plan.id, revision=record.revision, repeated=True)
-            following = apply_plan(current, plan, operator, override=override, busy=self._busy())
-            stored = await self._swap(following, revision)
+            successor = apply_plan(
+                current, plan, operator, override=override, busy=self._slots_in_use()
+            )
+            stored = await self._swap(successor, revision)
             if stored is None:
-                self._adopt(following)
-                return Confirmation(id=plan.id, revision=following.revision)
+                self._adopt(successor)
+                return Confirmation(id=plan.id, revision=successor.revision)
             current, revision = stored
             if (record := find_record(current, plan.id)) is not None:
                 self._adopt(current)
                 return Confirmation(id=plan.id, revision=record.revision)
-        raise refuse(ErrorKind.STALE_PLAN, "other operators changed the configuration meanwhile")
+        raise refuse(
+            ErrorKind.STALE_PLAN, "other operators changed the configuration at the same time"
+        )
 
-    async def _accepted(self, intent: Intent) -> tuple[Configuration, int]:
-        """Return what the store holds, and its revision of it; raises StoreAway, StoreUnsure.
+    async def _read_accepted(self, intent: Intent) -> tuple[Configuration, int]:
+        """Return the accepted configuration and the revision of its entry.
 
-        A plain read may lag, and then a plan that was applied would look stale. This is a swap
-        that cannot succeed while there is a configuration: its refusal never lags.
+        With the lag of a plain read, a plan that was applied could appear stale. This is a
+        compare-and-swap that cannot succeed while there is a configuration; the entry in its
+        conflict does not lag. Raises StoreAway, StoreUnsure.
         """
         try:
             await self._store.compare_and_swap(CONFIGURATION_KEY, None, expect=0)
         except StoreConflict as conflict:
-            return self._decoded(conflict.current)
+            return self._decode(conflict.current)
         return Configuration(revision=0, deployment=_deployment(intent)), 0
 
     async def _swap(
-        self, following: Configuration, expect: int
+        self, successor: Configuration, expect: int
     ) -> tuple[Configuration, int] | None:
-        """Return None where the swap took effect, else what the store holds instead."""
-        value = to_stored(following)
-        unsure = False
-        for _ in range(_TRIES):
+        """Return None if the swap took effect, otherwise the conflicting content of the store."""
+        value = to_stored(successor)
+        maybe_written = False
+        for _ in range(_SWAP_ATTEMPTS):
             try:
                 await self._store.compare_and_swap(CONFIGURATION_KEY, value, expect=expect)
                 return None
             except StoreConflict as conflict:
-                return self._decoded(conflict.current)
+                return self._decode(conflict.current)
             except StoreUnsure:
-                unsure = True
+                maybe_written = True
             except StoreAway as error:
-                if not unsure:
+                if not maybe_written:
                     raise refuse(ErrorKind.STORE_AWAY, str(error)) from error
             except ValueError as error:
                 raise refuse(ErrorKind.INVALID_CONFIGURATION, str(error)) from error
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_WAIT_S)
         raise refuse(
-            ErrorKind.OUTCOME_UNKNOWN, "the store took the write and stopped answering; try again"
+            ErrorKind.OUTCOME_UNKNOWN,
+            "the store did not respond to the write; confirm again to get the outcome",
         )
 
-    def _decoded(self, stored: StoredValue | None) -> tuple[Configuration, int]:
+    def _decode(self, stored: StoredValue | None) -> tuple[Configuration, int]:
         if stored is None or stored.value is None:
             return Configuration(revision=0, deployment="new"), 0
         try:
--- a/libs/controlplane/berylspindle_controlplane/store_watcher.py
+++ b/libs/controlplane/berylspindle_controlplane/store_watcher.py
@@ -1,11 +1,11 @@
-"""Watch the store for new configurations and views, on the few VMs whose turn it is.
+"""Watch the store for new configurations and views.
 
 Terms:
-  watcher   one of two members of a data centre that hold waiting watches; all others hear of
-            changes from their peers and call the store not at all while nothing fails
+  watcher   one of the two members of a data centre that hold long-polling watches; all others get
+            changes from their peers and do not call the store in normal operation
 
-Flow: `StoreWatcher.run` lists a prefix, then watches what comes after; what is decoded goes to a
-callback that adopts only what is higher, so that late, lagging and double events do no harm.
+Flow: `StoreWatcher.run` lists a prefix and then watches for later changes. Decoded values go to a
+callback that adopts only newer versions, so that late, lagging and duplicate events are harmless.
 """
 
 from __future__ import annotations
@@ -28,41 +28,41 @@
 from berylspindle_model.topology import View
 from berylspindle_store.store import Store, StoreAway, StoredValue, StoreUnsure
 
-# Two, so that the death of one delays nothing; a third would cost a third more waiting calls.
-WATCHERS: Final = 2
-WAIT: Final = 30.0
-_RETRY: Final = 0.5
-_MAX_RETRY: Final = 5.0
+# With two, the crash of one causes no delay; a third would cost a third more waiting calls.
+WATCHERS_PER_DATA_CENTRE: Final = 2
+WATCH_WAIT_S: Final = 30.0
+_RETRY_WAIT_S: Final = 0.5
+_MAX_RETRY_WAIT_S: Final = 5.0
 
 
-def is_watcher(me: str, view: View | None, suspects: frozenset[str]) -> bool:
-    """Tell whether a VM is one of the watchers of its data centre."""
+def is_watcher(vm_id: str, view: View | None, suspects: frozenset[str]) -> bool:
+    """Return whether a VM is one of the watchers of its data centre."""
     if view is None:
         return False
     live = [vm for vm in view.members if vm.id not in suspects]
-    return any(vm.id == me for vm in first_of("watcher", live, WATCHERS))
+    return any(vm.id == vm_id for vm in first_of("watcher", live, WATCHERS_PER_DATA_CENTRE))
 
 
 class StoreWatcher:
     """The watches of one VM.
 
-    `pick` returns a random whole number below its argument, which spreads the tries of many VMs
-    when the store comes back.
+    `rand_below` returns a random integer below its argument; it adds jitter, so that many VMs do
+    not retry at the same time when the store recovers.
     """
 
     def __init__(
         self,
         store: Store,
         *,
-        pick: Callable[[int], int],
+        rand_below: Callable[[int], int],
         on_changes: Callable[[Changes], None],
-        on_store: Callable[[bool, str], None],
+        on_reachability: Callable[[bool, str], None],
         on_rejected: Callable[[str], None],
     ) -> None:
         self._store: Final = store
-        self._pick: Final = pick
+        self._rand_below: Final = rand_below
         self._on_changes: Final = on_changes
-        self._on_store: Final = on_store
+        self._on_reachability: Final = on_reachability
         self._on_rejected: Final = on_rejected
 
     async def run(self) -> None:
@@ -72,34 +72,34 @@
             tasks.create_task(self._watch(VIEWS_PREFIX))
 
     async def read_once(self) -> None:
-        """Read all there is once; raises StoreAway."""
+        """Read all configurations and views once. Raises StoreAway."""
         for prefix in (CONFIGURATION_PREFIX, VIEWS_PREFIX):
             listed = await self._store.list(prefix)
-            self._take(listed.entries)
+            self._publish(listed.entries)
 
     async def _watch(self, prefix: str) -> None:
         after: int | None = None
-        wait = _RETRY
+        wait = _RETRY_WAIT_S
         while True:
             try:
                 after = await self._step(prefix, after)
-                self._on_store(True, "")
-                wait = _RETRY
+                self._on_reachability(True, "")
+                wait = _RETRY_WAIT_S
             except (StoreAway, StoreUnsure) as error:
-                self._on_store(False, str(error))
-                await asyncio.sleep(wait * (0.5 + self._pick(1000) / 1000))
-                wait = min(_MAX_RETRY, 2 * wait)
+                self._on_reachability(False, str(error))
+                await asyncio.sleep(wait * (0.5 + self._rand_below(1000) / 1000))
+                wait = min(_MAX_RETRY_WAIT_S, 2 * wait)
 
     async def _step(self, prefix: str, after: int | None) -> int | None:
         if after is None:
             listed = await self._store.list(prefix)
-            self._take(listed.entries)
+            self._publish(listed.entries)
             return listed.revision
-        result = await self._store.watch(prefix, after=after, wait=WAIT)
-        self._take(result.entries)
+        result = await self._store.watch(prefix, after=after, wait=WATCH_WAIT_S)
+        self._publish(result.entries)
         return None if result.compacted else result.revision
 
-    def _take(self, entries: Iterable[StoredValue]) -> None:
+    def _publish(self, entries: Iterable[StoredValue]) -> None:
         configuration: Configuration | None = None
         views: list[View] = []
         for entry in entries:
--- a/libs/controlplane/berylspindle_controlplane/transport.py
+++ b/libs/controlplane/berylspindle_controlplane/transport.py
@@ -1,11 +1,11 @@
-"""What the control plane needs of the network, and the names of the calls it answers.
+"""Network interface of the control plane, and the names of the calls that it serves.
 
 Terms:
-  datagram   a message that may get lost, come late or twice, and is authenticated by the peers' key
-  call       a request to one VM with an answer, for what does not fit a datagram
+  datagram   a message that can be lost, delayed or duplicated; it is authenticated by the peer key
+  call       a request to one VM with a response, for data that does not fit into a datagram
 
-Flow: the control plane holds a `Transport`; `wire_transport` makes one of the peers' links and the
-datagram port, and tests make one without a network.
+Flow: the control plane uses a `Transport`. `wire_transport` implements it by the peer links and the
+datagram port; tests implement it without a network.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 Address = tuple[str, int]
 
-PULL: Final = "pull"
-JOIN: Final = "join"
+PULL_METHOD: Final = "pull"
+JOIN_METHOD: Final = "join"
 
 
 class TransportError(Exception):
-    """A call that got no answer in time; the receiver may have acted on it."""
+    """A call got no response in time; the receiver may have processed it."""
 
 
 class Transport(ABC):
-    """Send datagrams and make calls to other VMs."""
+    """Interface for sending datagrams and making calls to other VMs."""
 
     @abstractmethod
     def send(self, to: Address, data: bytes) -> None:
-        """Send a datagram; it may get lost, and nothing is raised."""
+        """Send a datagram, which can be lost. Raises no errors."""
 
     @abstractmethod
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
-        """Return a VM's answer to a call; raises TransportError."""
+        """Return a VM's response to a call; `timeout` is in seconds. Raises TransportError."""
--- a/libs/controlplane/berylspindle_controlplane/view_keeper.py
+++ b/libs/controlplane/berylspindle_controlplane/view_keeper.py
@@ -1,15 +1,14 @@
-"""Change the view of a data centre in the store: joins, removals, planned leaves.
+"""Write changes of a data centre's view to the store: joins, removals and planned leaves.
 
 Terms:
-  base       the stored view that a change starts from, with the store's revision of it
-  unsure     a compare-and-swap whose reply was lost; it may yet take effect
-  withdrawn  a proposal that surely took no effect, so that its guardian may confirm again
-
-Flow: requests -> queue -> `ViewKeeper.run`, which takes those of one kind at once, swaps the view
-and offers the result. One writer a VM, so that its own requests never race each other. What it
-guards against: after a lost reply the same swap is tried again with the same expected revision
-until the store refuses or takes it. Forgetting it instead would let it take effect later, when its
-guardian confirms again, and two VMs would dispatch to one server.
+  base       the stored view that a change is applied to, and its revision in the store
+  withdrawn  a proposed removal that had no effect, so that the guardian may confirm again
+
+Flow: changes -> queue -> `ViewWriter.run`, which applies all queued changes of one kind together by
+one compare-and-swap and publishes the result. There is one writer per VM, so that a VM's own
+changes do not race each other. After a lost reply, the swap is repeated with the same expected
+revision until the store accepts or refuses it. If it were abandoned, it could take effect after the
+guardian has resumed its confirmations, and two VMs would dispatch to one server.
 """
 
 from __future__ import annotations
@@ -34,19 +33,19 @@
     StoreUnsure,
 )
 
-# Wait between two tries of a call that found the store away: long enough not to add to its load
-# when it comes back, short enough for the bound of a hand-over.
-_RETRY: Final = 0.5
-_MAX_RETRY: Final = 4.0
+# Wait before a repeated swap: long enough not to overload a recovering store, short enough to hand
+# over ownership in time.
+_RETRY_WAIT_S: Final = 0.5
+_MAX_RETRY_WAIT_S: Final = 4.0
 _MAX_CONFLICTS: Final = 50
 
 
-class Outcome(enum.Enum):
-    """What became of a request: it is in the store, it isn't wanted there, the store was away."""
+class ChangeOutcome(enum.Enum):
+    """Result of a change: it is in the store, it no longer applies, the store was unavailable."""
 
     DONE = "done"
     OBSOLETE = "obsolete"
-    AWAY = "away"
+    UNAVAILABLE = "away"
 
 
 @attrs.frozen
@@ -58,18 +57,18 @@
 
 @attrs.frozen
 class Leave:
-    """Take out a VM that has given up all it owned."""
+    """Remove a VM that has released its dispatch rights."""
 
     vm: str
 
 
-Request = Join | Leave | Removal
+ViewChange = Join | Leave | Removal
 
 
 @attrs.define
-class _Pending:
-    request: Request
-    done: asyncio.Future[Outcome]
+class _PendingChange:
+    change: ViewChange
+    done: asyncio.Future[ChangeOutcome]
 
 
 @attrs.frozen
@@ -78,42 +77,42 @@
     revision: int
 
 
-class ViewKeeper:
-    """The one writer of this VM to the view of its data centre."""
+class ViewWriter:
+    """Writer of this VM's changes to the view of its data centre."""
 
     def __init__(self, data_centre: str, store: Store, on_view: Callable[[View], None]) -> None:
         self._data_centre: Final = data_centre
         self._key: Final = view_key(data_centre)
         self._store: Final = store
         self._on_view: Final = on_view
-        self._queue: Final[asyncio.Queue[_Pending]] = asyncio.Queue()
+        self._queue: Final[asyncio.Queue[_PendingChange]] = asyncio.Queue()
 
-    async def submit(self, request: Request) -> Outcome:
-        """Ask for a change and wait for what becomes of it."""
-        done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self._queue.put_nowait(_Pending(request, done))
+    async def submit(self, change: ViewChange) -> ChangeOutcome:
+        """Queue a change, and return its result."""
+        done: asyncio.Future[ChangeOutcome] = asyncio.get_running_loop().create_future()
+        self._queue.put_nowait(_PendingChange(change, done))
         return await done
 
     async def run(self) -> None:
-        """Work on requests until cancelled; those that wait are cancelled then."""
-        batch: list[_Pending] = []
+        """Apply changes until cancelled; on cancellation, cancel those that are queued."""
+        batch: list[_PendingChange] = []
         try:
             while True:
                 batch = [await self._queue.get()]
-                batch.extend(self._same_kind(batch[0]))
-                outcome = await self._swap([pending.request for pending in batch])
+                batch.extend(self._take_same_kind(batch[0]))
+                result = await self._apply_changes([pending.change for pending in batch])
                 for pending in batch:
                     if not pending.done.done():
-                        pending.done.set_result(outcome)
+                        pending.done.set_result(result)
         finally:
-            for pending in (*batch, *self._same_kind(None)):
+            for pending in (*batch, *self._take_same_kind(None)):
                 pending.done.cancel()
 
     async def read_current(self) -> View:
-        """Return the view as the store has it now, which a plain read may lag behind.
+        """Return the current view in the store, without the lag of a plain read.
 
-        It is a swap that cannot succeed while there is a view: its refusal never lags. Raises
-        StoreAway or StoreUnsure.
+        This is a compare-and-swap that cannot succeed while there is a view; the entry in its
+        conflict does not lag. Raises StoreAway, StoreUnsure.
         """
         try:
             await self._store.compare_and_swap(self._key, None, expect=0)
@@ -121,41 +120,41 @@
             return self._base(conflict.current).view
         return empty_view(self._data_centre)
 
-    def _same_kind(self, first: _Pending | None) -> list[_Pending]:
-        found: list[_Pending] = []
-        others: list[_Pending] = []
+    def _take_same_kind(self, first: _PendingChange | None) -> list[_PendingChange]:
+        taken: list[_PendingChange] = []
+        others: list[_PendingChange] = []
         while not self._queue.empty():
             pending = self._queue.get_nowait()
-            same = first is None or type(pending.request) is type(first.request)
-            (found if same else others).append(pending)
+            same = first is None or type(pending.change) is type(first.change)
+            (taken if same else others).append(pending)
         for pending in others:
             self._queue.put_nowait(pending)
-        return found
+        return taken
 
-    async def _swap(self, requests: Sequence[Request]) -> Outcome:
+    async def _apply_changes(self, changes: Sequence[ViewChange]) -> ChangeOutcome:
         try:
             base = self._base(await self._store.get(self._key))
         except StoreAway:
-            return Outcome.AWAY
+            return ChangeOutcome.UNAVAILABLE
         for _ in range(_MAX_CONFLICTS):
-            view = _next(base.view, requests)
+            view = _changed_view(base.view, changes)
             if view == base.view:
-                self._offer(view)
-                return Outcome.DONE if _holds(view, requests) else Outcome.OBSOLETE
+                self._publish(view)
+                return ChangeOutcome.DONE if _is_applied(view, changes) else ChangeOutcome.OBSOLETE
             try:
                 written = await self._write(base, view)
             except StoreAway:
-                return Outcome.AWAY
+                return ChangeOutcome.UNAVAILABLE
             if written.view == view:
-                self._offer(view)
-                return Outcome.DONE
+                self._publish(view)
+                return ChangeOutcome.DONE
             base = written
-        return Outcome.AWAY
+        return ChangeOutcome.UNAVAILABLE
 
     async def _write(self, base: _Base, view: View) -> _Base:
-        """Return what the store holds after a swap; raises StoreAway if it surely wasn't made."""
-        unsure = False
-        wait = _RETRY
+        """Swap, and return the resulting base. Raises StoreAway if the swap had no effect."""
+        maybe_written = False
+        wait = _RETRY_WAIT_S
         while True:
             try:
                 stored = await self._store.compare_and_swap(
@@ -165,15 +164,15 @@
             except StoreConflict as conflict:
                 return self._base(conflict.current)
             except StoreUnsure:
-                unsure = True
+                maybe_written = True
             except StoreAway:
-                # Only while no earlier try of the same swap may still take effect.
-                if not unsure:
+                # After a lost reply, an earlier attempt may still take effect.
+                if not maybe_written:
                     raise
             await asyncio.sleep(wait)
-            wait = min(_MAX_RETRY, 2 * wait)
+            wait = min(_MAX_RETRY_WAIT_S, 2 * wait)
 
-    def _offer(self, view: View) -> None:
+    def _publish(self, view: View) -> None:
         if view.epoch > 0:
             self._on_view(view)
 
@@ -183,22 +182,22 @@
         try:
             return _Base(view_from_value(stored.value), stored.revision)
         except codec.MalformedError as error:
-            raise StoreAway(f"{self._key} holds no view: {error}") from error
+            raise StoreAway(f"{self._key} holds no valid view: {error}") from error
 
 
-def _next(view: View, requests: Sequence[Request]) -> View:
-    first = requests[0]
+def _changed_view(view: View, changes: Sequence[ViewChange]) -> View:
+    first = changes[0]
     if isinstance(first, Join):
-        return with_joined(view, [r.vm for r in requests if isinstance(r, Join)])
+        return with_joined(view, [r.vm for r in changes if isinstance(r, Join)])
     if isinstance(first, Leave):
-        return without(view, {r.vm for r in requests if isinstance(r, Leave)}, released=True)
-    # A removal stands on the epoch that its guardian judged by, and on no other.
-    removed = {r.vm for r in requests if isinstance(r, Removal) and r.epoch == view.epoch}
+        return without(view, {r.vm for r in changes if isinstance(r, Leave)}, released=True)
+    # A removal applies only to the epoch in which its guardian proposed it.
+    removed = {r.vm for r in changes if isinstance(r, Removal) and r.epoch == view.epoch}
     return without(view, removed, released=False)
 
 
-def _holds(view: View, requests: Sequence[Request]) -> bool:
+def _is_applied(view: View, changes: Sequence[ViewChange]) -> bool:
     return all(
         (view.member(r.vm.id) is not None) if isinstance(r, Join) else view.member(r.vm) is None
-        for r in requests
+        for r in changes
     )
--- a/libs/controlplane/berylspindle_controlplane/wire_transport.py
+++ b/libs/controlplane/berylspindle_controlplane/wire_transport.py
@@ -1,7 +1,7 @@
-"""Carry the control plane's messages by the peers' links and the datagram port.
+"""Transport of the control plane's messages over the peer links and the datagram port.
 
-Flow: datagrams go out through a callable that the port's owner gives, calls through `PeerLinks`;
-every refusal of a call becomes a `TransportError`, since the control plane asks again in any case.
+Flow: datagrams are sent by a callable from the owner of the port, calls by `PeerLinks`. Every
+refusal of a call becomes a `TransportError`, since the control plane retries in any case.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 class WireTransport(Transport):
-    """The transport of a daemon."""
+    """`Transport` of a daemon."""
 
     def __init__(self, links: PeerLinks, send: SendDatagram) -> None:
         self._links: Final = links
         self._send: Final = send
 
     def send(self, to: Address, data: bytes) -> None:
-        """Send a datagram; it may get lost, and nothing is raised."""
+        """Send a datagram, which can be lost. Raises no errors."""
         self._send(data, to)
 
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
-        """Return a VM's answer to a call; raises TransportError."""
+        """Return a VM's response to a call; `timeout` is in seconds. Raises TransportError."""
         try:
             return await self._links.call(vm, method, payload, timeout=timeout)
         except RefusalError as error:
--- a/libs/store/berylspindle_store/__init__.py
+++ b/libs/store/berylspindle_store/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the configuration store and of the VM list."""
+"""Clients of the platform's configuration store and VM list, and claims in the store."""
--- a/libs/store/berylspindle_store/claim_leases.py
+++ b/libs/store/berylspindle_store/claim_leases.py
@@ -1,12 +1,12 @@
-"""Leases that many claims share, so that expiry costs next to no calls.
+"""Leases shared by many claims, so that claims expire with very few calls to the store.
 
 Terms:
-  keep        seconds for which a claim must be kept
-  share time  seconds during which new claims are bound to one lease
+  min_ttl         seconds for which a claim must be kept
+  sharing period  seconds during which new claims are bound to the same lease
 
-Flow: a lease is granted for `keep` plus the share time and never kept alive. A claim bound to it
-within the share time is kept for at least `keep`; then the store deletes it by itself, also when
-the VM is gone. One grant in each share time replaces a lease for each claim, or a sweep.
+Flow: a lease is granted for `min_ttl` plus the sharing period and never renewed. A claim bound to
+it within the sharing period is kept for at least `min_ttl`; then the store deletes it, even if the
+VM no longer exists. One grant per sharing period replaces a lease per claim or a clean-up task.
 """
 
 from __future__ import annotations
@@ -19,55 +19,58 @@
 
 from berylspindle_store.store import Store
 
-# A lease is renewed this share of the share time before its end, so that a claim which begins just
-# before the end is not refused for having ended after it.
-_RENEW_SHARE: Final = 0.1
+# A lease is replaced this fraction of the sharing period before the period's end, so that a claim
+# that begins just before the end does not get its reply after it and is not refused.
+_REPLACEMENT_MARGIN: Final = 0.1
 
 
 @attrs.frozen(kw_only=True)
 class SharedLease:
-    """A lease to bind claims to until `use_before` (monotonic)."""
+    """A lease to which claims can be bound until `bind_before` (monotonic seconds)."""
 
     id: str
-    use_before: float
+    bind_before: float
 
 
 class ClaimLeases:
-    """Hold one lease for each time to keep that is asked for."""
+    """The current leases, one per requested `min_ttl`."""
 
     def __init__(self, store: Store, *, share_for: float, now: Callable[[], float]) -> None:
         self._store: Final = store
         self._share_for: Final = share_for
         self._now: Final = now
-        self._held: dict[float, SharedLease] = {}
-        self._granting: dict[float, asyncio.Lock] = {}
-
-    async def lease(self, keep: float) -> SharedLease:
-        """Return a lease that keeps what is bound now for `keep` seconds; raises StoreError."""
-        held = self._fresh(keep)
-        if held is not None:
-            return held
-        # A burst after a quiet time would otherwise grant a lease for each of its claims.
-        async with self._granting.setdefault(keep, asyncio.Lock()):
-            held = self._fresh(keep)
-            return held if held is not None else await self._grant(keep)
-
-    def forget(self, lease: SharedLease) -> None:
-        """Use a lease no longer, since the store does not know it."""
-        for keep, held in tuple(self._held.items()):
-            if held.id == lease.id:
-                del self._held[keep]
-
-    def _fresh(self, keep: float) -> SharedLease | None:
-        held = self._held.get(keep)
-        if held is None or self._now() >= held.use_before - _RENEW_SHARE * self._share_for:
+        self._current: dict[float, SharedLease] = {}
+        self._grant_locks: dict[float, asyncio.Lock] = {}
+
+    async def lease(self, min_ttl: float) -> SharedLease:
+        """Return a lease that lasts at least `min_ttl` seconds from now. Raises StoreError."""
+        current = self._usable_lease(min_ttl)
+        if current is not None:
+            return current
+        # Without the lock, each claim of a burst after an idle time would grant a lease.
+        async with self._grant_locks.setdefault(min_ttl, asyncio.Lock()):
+            current = self._usable_lease(min_ttl)
+            return current if current is not None else await self._grant(min_ttl)
+
+    def discard(self, lease: SharedLease) -> None:
+        """Stop using a lease that the store no longer knows."""
+        for min_ttl, current in tuple(self._current.items()):
+            if current.id == lease.id:
+                del self._current[min_ttl]
+
+    def _usable_lease(self, min_ttl: float) -> SharedLease | None:
+        current = self._current.get(min_ttl)
+        if (
+            current is None
+            or self._now() >= current.bind_before - _REPLACEMENT_MARGIN * self._share_for
+        ):
             return None
-        return held
+        return current
 
-    async def _grant(self, keep: float) -> SharedLease:
-        # The store begins to count after this moment, so counting from it errs to the safe side.
+    async def _grant(self, min_ttl: float) -> SharedLease:
+        # The store starts the TTL later than this, so the computed end is never too late.
         started = self._now()
-        granted = await self._store.grant_lease(keep + self._share_for)
-        lease = SharedLease(id=granted.id, use_before=started + self._share_for)
-        self._held[keep] = lease
+        granted = await self._store.grant_lease(min_ttl + self._share_for)
+        lease = SharedLease(id=granted.id, bind_before=started + self._share_for)
+        self._current[min_ttl] = lease
         return lease
--- a/libs/store/berylspindle_store/claim_records.py
+++ b/libs/store/berylspindle_store/claim_records.py
@@ -1,13 +1,13 @@
-"""What is kept of a request that may not be repeated, and what an attempt to claim it can yield.
+"""Stored records of claims for non-idempotent requests, and the results of claiming a key.
 
 Terms:
-  claim         the right to dispatch one request once, an entry of the store under its key
-  token         names one attempt to claim; it is unique over all VMs and all time
-  fingerprint   digest of the request's content; tells a key that is used for another request
-  outcome       what the dispatch came to, kept until the claim's lease lapses
+  claim         the right to dispatch one request once; an entry of the store under its key
+  token         identifies one attempt to claim; unique over all VMs and restarts
+  fingerprint   digest of the request's content; detects a key that is reused for another request
+  outcome       result or error of the dispatch, kept until the claim's lease expires
 
-Flow: `claims` writes a `ClaimRecord` in state CLAIMED before dispatch and in state FINISHED, with
-its outcome, after it.
+Flow: `claims` writes a `ClaimRecord` in state CLAIMED before the dispatch and replaces it by one in
+state FINISHED, with the outcome, after the dispatch.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claimed request got.
+    """Progress of a claimed request.
 
-    CLAIMED: it may have been dispatched, or not yet, or never. FINISHED: it was, with an outcome.
-    There is no state between: it would cost a third write and tell a retry nothing more, since a
-    VM can be lost between that write and the dispatch as well.
+    CLAIMED: the request may have been dispatched or not. FINISHED: it was dispatched and has an
+    outcome. There is no state "dispatched" in between: it would cost a third write without giving
+    a retry more information, since a VM can also be lost between that write and the dispatch.
     """
 
     CLAIMED = "claimed"
@@ -40,14 +40,14 @@
 
 @attrs.frozen(kw_only=True)
 class DispatchOutcome:
-    """What a dispatch came to.
+    """Outcome of a dispatch.
 
     Attributes:
-        server: the backend server that it went to.
-        result: the server's result, or None after an error.
-        error: why there is no result; OUTCOME_UNKNOWN where it cannot be known.
-        run: whether the server ran it.
-        trimmed: the result was too large to keep; the request did run.
+        server: id of the backend server.
+        run: whether the server ran the request.
+        result: the server's result; None after an error.
+        error: reason for a missing result; OUTCOME_UNKNOWN if the server's outcome is unknown.
+        trimmed: the request ran, but its result was too large to store.
     """
 
     server: str
@@ -60,7 +60,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimRecord:
-    """The entry of one claim. Times are wall clock seconds, for people and never for decisions."""
+    """The stored entry of a claim. Times are wall clock seconds, for display only."""
 
     service: str
     key: str
@@ -76,7 +76,7 @@
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """A claim that is held. A dispatch must not begin after `dispatch_before` (monotonic)."""
+    """A held claim. A dispatch must not begin after `dispatch_before` (monotonic seconds)."""
 
     record: ClaimRecord
     revision: int
@@ -86,43 +86,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The claim is held by this attempt alone: dispatch once, then settle, or release."""
+    """This attempt holds the claim: dispatch once and then settle, or release."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyClaimed:
-    """An earlier attempt holds the key: do not dispatch; answer from its record."""
+    """An earlier attempt holds the key: do not dispatch, answer from its record."""
 
     record: ClaimRecord
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReused:
-    """The key belongs to a request with another content: do not dispatch."""
+    """The key belongs to a request with different content: do not dispatch."""
 
     record: ClaimRecord
 
 
 @dataclass(frozen=True, slots=True)
-class StoreIsAway:
-    """No claim could be had: do not dispatch; the request was surely not run by this attempt.
+class ClaimUnavailable:
+    """The key could not be claimed: do not dispatch. This attempt did not run the request.
 
-    `may_stand` tells that a claim that nobody dispatches may be left in the store for a while.
+    `may_stand` is set if a claim that no VM will dispatch may remain in the store for a while.
     """
 
     may_stand: bool
 
 
-ClaimOutcome = Claimed | AlreadyClaimed | KeyReused | StoreIsAway
+ClaimOutcome = Claimed | AlreadyClaimed | KeyReused | ClaimUnavailable
 
 
 class SettleState(enum.StrEnum):
-    """What became of storing an outcome.
+    """Result of storing an outcome.
 
-    PENDING: the store is away, `Claims.retry_pending` tries again. LAPSED: the claim's time was
-    over and the outcome was dropped.
+    PENDING: the store is unavailable and `Claims.retry_pending` retries. LAPSED: the claim had
+    expired and the outcome was dropped.
     """
 
     STORED = "stored"
@@ -131,13 +131,13 @@
 
 
 def claim_path(service: str, key: str) -> str:
-    """Return where the claim of a key is kept; hashed, since a caller's key may hold anything."""
+    """Return the store key of a claim. The caller's key is hashed, as it can be any text."""
     digest = hashlib.blake2b(key.encode(), digest_size=16).hexdigest()
     return f"{CLAIMS_PREFIX}{service}/{digest}"
 
 
 def encode_record(record: ClaimRecord, max_bytes: int) -> bytes:
-    """Return a record's bytes; a result that makes it too large is left out and marked so."""
+    """Encode a record; if it exceeds `max_bytes`, omit the result and set `trimmed`."""
     data = codec.to_json(record)
     if len(data) <= max_bytes or record.outcome is None:
         return data
@@ -146,11 +146,12 @@
 
 
 def decode_record(entry: StoredValue) -> ClaimRecord:
-    """Return the record of an entry; raises StoreAway where it is none.
+    """Decode the record of an entry. Raises StoreAway if the entry holds no valid record.
 
-    Whatever it is, the key is taken: refusing it as if there were no store is true and safe.
+    The key is in use whatever the entry holds, so it is safe to refuse the request as if the store
+    were unavailable.
     """
     try:
         return codec.from_json(entry.value or b"", ClaimRecord)
     except codec.MalformedError as error:
-        raise StoreAway(f"{entry.key} holds no claim: {error}") from error
+        raise StoreAway(f"no valid claim in {entry.key}: {error}") from error
--- a/libs/store/berylspindle_store/claims.py
+++ b/libs/store/berylspindle_store/claims.py
@@ -1,35 +1,38 @@
-"""Run a request that may not be repeated at most once, by claims in the platform's store.
+"""Dispatch non-idempotent requests at most once, by means of claims in the platform's store.
 
-Terms: see `claim_records`. Besides:
+Terms: see `claim_records`, and
   settle     store the outcome of a claim that was dispatched
-  release    delete a claim that was surely never dispatched
-  abandoned  a claim whose write could not be settled in time: it may stand, or come to stand
-             later, and this VM will never dispatch it
-
-Flow: `claim` writes the key's entry by compare-and-swap that expects none; only who made the entry
-dispatches. Then `settle` replaces it with the outcome. That is two writes for each execute, plus a
-grant for each VM in each share time; a repetition costs one write, which fails. Nothing is read to
-decide: reads can lag, the conflict of a compare-and-swap cannot.
-
-A lost reply is settled by writing again with the same token: either the first write had taken
-effect, and the conflict shows the own token, or it had not, and this one decides; a first write
-that arrives later still fails, since it expects no entry. When no try is answered, the attempt is
-abandoned: the caller is told that the store is away and that the request was not run, which is
-true, as nothing was dispatched. But the claim may stand, and a retry must not take it as free on
-its word: another VM cannot tell an abandoned claim from one whose VM has dispatched and died. So
-  - this VM keeps the abandoned token in memory. A retry that comes to it takes the claim over, by a
-    compare-and-swap from that very revision, which only one of several can win;
-  - it goes on in the background to release the claim, after which any VM may claim the key anew;
-  - a retry at another VM before that finds the claim and is told that the request may have run;
-  - if this VM is lost, the claim stands until its lease lapses. Nobody dispatches it. This costs
-    the key its use for that time, and never a second run.
-
-A lease that lapses while its holder is paused is the other way to two dispatches: the key is free
-again and a retry claims it, then the paused VM wakes. Hence `dispatch_before`: half of the claim's
-validity, by the VM's own monotonic clock, from before the write. And hence a claim is kept for one
-and a half times its validity: a retry that comes just within the validity, and whose write then
-hangs, still finds the claim for as long as it could be dispatched. A retry later than the validity
-is a new request; callers must not send it.
+  release    delete a claim that was never dispatched
+  abandoned  a claim whose write got no conclusive reply in time: it may exist, or come into
+             existence later, and this VM never dispatches it
+
+Flow: `claim` creates the key's entry by a compare-and-swap that expects no entry; only the VM that
+created the entry dispatches. `settle` then replaces the entry with the outcome. An execute costs
+two writes, plus one lease grant per VM and sharing period; a repeated request costs one write,
+which fails. No decision is based on a read: reads can lag, the conflict of a compare-and-swap
+cannot.
+
+After a lost reply the write is repeated with the same token. If the first write took effect, the
+conflict shows the VM's own token; if it did not, the second write decides. A first write that
+arrives later still fails, since it expects no entry. If no attempt gets a reply, the claim is
+abandoned, and the caller gets an error saying that the store is unavailable and the request was not
+run, which is true since nothing was dispatched. The claim may exist nevertheless, and a retry must
+not treat it as free: another VM cannot distinguish an abandoned claim from one whose VM dispatched
+and crashed. Therefore
+  - this VM keeps the abandoned token in memory. A retry at this VM takes over the claim by a
+    compare-and-swap from its revision, which only one of several retries can win;
+  - this VM releases the claim in the background, after which any VM can claim the key again;
+  - a retry at another VM before that finds the claim and is answered that the request may have run;
+  - if this VM is lost, the claim exists until its lease expires. No VM dispatches it: the key is
+    unusable for that time, but there is never a second run.
+
+A lease that expires while its holder is paused could also lead to two dispatches: the key is free,
+a retry claims it, and then the paused VM resumes. Two bounds prevent this. A dispatch must begin
+before `dispatch_before`, which is half of the claim's validity after a time taken before the write,
+on the VM's monotonic clock. And a claim is kept for one and a half times its validity, so that a
+retry that is sent just within the validity, and whose write is delayed, still finds the claim for
+as long as the retry could be dispatched. A retry after the validity counts as a new request;
+callers must not send it.
 """
 
 from __future__ import annotations
@@ -50,10 +53,10 @@
     ClaimOutcome,
     ClaimRecord,
     ClaimState,
+    ClaimUnavailable,
     DispatchOutcome,
     KeyReused,
     SettleState,
-    StoreIsAway,
     claim_path,
     decode_record,
     encode_record,
@@ -69,21 +72,21 @@
     StoreUnsure,
 )
 
-# Share of a claim's validity within which its dispatch must begin.
+# Fraction of a claim's validity within which its dispatch must begin.
 DISPATCH_SHARE: Final = 0.5
 
 
 @attrs.frozen(kw_only=True)
 class ClaimOptions:
-    """Bounds of claims.
+    """Limits of claims.
 
     Attributes:
-        valid_for: seconds for which a claim is kept where the request names no time; other
-            times are rounded up to a multiple of it, so that few leases serve all.
-        longest: seconds beyond which a request's validity is refused.
+        valid_for: default validity in seconds, for requests that specify none; other validities
+            are rounded up to a multiple of it, so that few leases are needed.
+        longest: maximum validity in seconds; a longer one is refused.
         share_for: seconds during which new claims share a lease.
-        tries: writes of one claim, the first included, until it is abandoned.
-        max_bytes: largest record kept; a result that makes it larger is left out.
+        tries: maximum writes of one claim, including the first, before it is abandoned.
+        max_bytes: maximum size of a stored record; a result that would exceed it is left out.
     """
 
     valid_for: float = 600.0
@@ -94,10 +97,10 @@
 
 
 class Claims:
-    """Claim, settle, release and find, for one VM.
+    """The claims of one VM.
 
-    `vm` must never have been used before, by this VM or another: a restarted one has a new id.
-    `now` is monotonic, `now_wall` wall clock, both in seconds.
+    `vm` must be unique over all VMs and restarts, since tokens are derived from it. `now` is a
+    monotonic clock and `now_wall` a wall clock, both in seconds.
     """
 
     def __init__(
@@ -114,13 +117,13 @@
         self._options: Final = options
         self._now: Final = now
         self._now_wall: Final = now_wall
-        self._numbers: Final = itertools.count(1)
+        self._sequence: Final = itertools.count(1)
         self._leases: Final = ClaimLeases(store, share_for=options.share_for, now=now)
         self._pending: Final = PendingClaims(store, max_bytes=options.max_bytes, now=now)
 
     @property
     def pending(self) -> int:
-        """Return how many outcomes and releases wait for the store."""
+        """Return the number of outcomes and releases that still have to be written to the store."""
         return len(self._pending)
 
     async def claim(
@@ -133,68 +136,69 @@
         *,
         within: float | None = None,
     ) -> ClaimOutcome:
-        """Claim a key for one dispatch within so many seconds; never raises a StoreError.
+        """Claim a key for one dispatch, in at most `within` seconds. Never raises StoreError.
 
-        `valid_ms` is how long the request may be repeated, None for the default. Raises ValueError
-        where it is longer than the longest. Without `within` the store's own timeouts bound this.
+        `valid_ms` is the time during which the request may be repeated; None selects the default.
+        If `within` is None, only the store's own timeouts apply. Raises ValueError if the validity
+        is not within the limits.
         """
-        known = self._pending.outcome_of(claim_path(service, key))
-        if known is not None:
-            return _of_other(known, fingerprint)
-        valid = self._valid(valid_ms)
+        finished = self._pending.outcome_of(claim_path(service, key))
+        if finished is not None:
+            return _refuse_claim(finished, fingerprint)
+        validity = self._validity(valid_ms)
         started = self._now()
-        record = self._record(service, key, fingerprint, attempt_id, valid)
+        record = self._new_record(service, key, fingerprint, attempt_id, validity)
         try:
-            # A store that answers nothing takes all tries' timeouts, long after the caller's
-            # deadline; the caller is to hear at once that it was given up.
+            # If the store does not respond, the timeouts of all attempts together end long after
+            # the caller's deadline; the caller must get its answer at the deadline.
             async with asyncio.timeout(within):
-                lease = await self._leases.lease((1 + DISPATCH_SHARE) * valid)
-                outcome = await self._claim(
-                    record, lease, dispatch_before=started + DISPATCH_SHARE * valid
+                lease = await self._leases.lease((1 + DISPATCH_SHARE) * validity)
+                outcome = await self._claim_or_abandon(
+                    record, lease, dispatch_before=started + DISPATCH_SHARE * validity
                 )
         except (TimeoutError, StoreError):
-            return StoreIsAway(may_stand=self._pending.is_abandoned(record.token))
-        if isinstance(outcome, Claimed) and self._now() > lease.use_before:
-            # The VM was paused between taking the lease and the reply: the lease ends too soon
-            # to keep the claim for its time, and a retry would then be dispatched a second time.
+            return ClaimUnavailable(may_stand=self._pending.is_abandoned(record.token))
+        if isinstance(outcome, Claimed) and self._now() > lease.bind_before:
+            # The VM was paused between selecting the lease and the reply: the lease may expire
+            # within the claim's validity, and a retry would then be dispatched a second time.
             self._abandon(record)
-            return StoreIsAway(may_stand=True)
+            return ClaimUnavailable(may_stand=True)
         return outcome
 
     async def settle(self, claim: Claim, outcome: DispatchOutcome) -> SettleState:
-        """Store the outcome of a dispatched claim; where the store is away it stays pending."""
+        """Store the outcome of a dispatched claim; keep it pending if the store is unavailable."""
         finished = attrs.evolve(claim.record, state=ClaimState.FINISHED, outcome=outcome)
-        return await self._pending.settle(claim, finished)
+        return await self._pending.store_outcome(claim, finished)
 
     async def release(self, claim: Claim) -> None:
-        """Free the key of a claim that was surely not run: never sent, or refused unrun.
+        """Free the key of a claim whose request was not run: never sent, or refused unrun.
 
-        Where the store is away this goes on in `retry_pending`.
+        If the store is unavailable, `retry_pending` repeats the release.
         """
         self._abandon(claim.record)
         await self._pending.release(claim.record.token)
 
     async def find(self, service: str, key: str) -> ClaimRecord | None:
-        """Return the record of a key, or None where there surely is none now.
+        """Return the record of a key, or None if there is none.
 
-        Raises StoreAway. A record that is found can lag; a None is proved by a write, since a
-        lagging read would deny a request that has run.
+        A record can lag behind the store. Absence is confirmed by a compare-and-swap, since a
+        lagging read could miss the claim of a request that has run. Raises StoreAway.
         """
         path = claim_path(service, key)
-        known = self._pending.outcome_of(path)
-        if known is not None:
-            return known
-        found = await self._store.get(path)
-        if found is None:
-            found = await self._prove_absence(path)
-        return None if found is None else decode_record(found)
+        finished = self._pending.outcome_of(path)
+        if finished is not None:
+            return finished
+        entry = await self._store.get(path)
+        if entry is None:
+            entry = await self._confirm_absence(path)
+        return None if entry is None else decode_record(entry)
 
     async def retry_pending(self) -> int:
-        """Try once to store and release what waits for the store; returns how many still wait."""
+        """Try each pending outcome and release once. Return how many remain pending."""
         await self._pending.retry()
         return len(self._pending)
 
-    async def _prove_absence(self, path: str) -> StoredValue | None:
+    async def _confirm_absence(self, path: str) -> StoredValue | None:
         try:
             await self._store.compare_and_swap(path, None, expect=0)
         except StoreConflict as conflict:
@@ -203,14 +207,14 @@
             raise StoreAway(str(error)) from error
         return None
 
-    async def _claim(
+    async def _claim_or_abandon(
         self, record: ClaimRecord, lease: SharedLease, *, dispatch_before: float
     ) -> ClaimOutcome:
         try:
             return await self._write_claim(record, lease, dispatch_before)
         except BaseException:
-            # The caller went away, or its time is over: the write may stand all the same, and
-            # nobody is left to dispatch it.
+            # The caller disconnected or its deadline passed. The write may have taken effect, and
+            # the claim will not be dispatched.
             self._abandon(record)
             raise
 
@@ -218,37 +222,38 @@
         self, record: ClaimRecord, lease: SharedLease, dispatch_before: float
     ) -> ClaimOutcome:
         expect = 0
-        unsure = False
+        maybe_written = False
         for _ in range(self._options.tries):
             try:
                 entry = await self._entry_after_write(record, expect, lease)
             except StoreUnsure:
-                unsure = True
+                maybe_written = True
                 continue
             except StoreAway:
                 break
             except StoreLeaseGone:
-                # What was bound to the lease has gone with it, an earlier try included.
-                self._leases.forget(lease)
-                return StoreIsAway(may_stand=False)
+                # Entries bound to the lease were deleted with it, including one written by an
+                # earlier attempt.
+                self._leases.discard(lease)
+                return ClaimUnavailable(may_stand=False)
             if entry is None:
-                # The abandoned claim that was to be taken over has been released meanwhile.
+                # The abandoned claim to take over has been released in the meantime.
                 expect = 0
                 continue
             holder = decode_record(entry)
             if holder.token == record.token:
-                return Claimed(_claim(record, entry.revision, lease, dispatch_before))
+                return Claimed(_held_claim(record, entry.revision, lease, dispatch_before))
             if holder.fingerprint != record.fingerprint or not self._may_take_over(holder):
-                return _of_other(holder, record.fingerprint)
+                return _refuse_claim(holder, record.fingerprint)
             expect = entry.revision
-        if unsure:
+        if maybe_written:
             self._abandon(record)
-        return StoreIsAway(may_stand=unsure)
+        return ClaimUnavailable(may_stand=maybe_written)
 
     async def _entry_after_write(
         self, record: ClaimRecord, expect: int, lease: SharedLease
     ) -> StoredValue | None:
-        """Try to write a claim; returns the entry as it then is, the own one or another's."""
+        """Try to write a claim. Return the current entry: the written or the conflicting one."""
         path = claim_path(record.service, record.key)
         data = encode_record(record, self._options.max_bytes)
         try:
@@ -257,43 +262,45 @@
             return conflict.current
 
     def _may_take_over(self, record: ClaimRecord) -> bool:
-        """Tell whether a claim was abandoned by this very VM, and so surely never dispatched."""
+        """Return whether this VM abandoned the claim, so that it was never dispatched."""
         return self._pending.is_abandoned(record.token)
 
     def _abandon(self, record: ClaimRecord) -> None:
-        """Remember a claim that is never dispatched for longer than it can stand."""
-        longest = (1 + DISPATCH_SHARE) * self._options.longest + 2 * self._options.share_for
-        self._pending.abandon(record, keep_until=self._now() + longest)
+        """Keep the token of a claim that is never dispatched for longer than its lease can last."""
+        max_lifetime = (1 + DISPATCH_SHARE) * self._options.longest + 2 * self._options.share_for
+        self._pending.abandon(record, keep_until=self._now() + max_lifetime)
 
-    def _valid(self, valid_ms: int | None) -> float:
+    def _validity(self, valid_ms: int | None) -> float:
         options = self._options
         seconds = options.valid_for if valid_ms is None else valid_ms / 1000
         if not 0 < seconds <= options.longest:
-            raise ValueError(f"validity of {seconds} s is not within 0 and {options.longest} s")
+            raise ValueError(f"validity of {seconds} s is not between 0 and {options.longest} s")
         return math.ceil(seconds / options.valid_for) * options.valid_for
 
-    def _record(
-        self, service: str, key: str, fingerprint: str, attempt: str, valid: float
+    def _new_record(
+        self, service: str, key: str, fingerprint: str, attempt: str, validity: float
     ) -> ClaimRecord:
-        wall = self._now_wall()
+        claimed_at = self._now_wall()
         return ClaimRecord(
             service=service,
             key=key,
             fingerprint=fingerprint,
-            token=f"{self._vm}/{next(self._numbers)}",
+            token=f"{self._vm}/{next(self._sequence)}",
             attempt=attempt,
             vm=self._vm,
             state=ClaimState.CLAIMED,
-            claimed_at=wall,
-            valid_until=wall + valid,
+            claimed_at=claimed_at,
+            valid_until=claimed_at + validity,
         )
 
 
-def _claim(record: ClaimRecord, revision: int, lease: SharedLease, dispatch_before: float) -> Claim:
+def _held_claim(
+    record: ClaimRecord, revision: int, lease: SharedLease, dispatch_before: float
+) -> Claim:
     return Claim(record=record, revision=revision, lease=lease.id, dispatch_before=dispatch_before)
 
 
-def _of_other(record: ClaimRecord, fingerprint: str) -> AlreadyClaimed | KeyReused:
+def _refuse_claim(record: ClaimRecord, fingerprint: str) -> AlreadyClaimed | KeyReused:
     if record.fingerprint != fingerprint:
         return KeyReused(record)
     return AlreadyClaimed(record)
--- a/libs/store/berylspindle_store/connections.py
+++ b/libs/store/berylspindle_store/connections.py
@@ -1,7 +1,6 @@
-"""The connections to the platform: their times and bounds, and their pool.
+"""Connection pool for calls to the platform, with its timeouts and limits.
 
-Flow: whoever speaks with the platform, in the product's protocol or another one, makes its pool
-here.
+All clients of the platform, in the product's protocol or another one, use this pool.
 """
 
 from __future__ import annotations
@@ -13,23 +12,23 @@
 from berylspindle_wire.http import HttpLimits
 from berylspindle_wire.http_pool import ConnectionPool
 
-# A list of entries near the largest value, in base64, with room for several.
-REPLY_BYTES: Final = 16 * 1024 * 1024
+# Enough for a list of several entries of nearly maximum size, in base64.
+MAX_RESPONSE_BYTES: Final = 16 * 1024 * 1024
 
-# Idle connections are not probed: a probe would count as a call to the platform.
-_NEVER_PROBE: Final = 24 * 3600.0
+# Idle connections are effectively not probed: a probe would count as a call to the platform.
+_IDLE_PROBE_AFTER_S: Final = 24 * 3600.0
 
 
 @attrs.frozen(kw_only=True)
 class StoreOptions:
-    """Times and bounds of the client of the platform.
+    """Timeouts and limits for calls to the platform.
 
     Attributes:
-        connect_timeout: seconds for a new connection.
-        read_timeout: seconds for a read until its reply is whole.
-        write_timeout: seconds for a write; past it the write may still take effect.
-        watch_slack: seconds that a watch's reply may take beyond its own wait.
-        connections: most open connections, waiting watches included.
+        connect_timeout: seconds to open a connection.
+        read_timeout: seconds for a read, up to the complete response.
+        write_timeout: seconds for a write; after a timeout, the write may still take effect.
+        watch_slack: seconds that a watch's response may take in addition to its wait.
+        connections: maximum number of open connections, including those of waiting watches.
     """
 
     connect_timeout: float = 0.5
@@ -40,13 +39,13 @@
 
 
 def platform_pool(host: str, port: int, options: StoreOptions) -> ConnectionPool:
-    """Return the pool of connections to the platform."""
+    """Return a connection pool for the platform."""
     return ConnectionPool(
         host,
         port,
         limit=options.connections,
         spare=0,
         connect_timeout=options.connect_timeout,
-        idle_probe_after=_NEVER_PROBE,
-        limits=HttpLimits(body_bytes=REPLY_BYTES),
+        idle_probe_after=_IDLE_PROBE_AFTER_S,
+        limits=HttpLimits(body_bytes=MAX_RESPONSE_BYTES),
     )
--- a/libs/store/berylspindle_store/http_store.py
+++ b/libs/store/berylspindle_store/http_store.py
@@ -1,12 +1,12 @@
-"""The configuration store over HTTP.
+"""Client of the configuration store over HTTP.
 
 Terms:
-  write    a call that can change the store; when its reply is lost it may have taken effect
-  read     any other call; when its reply is lost nothing has happened
+  write    a call that can change the store; if its reply is lost, it may have taken effect
+  read     any other call; if its reply is lost, it had no effect
 
-Flow: each method sends one request on a pooled connection within its timeout and maps the status to
-a result or to one of the closed list of store errors. Nothing is retried here, since only the
-caller knows what a second try would mean.
+Flow: each method sends one request on a pooled connection, with a timeout, and maps the status to a
+result or to a subclass of StoreError. Nothing is retried here, since only the caller knows whether
+a repetition is safe.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 T = TypeVar("T")
 
 
-# Share of a call's timeout after which a connection without any sign of life counts as silent;
-# the rest of the time is too short for another try and is left to the caller.
-_SILENT_SHARE: Final = 0.9
+# Fraction of a call's timeout without progress after which a connection is considered unresponsive;
+# the remaining time is too short for another attempt and is left to the caller.
+_PROGRESS_TIMEOUT_FRACTION: Final = 0.9
 
 
 class HttpStore(Store):
-    """Speak the platform's protocol; needs a running event loop when made."""
+    """Implement `Store` by the platform's protocol. Construct it in a running event loop."""
 
     def __init__(self, host: str, port: int, options: StoreOptions) -> None:
         self._options: Final = options
@@ -53,33 +53,35 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close all connections; calls in flight fail."""
+        """Close all connections; pending calls fail."""
         await self._pool.close()
 
     async def get(self, key: str) -> StoredValue | None:
-        """Return an entry or None; see Store."""
+        """Return an entry or None; see `Store`."""
         response = await self._read(routes.entry_path(key), {}, self._options.read_timeout)
-        # A 404 without the header comes from something before the store, a balancer for instance,
-        # and says nothing about the entry.
+        # A 404 without the header comes from an intermediary, such as a load balancer, and does
+        # not mean that there is no entry.
         if response.status == routes.STATUS_NO_ENTRY and routes.REVISION_HEADER in response.headers:
             return None
         _require_ok(response, StoreAway)
         return StoredValue(key=key, value=response.body, revision=_revision(response, StoreAway))
 
     async def list(self, prefix: str) -> ListResult:
-        """Return all entries under a prefix; see Store."""
+        """Return all entries under a prefix; see `Store`."""
         query = {routes.PREFIX_PARAMETER: prefix}
         response = await self._read(routes.KV_PATH, query, self._options.read_timeout)
         _require_ok(response, StoreAway)
         document = _decode(response, routes.ListDocument, StoreAway)
-        return ListResult(revision=document.revision, entries=_values(document))
+        return ListResult(revision=document.revision, entries=_stored_values(document))
 
     async def compare_and_swap(
         self, key: str, value: bytes | None, *, expect: int, lease: str | None = None
     ) -> StoredValue:
-        """Write or delete an entry that has the expected revision; see Store."""
+        """Write or delete an entry that has the expected revision; see `Store`."""
         if value is not None and len(value) > routes.VALUE_BYTES:
-            raise ValueError(f"{len(value)} bytes for {key} exceed {routes.VALUE_BYTES}")
+            raise ValueError(
+                f"{len(value)} bytes for {key} exceed the maximum of {routes.VALUE_BYTES}"
+            )
         query = {routes.EXPECT_PARAMETER: str(expect)}
         if lease is not None:
             query[routes.LEASE_PARAMETER] = lease
@@ -87,12 +89,14 @@
         response = await self._write(method, routes.entry_path(key), query, value or b"")
         if response.status == routes.STATUS_CONFLICT:
             conflict = _decode(response, routes.ConflictDocument, StoreUnsure)
-            raise StoreConflict(None if conflict.current is None else _value(conflict.current))
+            raise StoreConflict(
+                None if conflict.current is None else _stored_value(conflict.current)
+            )
         _require_ok(response, StoreUnsure)
         return StoredValue(key=key, value=value, revision=_revision(response, StoreUnsure))
 
     async def watch(self, prefix: str, *, after: int, wait: float) -> WatchResult:
-        """Wait for changes under a prefix; see Store."""
+        """Wait for changes under a prefix; see `Store`."""
         query = {
             routes.PREFIX_PARAMETER: prefix,
             routes.AFTER_PARAMETER: str(after),
@@ -105,21 +109,21 @@
         document = _decode(response, routes.ListDocument, StoreAway)
         return WatchResult(
             revision=document.revision,
-            entries=_values(document),
+            entries=_stored_values(document),
             compacted=response.status == routes.STATUS_GONE,
         )
 
     async def grant_lease(self, ttl: float) -> Lease:
-        """Return a new lease; see Store."""
+        """Return a new lease; see `Store`."""
         body = codec.to_json(routes.LeaseRequest(ttl_ms=int(ttl * 1000)))
         return _lease(await self._write("POST", routes.LEASES_PATH, {}, body))
 
     async def keep_alive(self, lease: str) -> Lease:
-        """Let a lease begin its time anew; see Store."""
+        """Restart the TTL of a lease; see `Store`."""
         return _lease(await self._write("PUT", routes.lease_path(lease), {}, b""))
 
     async def revoke(self, lease: str) -> None:
-        """End a lease; see Store."""
+        """End a lease; see `Store`."""
         response = await self._write("DELETE", routes.lease_path(lease), {}, b"")
         _require_ok(response, StoreUnsure)
 
@@ -137,35 +141,35 @@
         try:
             response = await self._send(request, self._options.write_timeout)
         except HttpFailure as failure:
-            # Only where no byte went out is it sure that nothing happened: a connection that
-            # breaks after that may have carried the write, and its reply is what was lost.
-            kind = StoreAway if failure.phase is FailurePhase.NOT_SENT else StoreUnsure
-            raise kind(str(failure)) from failure
+            # The call had no effect only if no byte was sent: if the connection breaks later, the
+            # store may have received the write, and the reply may have been lost.
+            error_type = StoreAway if failure.phase is FailurePhase.NOT_SENT else StoreUnsure
+            raise error_type(str(failure)) from failure
         if response.status == routes.STATUS_GONE:
             raise StoreLeaseGone(path)
         return response
 
     async def _send(self, request: HttpRequest, timeout: float) -> HttpResponse:
         return await self._pool.request(
-            request, timeout=timeout, progress_timeout=timeout * _SILENT_SHARE
+            request, timeout=timeout, progress_timeout=timeout * _PROGRESS_TIMEOUT_FRACTION
         )
 
 
 def open_store(host: str, port: int, options: StoreOptions | None = None) -> HttpStore:
-    """Return a client of the store; close it, or use it as an asynchronous context."""
+    """Return a client of the store; close it or use it as an asynchronous context manager."""
     return HttpStore(host, port, options or StoreOptions())
 
 
-def _require_ok(response: HttpResponse, otherwise: type[StoreError]) -> None:
-    """Raise `otherwise` for any status but success and a plain refusal."""
+def _require_ok(response: HttpResponse, error_type: type[StoreError]) -> None:
+    """Raise StoreAway for a refusal and `error_type` for any other status except success."""
     if response.status == routes.STATUS_OK:
         return
     if response.status in _REFUSALS:
         raise StoreAway(f"status {response.status}")
-    raise otherwise(f"status {response.status}")
+    raise error_type(f"status {response.status}")
 
 
-# The platform says with these that it did nothing.
+# Statuses by which the platform reports that the call had no effect.
 _REFUSALS: Final = frozenset(
     {
         routes.STATUS_BAD_REQUEST,
@@ -176,17 +180,17 @@
 )
 
 
-def _decode(response: HttpResponse, kind: type[T], otherwise: type[StoreError]) -> T:
+def _decode(response: HttpResponse, kind: type[T], error_type: type[StoreError]) -> T:
     try:
         return codec.from_json(response.body, kind)
     except codec.MalformedError as error:
-        raise otherwise(f"malformed reply: {error}") from error
+        raise error_type(f"malformed response: {error}") from error
 
 
-def _revision(response: HttpResponse, otherwise: type[StoreError]) -> int:
+def _revision(response: HttpResponse, error_type: type[StoreError]) -> int:
     text = response.headers.get(routes.REVISION_HEADER, "")
     if not text.isdecimal():
-        raise otherwise(f"reply without {routes.REVISION_HEADER}")
+        raise error_type(f"response without a valid {routes.REVISION_HEADER} header")
     return int(text)
 
 
@@ -196,9 +200,9 @@
     return Lease(id=document.id, ttl=document.ttl_ms / 1000)
 
 
-def _value(entry: routes.EntryDocument) -> StoredValue:
+def _stored_value(entry: routes.EntryDocument) -> StoredValue:
     return StoredValue(key=entry.key, value=entry.value, revision=entry.revision)
 
 
-def _values(document: routes.ListDocument) -> tuple[StoredValue, ...]:
-    return tuple(_value(entry) for entry in document.entries)
+def _stored_values(document: routes.ListDocument) -> tuple[StoredValue, ...]:
+    return tuple(_stored_value(entry) for entry in document.entries)
--- a/libs/store/berylspindle_store/pending_claims.py
+++ b/libs/store/berylspindle_store/pending_claims.py
@@ -1,12 +1,12 @@
-"""Outcomes and releases that wait for the store, held by the VM that knows them.
+"""Outcomes and releases of a VM's claims that are not yet in the store.
 
-Terms: see `claims`.
-  pending outcome   a request has run, and the store has not yet heard what it came to
-  abandoned token   names a claim that this VM never dispatched and never will
+Terms: see `claims`, and
+  pending outcome   the outcome of a request that has run and is not yet stored
+  abandoned token   token of a claim that this VM did not dispatch and never will
 
-Flow: `settle` and `release` try at once; what the store could not take stays here, and `retry`
-tries it again, from a background task, until it is done or its time is over. A VM that is lost
-takes what waits with it: the claim stays CLAIMED, so a retry is told that it may have run.
+Flow: `store_outcome` and `release` write at once; what could not be written is kept here, and a
+background task calls `retry` until it is written or has expired. If the VM is lost, its pending
+items are lost too: the claim stays CLAIMED, and a retry is answered that the request may have run.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
     StoreUnsure,
 )
 
-# Most abandoned tokens remembered. Forgetting one costs its key a wait for the lease, no more.
-MAX_ABANDONED: Final = 10_000
-# Most outcomes held for a store that is away; at 64 KB each this bounds the memory of a VM.
-MAX_OUTCOMES: Final = 1_000
-# A release that finds no entry is tried so often: the write that was given up may still arrive.
-RELEASE_CHECKS: Final = 3
-_SETTLE_TRIES: Final = 3
+# If a token is evicted, its key merely stays unusable until the lease expires.
+MAX_ABANDONED_TOKENS: Final = 10_000
+# At up to 64 KB each, this bounds the memory used while the store is unavailable.
+MAX_PENDING_OUTCOMES: Final = 1_000
+# A release that finds no entry is repeated, since an abandoned write may still arrive.
+RELEASE_ATTEMPTS: Final = 3
+_OUTCOME_WRITE_ATTEMPTS: Final = 3
 
 
 @attrs.frozen(kw_only=True)
@@ -51,61 +51,61 @@
 
 
 @attrs.define(kw_only=True)
-class _Abandoned:
+class _AbandonedClaim:
     record: ClaimRecord
     keep_until: float
-    checks_left: int = RELEASE_CHECKS
+    attempts_left: int = RELEASE_ATTEMPTS
 
 
 class PendingClaims:
-    """What one VM still has to tell the store about its claims."""
+    """The outcomes and releases that one VM has yet to write to the store."""
 
     def __init__(self, store: Store, *, max_bytes: int, now: Callable[[], float]) -> None:
         self._store: Final = store
         self._max_bytes: Final = max_bytes
         self._now: Final = now
         self._outcomes: collections.OrderedDict[str, _PendingOutcome] = collections.OrderedDict()
-        self._abandoned: collections.OrderedDict[str, _Abandoned] = collections.OrderedDict()
+        self._abandoned: collections.OrderedDict[str, _AbandonedClaim] = collections.OrderedDict()
         self._dropped = 0
 
     def __len__(self) -> int:
-        waiting = sum(1 for item in self._abandoned.values() if item.checks_left)
+        waiting = sum(1 for item in self._abandoned.values() if item.attempts_left)
         return len(self._outcomes) + waiting
 
     @property
     def dropped(self) -> int:
-        """Return how many outcomes were lost for want of room."""
+        """Return the number of outcomes dropped because of `MAX_PENDING_OUTCOMES`."""
         return self._dropped
 
     def outcome_of(self, path: str) -> ClaimRecord | None:
-        """Return the finished record of a path that the store has not heard of yet, or None."""
+        """Return the finished record of a path that is not yet stored, or None."""
         pending = self._outcomes.get(path)
         return None if pending is None else pending.finished
 
     def is_abandoned(self, token: str) -> bool:
-        """Tell whether this VM surely never dispatched, nor will, the claim of a token."""
+        """Return whether the token belongs to a claim that this VM never dispatches."""
         return token in self._abandoned
 
     def abandon(self, record: ClaimRecord, *, keep_until: float) -> None:
-        """Remember that a claim is never dispatched, and release it in the background."""
-        self._abandoned[record.token] = _Abandoned(record=record, keep_until=keep_until)
-        while len(self._abandoned) > MAX_ABANDONED:
+        """Record that a claim is never dispatched; `retry` releases it."""
+        self._abandoned[record.token] = _AbandonedClaim(record=record, keep_until=keep_until)
+        while len(self._abandoned) > MAX_ABANDONED_TOKENS:
             self._abandoned.popitem(last=False)
 
-    async def settle(self, claim: Claim, finished: ClaimRecord) -> SettleState:
+    async def store_outcome(self, claim: Claim, finished: ClaimRecord) -> SettleState:
         """Store a finished record, or keep it pending."""
-        # It is known here before the store hears of it, so that a retry at this VM is answered
-        # from here all through an outage.
+        # The outcome is kept in memory before it is written, so that this VM can answer a retry
+        # throughout an outage of the store.
         path = claim_path(finished.service, finished.key)
         pending = _PendingOutcome(claim=claim, finished=finished)
         self._outcomes[path] = pending
-        while len(self._outcomes) > MAX_OUTCOMES:
+        while len(self._outcomes) > MAX_PENDING_OUTCOMES:
             self._outcomes.popitem(last=False)
             self._dropped += 1
-        return await self._settle(path, pending)
+        return await self._try_store_outcome(path, pending)
 
     async def release(self, token: str) -> None:
-        """Try once to delete the abandoned claim of a token."""
+        """Try once to delete the abandoned claim with this token."""
         item = self._abandoned[token]
         try:
             await self._release(item)
@@ -113,20 +113,20 @@
             return
 
     async def retry(self) -> None:
-        """Try each pending item once; ends at the first sign that the store is still away."""
+        """Try each pending item once; stop as soon as the store proves to be unavailable."""
         for path, pending in tuple(self._outcomes.items()):
-            if await self._settle(path, pending) is SettleState.PENDING:
+            if await self._try_store_outcome(path, pending) is SettleState.PENDING:
                 return
         for token, item in tuple(self._abandoned.items()):
             if item.keep_until <= self._now():
                 del self._abandoned[token]
-            elif item.checks_left:
+            elif item.attempts_left:
                 try:
                     await self._release(item)
                 except StoreError:
                     return
 
-    async def _settle(self, path: str, pending: _PendingOutcome) -> SettleState:
+    async def _try_store_outcome(self, path: str, pending: _PendingOutcome) -> SettleState:
         state = await self._write_outcome(path, pending)
         if state is not SettleState.PENDING and self._outcomes.get(path) is pending:
             del self._outcomes[path]
@@ -135,7 +135,7 @@
     async def _write_outcome(self, path: str, pending: _PendingOutcome) -> SettleState:
         claim, finished = pending.claim, pending.finished
         data = encode_record(finished, self._max_bytes)
-        for _ in range(_SETTLE_TRIES):
+        for _ in range(_OUTCOME_WRITE_ATTEMPTS):
             try:
                 await self._store.compare_and_swap(
                     path, data, expect=claim.revision, lease=claim.lease
@@ -147,13 +147,14 @@
             except StoreLeaseGone:
                 return SettleState.LAPSED
             except StoreConflict as conflict:
-                # The own token with another revision is an earlier try whose reply was lost.
+                # This VM's token at another revision: an earlier attempt succeeded and its reply
+                # was lost.
                 own = conflict.current is not None and _token(conflict.current) == finished.token
                 return SettleState.STORED if own else SettleState.LAPSED
             return SettleState.STORED
         return SettleState.PENDING
 
-    async def _release(self, item: _Abandoned) -> None:
+    async def _release(self, item: _AbandonedClaim) -> None:
         record = item.record
         path = claim_path(record.service, record.key)
         expect = 0
@@ -166,12 +167,12 @@
                     expect = 0
                     continue
                 if _token(current) != record.token:
-                    # Another attempt has the key; a write given up earlier can only fail now.
-                    item.checks_left = 0
+                    # Another attempt holds the key, so that an abandoned write can only fail.
+                    item.attempts_left = 0
                     return
                 expect = current.revision
                 continue
-            item.checks_left = 0 if expect else item.checks_left - 1
+            item.attempts_left = 0 if expect else item.attempts_left - 1
             return
 
 
--- a/libs/store/berylspindle_store/routes.py
+++ b/libs/store/berylspindle_store/routes.py
@@ -1,13 +1,14 @@
-"""The platform's protocol: every route, parameter, header and field in one place.
+"""The platform's protocol: all routes, parameters, headers and fields.
 
 Terms:
-  revision   one number for the whole store that grows by one with every change; the revision of an
-             entry is that of its last change
-  expect     the revision that a compare-and-swap wants the entry to have; 0 wants no entry
-  lease      a time to live kept by the store's clock; entries bound to it go when it lapses
-
-Flow: `http_store` and `vm_list` encode calls with these names and the stand-in decodes them. A
-change of the platform's protocol touches this module alone.
+  revision   a number that grows by one with every change of the store; the revision of an entry is
+             that of its last change
+  expect     the revision that an entry must have for a compare-and-swap; 0 means no entry
+  lease      a time to live on the store's clock; the store deletes entries bound to an expired
+             lease
+
+Flow: `http_store` and `vm_list` encode calls with these names, and the stand-in decodes them. A
+change of the platform's protocol affects only this module.
 """
 
 from __future__ import annotations
@@ -27,9 +28,9 @@
 AFTER_PARAMETER: Final = "after"
 WAIT_PARAMETER: Final = "wait_ms"
 
-# Revision of the entry in a GET, PUT or DELETE.
+# Revision of the entry, in the response to a GET, PUT or DELETE.
 REVISION_HEADER: Final = "x-revision"
-# Revision of the whole store at the time of the reply.
+# Revision of the store when the response was made.
 STORE_REVISION_HEADER: Final = "x-store-revision"
 
 VALUE_BYTES: Final = 1024 * 1024
@@ -45,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryDocument:
-    """One entry as JSON; the codec writes bytes as base64. A deleted one has no value."""
+    """One entry as JSON, with the value in base64. A deleted entry has no value."""
 
     key: str
     revision: int
@@ -54,7 +55,7 @@
 
 @attrs.frozen(kw_only=True)
 class ListDocument:
-    """Reply to GET /v1/kv?prefix= and to GET /v1/watch: entries and the store's revision."""
+    """Response to GET /v1/kv?prefix= and GET /v1/watch: entries and the store's revision."""
 
     revision: int
     entries: tuple[EntryDocument, ...] = ()
@@ -62,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConflictDocument:
-    """Reply 409 to a compare-and-swap: the entry as it is, or None where there is none."""
+    """Response 409 to a compare-and-swap: the current entry, or None if there is none."""
 
     revision: int
     current: EntryDocument | None = None
@@ -77,7 +78,7 @@
 
 @attrs.frozen(kw_only=True)
 class LeaseDocument:
-    """Reply to POST /v1/leases and PUT /v1/leases/{id}; `ttl_ms` counts from now."""
+    """Response to POST /v1/leases and PUT /v1/leases/{id}; `ttl_ms` starts at the call."""
 
     id: str
     ttl_ms: int
@@ -85,7 +86,7 @@
 
 @attrs.frozen(kw_only=True)
 class VmDocument:
-    """One VM in the list. `role` is "entry" or "backend", `state` is "live" or "leaving"."""
+    """One VM of the list. `role` is "entry" or "backend", `state` is "live" or "leaving"."""
 
     id: str
     data_centre: str
@@ -97,21 +98,21 @@
 
 @attrs.frozen(kw_only=True)
 class VmListDocument:
-    """Reply to GET /v1/vms."""
+    """Response to GET /v1/vms."""
 
     vms: tuple[VmDocument, ...] = ()
 
 
 def entry_path(key: str) -> str:
-    """Return the route of one entry, not yet escaped; the key may hold slashes."""
+    """Return the unescaped route of an entry; the key can contain slashes."""
     return f"{KV_PATH}/{key}"
 
 
 def entry_key(path: str) -> str:
-    """Return the key that `entry_path` has put into a route."""
+    """Return the key from a route made by `entry_path`."""
     return path[len(KV_PATH) + 1 :]
 
 
 def lease_path(lease: str) -> str:
-    """Return the route of one lease."""
+    """Return the route of a lease."""
     return f"{LEASES_PATH}/{lease}"
--- a/libs/store/berylspindle_store/store.py
+++ b/libs/store/berylspindle_store/store.py
@@ -1,17 +1,18 @@
-"""The platform's configuration store as the system sees it.
+"""Interface of the platform's configuration store.
 
 Terms:
-  revision         one number for the whole store that grows with every change; an entry's is that
-                   of its last change
-  compare-and-swap a write that takes effect only if the entry has the expected revision; 0 expects
-                   no entry
-  lease            a time to live kept by the store; entries bound to it go when it lapses
-  away             the call surely took no effect
-  unsure           the call may have taken effect: its reply was lost
-
-Flow: callers hold a `Store`; `http_store` makes one that speaks the platform's protocol. Reads can
-lag behind writes, watch events can come late and twice, so a caller never goes back to a lower
-revision than one it has seen. No method retries by itself.
+  revision          a number that grows with every change of the store; the revision of an entry is
+                    that of its last change
+  compare-and-swap  a write that takes effect only if the entry has the expected revision; revision
+                    0 expects no entry
+  lease             a time to live that the store counts; it deletes entries bound to an expired
+                    lease
+  away              the call failed and had no effect
+  unsure            the reply was lost, and the call may have taken effect
+
+Flow: callers use a `Store`; `http_store` implements it by the platform's protocol. Reads can lag
+behind writes, and watch events can be late or duplicated, so a caller must never go back to a lower
+revision than one it has seen. No method retries.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 
 class StoreError(Exception):
-    """A call to the store that did not succeed; the subclasses are the closed list of ways."""
+    """A failed call to the store; the subclasses are all the ways in which it can fail."""
 
 
 class StoreConflict(StoreError):  # noqa: N818
     """The entry does not have the expected revision; nothing was changed.
 
-    `current` is the entry as it is, read together with the refusal and so never lagging.
+    `current` is the entry, read atomically with the comparison, so that it does not lag.
     """
 
     def __init__(self, current: StoredValue | None) -> None:
@@ -38,15 +39,15 @@
 
 
 class StoreAway(StoreError):  # noqa: N818
-    """The store was not reached or refused the call; it surely took no effect."""
+    """The store was not reached or refused the call; the call had no effect."""
 
 
 class StoreUnsure(StoreError):  # noqa: N818
-    """The call was sent and no reply came; it may have taken effect, or may still do so."""
+    """The call was sent and got no reply; it may have taken effect, or may do so later."""
 
 
 class StoreLeaseGone(StoreError):  # noqa: N818
-    """The lease has lapsed or was revoked; the call took no effect."""
+    """The lease has expired or was revoked; the call had no effect."""
 
 
 @attrs.frozen(kw_only=True)
@@ -54,9 +55,9 @@
     """One entry.
 
     Attributes:
-        value: None where the entry was deleted at this revision.
-        lease: the lease that the entry is bound to; empty where it is bound to none or the store
-            does not say.
+        value: None if the entry was deleted at this revision.
+        lease: id of the lease that the entry is bound to; empty if there is none or the store does
+            not report it.
     """
 
     key: str
@@ -67,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class ListResult:
-    """The entries under a prefix, and the store's revision when they were read."""
+    """The entries under a prefix and the store's revision at which they were read."""
 
     revision: int
     entries: tuple[StoredValue, ...]
@@ -75,13 +76,13 @@
 
 @attrs.frozen(kw_only=True)
 class WatchResult:
-    """What changed after a revision, in order.
+    """The changes after a revision, in order.
 
     Attributes:
-        revision: go on watching after this one.
-        entries: the changes; empty when the wait ended first.
-        compacted: the store no longer knows all changes: list anew, then watch after `revision`
-            of that list.
+        revision: the revision after which to continue the watch.
+        entries: the changes; empty if there were none during the wait.
+        compacted: the store no longer has all changes: list again, then watch after the list's
+            `revision`.
     """
 
     revision: int
@@ -91,27 +92,27 @@
 
 @attrs.frozen(kw_only=True)
 class Lease:
-    """A granted lease. The store began to count `ttl` seconds at some time during the call."""
+    """A granted lease. Its `ttl` in seconds started at some time during the call."""
 
     id: str
     ttl: float
 
 
 class Store(ABC):
-    """The configuration store. Every method may raise StoreAway; times are in seconds."""
+    """The configuration store. Every method can raise StoreAway; times are in seconds."""
 
     @abstractmethod
     async def get(self, key: str) -> StoredValue | None:
-        """Return an entry or None. May lag."""
+        """Return an entry, or None if there is none. The result can lag."""
 
     @abstractmethod
     async def list(self, prefix: str) -> ListResult:
-        """Return all entries whose keys start with `prefix`, by key. May lag."""
+        """Return all entries whose keys start with `prefix`, ordered by key. The result can lag."""
 
     async def list_cached(self, prefix: str) -> ListResult:
-        """Return all entries as they were a while ago, where that costs the store less.
+        """Return all entries at an earlier revision, if that costs the store less than `list`.
 
-        Whoever watches after the result's revision misses no change since.
+        A watch after the result's revision reports all later changes.
         """
         return await self.list(prefix)
 
@@ -119,11 +120,11 @@
     async def compare_and_swap(
         self, key: str, value: bytes | None, *, expect: int, lease: str | None = None
     ) -> StoredValue:
-        """Write `value`, or delete where it is None, if the entry has revision `expect`.
+        """Write `value`, or delete the entry if None, provided that it has revision `expect`.
 
-        An entry is bound to `lease` by this write and to none without it. Deleting with `expect`
-        0 changes nothing and proves that there is no entry. Raises StoreConflict, StoreUnsure,
-        StoreLeaseGone; ValueError for a value larger than the store takes.
+        The write binds the entry to `lease`, or to no lease if None. Deleting with `expect` 0
+        changes nothing and confirms that there is no entry. Raises StoreConflict, StoreUnsure,
+        StoreLeaseGone, and ValueError if the value exceeds the store's maximum size.
         """
 
     @abstractmethod
@@ -132,12 +133,12 @@
 
     @abstractmethod
     async def grant_lease(self, ttl: float) -> Lease:
-        """Return a new lease. Raises StoreUnsure; a lease granted unheard lapses by itself."""
+        """Return a new lease. Raises StoreUnsure; a lease whose reply is lost expires unused."""
 
     @abstractmethod
     async def keep_alive(self, lease: str) -> Lease:
-        """Let a lease begin its time anew. Raises StoreUnsure, StoreLeaseGone."""
+        """Restart the TTL of a lease. Raises StoreUnsure, StoreLeaseGone."""
 
     @abstractmethod
     async def revoke(self, lease: str) -> None:
-        """End a lease and delete what is bound to it. Raises StoreUnsure, StoreLeaseGone."""
+        """End a lease and delete the entries bound to it. Raises StoreUnsure, StoreLeaseGone."""
--- a/libs/store/berylspindle_store/vm_list.py
+++ b/libs/store/berylspindle_store/vm_list.py
@@ -1,11 +1,11 @@
-"""The platform's list of VMs, a hint that lags.
+"""The platform's list of VMs.
 
 Terms:
   live      the platform runs the VM
-  leaving   the platform is about to take it away
+  leaving   the platform is about to stop the VM
 
-Flow: `VmList.fetch` returns the list as the platform shows it now. A VM that it does not name may
-be new, and one that it names may be gone: nobody is held dead, or alive, by it alone.
+Flow: `VmList.fetch` returns the current list. The list lags: a VM that is missing may be new, and a
+listed one may have stopped, so it alone never decides whether a VM is alive or dead.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class VmRole(enum.StrEnum):
-    """What runs on a VM: the system itself, or one backend server."""
+    """What a VM runs: an entry of this system or a backend server."""
 
     ENTRY = "entry"
     BACKEND = "backend"
 
 
 class VmState(enum.StrEnum):
-    """Whether the platform is about to take a VM away."""
+    """Whether the platform is about to stop a VM."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class ListedVm:
-    """One VM of the list. For an entry VM, `port` is that of its peers' protocol."""
+    """One VM of the list. For an entry VM, `port` is the port of the peer protocol."""
 
     id: str
     data_centre: str
@@ -51,15 +51,15 @@
 
 
 class VmList(ABC):
-    """Where the list of VMs comes from."""
+    """Source of the list of VMs."""
 
     @abstractmethod
     async def fetch(self) -> tuple[ListedVm, ...]:
-        """Return the list; raises StoreAway where the platform gives none."""
+        """Return the list. Raises StoreAway if the platform does not provide it."""
 
 
 class HttpVmList(VmList):
-    """Fetch the list over HTTP; needs a running event loop when made."""
+    """Fetch the list over HTTP. Construct it in a running event loop."""
 
     def __init__(self, host: str, port: int, options: StoreOptions) -> None:
         self._timeout: Final = options.read_timeout
@@ -76,7 +76,7 @@
         await self._pool.close()
 
     async def fetch(self) -> tuple[ListedVm, ...]:
-        """Return the list; entries with a role or state not known here are left out."""
+        """Return the list without VMs of an unknown role or state."""
         request = HttpRequest(method="GET", path=routes.VMS_PATH)
         try:
             response = await self._pool.request(request, timeout=self._timeout)
@@ -85,17 +85,17 @@
             document = codec.from_json(response.body, routes.VmListDocument)
         except (HttpFailure, codec.MalformedError) as error:
             raise StoreAway(str(error)) from error
-        listed = (_listed(vm) for vm in document.vms)
+        listed = (_decode_vm(vm) for vm in document.vms)
         return tuple(vm for vm in listed if vm is not None)
 
 
 def open_vm_list(host: str, port: int, options: StoreOptions | None = None) -> HttpVmList:
-    """Return a client of the VM list; close it, or use it as an asynchronous context."""
+    """Return a client of the VM list; close it or use it as an asynchronous context manager."""
     return HttpVmList(host, port, options or StoreOptions())
 
 
-def _listed(vm: routes.VmDocument) -> ListedVm | None:
-    # A list that names a new role must not make a VM blind to all others.
+def _decode_vm(vm: routes.VmDocument) -> ListedVm | None:
+    # A VM with an unknown role must not prevent the use of the rest of the list.
     if vm.role not in set(VmRole) or vm.state not in set(VmState):
         return None
     return ListedVm(
--- a/tests/controlplane/test_configuration_machine.py
+++ b/tests/controlplane/test_configuration_machine.py
@@ -165,7 +165,7 @@
 
     async def _old_event(self, vm: Vm, text: bytes) -> None:
         event = StoredValue(key=CONFIGURATION_KEY, value=text, revision=1)
-        self.cluster.plane(vm)._watcher._take((event,))
+        self.cluster.plane(vm)._watcher._publish((event,))
         self.look()
 
     def heal_all(self) -> None:
@@ -285,8 +285,8 @@
     """
     original = operations.Operations._swap
 
-    async def swap(self: Any, following: Configuration, expect: int) -> Any:
-        while await original(self, following, expect) is not None:
+    async def swap(self: Any, successor: Configuration, expect: int) -> Any:
+        while await original(self, successor, expect) is not None:
             expect = self._store._store.state.get(CONFIGURATION_KEY, 0.0).revision
 
     monkeypatch.setattr(operations.Operations, "_swap", swap)
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -14,10 +14,10 @@
     AlreadyClaimed,
     Claimed,
     ClaimState,
+    ClaimUnavailable,
     DispatchOutcome,
     KeyReused,
     SettleState,
-    StoreIsAway,
     claim_path,
 )
 from berylspindle_store.claims import ClaimOptions, Claims
@@ -137,7 +137,7 @@
     assert isinstance(await first.claim("lots", "warm-up", "f", "a0"), Claimed)
     assert isinstance(await second.claim("lots", "warm-up", "f", "a0"), AlreadyClaimed)
     set_faults(platform, lost_replies=-1)
-    assert await first.claim("lots", "k", "f", "a1") == StoreIsAway(may_stand=True)
+    assert await first.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_stand=True)
     set_faults(platform, lost_replies=0)
     assert isinstance(await second.claim("lots", "k", "f", "a2"), AlreadyClaimed)
     taken = await asyncio.gather(*(first.claim("lots", "k", "f", f"a{n}") for n in (3, 4)))
@@ -170,7 +170,7 @@
     assert isinstance(outcome, Claimed)
     set_faults(platform, outage="refuse")
     assert await first.settle(outcome.claim, DONE) is SettleState.PENDING
-    assert await first.claim("lots", "new", "f", "a2") == StoreIsAway(may_stand=False)
+    assert await first.claim("lots", "new", "f", "a2") == ClaimUnavailable(may_stand=False)
     again = await first.claim("lots", "k", "f", "a3")
     assert isinstance(again, AlreadyClaimed)
     assert again.record.outcome == DONE
@@ -224,8 +224,8 @@
         async with asyncio.timeout(10):
             outcome = await claims.claim("lots", "k", "f", "a1", within=0.05)
             fresh = await other.claim("lots", "k", "f", "a1", within=0.05)
-        assert outcome == StoreIsAway(may_stand=True)
-        assert fresh == StoreIsAway(may_stand=False)
+        assert outcome == ClaimUnavailable(may_stand=True)
+        assert fresh == ClaimUnavailable(may_stand=False)
         set_faults(platform, late_reply_ms=0)
         assert await claims.retry_pending() == 0
         assert isinstance(await other.claim("lots", "k", "f", "a2"), Claimed)
@@ -234,7 +234,7 @@
 async def test_an_entry_that_is_no_claim_is_never_dispatched_over(store: HttpStore) -> None:
     await store.compare_and_swap(claim_path("lots", "k"), b"{}", expect=0)
     claims = claims_of(store, "vm1")
-    assert await claims.claim("lots", "k", "f", "a1") == StoreIsAway(may_stand=True)
+    assert await claims.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_stand=True)
     with pytest.raises(StoreAway):
         await claims.find("lots", "k")
     await claims.retry_pending()
@@ -256,7 +256,7 @@
     claiming = asyncio.create_task(claims.claim("lots", "k", "f", "a1"))
     await asyncio.sleep(0.02)
     clock.now += 300.0
-    assert await claiming == StoreIsAway(may_stand=True)
+    assert await claiming == ClaimUnavailable(may_stand=True)
 
 
 async def test_find_does_not_believe_a_lagging_read_that_there_is_nothing(
--- a/tests/store/test_claims_machine.py
+++ b/tests/store/test_claims_machine.py
@@ -318,8 +318,8 @@
 class EndlessLeases(ClaimLeases):
     async def _grant(self, valid: float) -> SharedLease:
         granted = await super()._grant(valid)
-        self._held[valid] = SharedLease(id=granted.id, use_before=float("inf"))
-        return self._held[valid]
+        self._current[valid] = SharedLease(id=granted.id, bind_before=float("inf"))
+        return self._current[valid]
 
 
 def planted(**attributes: object) -> type[ClaimsMachine]:
