--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims against the stand-in over sockets: at most once through lost replies and outages."""
+"""Test claims against the stand-in over sockets: at most one dispatch despite lost replies."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Clock:
-    """A monotonic clock that tests move."""
+    """A monotonic clock that tests set."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -61,9 +61,7 @@
     platform.change(PlatformChange(set=dict(faults)))
 
 
-async def test_one_execute_costs_the_store_two_writes(
-    platform: PlatformStandin, store: HttpStore
-) -> None:
+async def test_an_execute_costs_two_writes(platform: PlatformStandin, store: HttpStore) -> None:
     claims = claims_of(store, "vm1")
     for number in range(20):
         outcome = await claims.claim("lots", f"k{number}", "f", "a")
@@ -76,7 +74,7 @@
     assert platform.counts.calls == {"grant": 1, "put": 41}
 
 
-async def test_a_burst_after_a_quiet_time_grants_one_lease(
+async def test_a_burst_after_an_idle_time_grants_one_lease(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     claims = claims_of(store, "vm1")
@@ -100,20 +98,20 @@
     assert record.outcome == DONE
 
 
-async def test_a_key_with_another_content_is_refused(store: HttpStore) -> None:
+async def test_a_key_with_different_content_is_refused(store: HttpStore) -> None:
     claims = claims_of(store, "vm1")
     assert isinstance(await claims.claim("lots", "k", "f", "a1"), Claimed)
     assert isinstance(await claims.claim("lots", "k", "other", "a2"), KeyReused)
     assert isinstance(await claims.claim("desk", "k", "other", "a3"), Claimed)
 
 
-async def test_a_lost_reply_to_a_claim_is_settled_by_its_own_token(
+async def test_a_lost_reply_to_a_claim_is_resolved_by_its_token(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """An order confirmation fails with "may have run" though the store only lost one reply.
+    """Guard against "may have run" errors when the store loses one reply.
 
-    The claim takes effect, its reply is lost. Writing it again meets the own claim, so this VM
-    holds it and dispatches once.
+    The claim takes effect and its reply is lost. The repeated write conflicts with the VM's own
+    claim, so that the VM holds the claim and dispatches once.
     """
     claims = claims_of(store, "vm1")
     assert isinstance(await claims.claim("lots", "warm-up", "f", "a0"), Claimed)
@@ -125,13 +123,13 @@
     assert platform.counts.lost == 2
 
 
-async def test_a_claim_that_cannot_be_settled_is_taken_over_by_its_own_vm_alone(
+async def test_an_abandoned_claim_is_taken_over_only_by_its_own_vm(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """A hold is refused as not run, its caller repeats it, and it must run now, once.
+    """Guard against a retry that is never run, or run twice, after an abandoned claim.
 
-    Every reply to the claim is lost, though it stands. Another VM cannot know that nobody
-    dispatched it and must leave it alone; the VM that gave it up knows and takes it over.
+    All replies to the claim are lost, though it took effect. Another VM cannot tell that it was
+    not dispatched and must refuse the retry; the VM that abandoned it takes it over.
     """
     first, second = claims_of(store, "vm1"), claims_of(store, "vm2")
     assert isinstance(await first.claim("lots", "warm-up", "f", "a0"), Claimed)
@@ -157,13 +155,13 @@
     assert isinstance(await second.claim("lots", "k", "f", "a2"), Claimed)
 
 
-async def test_an_outage_refuses_claims_and_keeps_outcomes_until_it_ends(
+async def test_claims_are_refused_and_outcomes_kept_during_an_outage(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """A confirmation ran, the store went away before its outcome was kept, the caller asks again.
+    """Guard against losing the outcome of a request when the store fails before it is written.
 
-    The VM that ran it answers from memory during the outage; the outcome reaches the store after
-    it. A new request in the outage is refused as not run.
+    The VM that ran the request answers retries from memory during the outage and stores the
+    outcome after it. A new request during the outage is refused as not run.
     """
     first, second = claims_of(store, "vm1"), claims_of(store, "vm2")
     outcome = await first.claim("lots", "k", "f", "a1")
@@ -182,7 +180,7 @@
     assert record.outcome == DONE
 
 
-async def test_a_released_claim_can_be_had_again(store: HttpStore) -> None:
+async def test_a_released_key_can_be_claimed_again(store: HttpStore) -> None:
     first, second = claims_of(store, "vm1"), claims_of(store, "vm2")
     outcome = await first.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
@@ -192,7 +190,7 @@
 
 
 async def test_a_cancelled_claim_is_released(platform: PlatformStandin, store: HttpStore) -> None:
-    """A caller hangs up while its claim is being written, and its key is then stuck for minutes."""
+    """Guard against a key that is unusable after its caller disconnects during the write."""
     claims, other = claims_of(store, "vm1"), claims_of(store, "vm2")
     assert isinstance(await claims.claim("lots", "warm-up", "f", "a0"), Claimed)
     set_faults(platform, late_reply_ms=200)
@@ -208,16 +206,16 @@
     assert isinstance(await other.claim("lots", "k", "f", "a2"), Claimed)
 
 
-async def test_a_claim_that_has_no_time_left_is_given_up_at_once(
+async def test_a_claim_ends_at_its_callers_deadline(
     platform: PlatformStandin,
 ) -> None:
-    """A hold with half a second left waits for seconds, since the store has fallen silent.
+    """Guard against a claim that waits past its caller's deadline for an unresponsive store.
 
-    Each try of the claim waits for its own timeout. The caller hears at its deadline that the hold
-    was not run, and the claim, which stands, is released once the store answers again.
+    Each attempt has its own, longer timeout. The caller gets an answer at its deadline, and the
+    claim, which took effect, is released once the store responds again.
     """
-    patient = StoreOptions(read_timeout=600.0, write_timeout=600.0)
-    async with open_store("127.0.0.1", platform.port, patient) as store:
+    long_timeouts = StoreOptions(read_timeout=600.0, write_timeout=600.0)
+    async with open_store("127.0.0.1", platform.port, long_timeouts) as store:
         claims, other = claims_of(store, "vm1"), claims_of(store, "vm2")
         assert isinstance(await claims.claim("lots", "warm-up", "f", "a0"), Claimed)
         set_faults(platform, late_reply_ms=600_000)
@@ -231,7 +229,7 @@
         assert isinstance(await other.claim("lots", "k", "f", "a2"), Claimed)
 
 
-async def test_an_entry_that_is_no_claim_is_never_dispatched_over(store: HttpStore) -> None:
+async def test_a_key_with_an_invalid_record_is_never_dispatched(store: HttpStore) -> None:
     await store.compare_and_swap(claim_path("lots", "k"), b"{}", expect=0)
     claims = claims_of(store, "vm1")
     assert await claims.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_stand=True)
@@ -241,13 +239,13 @@
     assert claims.pending == 0
 
 
-async def test_a_pause_across_the_end_of_the_lease_gives_no_right_to_dispatch(
+async def test_a_claim_written_after_a_pause_past_the_lease_is_refused(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """An order is confirmed twice: the VM slept while its claim was bound to an old lease.
+    """Guard against a second run after a VM was paused while it wrote a claim.
 
-    The claim is written after the lease's time for new claims, so it may lapse sooner than the
-    request may be repeated. The VM sees on its own clock that it slept and does not dispatch.
+    The claim is written after the end of the lease's sharing period, so that it may expire within
+    the request's validity. The VM detects the pause by its own clock and does not dispatch.
     """
     clock = Clock()
     claims = claims_of(store, "vm1", clock)
@@ -259,10 +257,10 @@
     assert await claiming == ClaimUnavailable(may_stand=True)
 
 
-async def test_find_does_not_believe_a_lagging_read_that_there_is_nothing(
+async def test_find_confirms_absence_despite_lagging_reads(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """A caller asks for its order's outcome and hears "no such request", then orders again."""
+    """Guard against reporting a request as unknown, and its repetition, due to a lagging read."""
     claims = claims_of(store, "vm1")
     outcome = await claims.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
@@ -272,7 +270,7 @@
     assert await claims.find("lots", "unknown") is None
 
 
-async def test_a_result_too_large_to_keep_leaves_the_fact_that_it_ran(store: HttpStore) -> None:
+async def test_a_result_too_large_to_store_is_trimmed_and_recorded_as_run(store: HttpStore) -> None:
     claims = claims_of(store, "vm1")
     outcome = await claims.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
@@ -285,6 +283,6 @@
     assert record.outcome.run is RunState.RAN
 
 
-async def test_a_validity_beyond_the_longest_is_refused(store: HttpStore) -> None:
+async def test_a_validity_above_the_maximum_is_refused(store: HttpStore) -> None:
     with pytest.raises(ValueError, match="validity"):
         await claims_of(store, "vm1").claim("lots", "k", "f", "a1", valid_ms=10**9)
--- a/tests/store/test_claims_machine.py
+++ b/tests/store/test_claims_machine.py
@@ -1,9 +1,9 @@
-"""Never two dispatches for a key: a state machine over VMs, a store that loses replies, and time.
+"""State machine test of claims: a key is never dispatched twice within its validity.
 
-Story: an order confirmation is run twice, because its caller sent it again through another VM, or
-because a VM slept, or because a write to the store arrived long after it was given up. Every call
-to the store stops here until the machine decides its fate: carried out and answered, carried out
-and its reply lost, lost before it arrives, given up and carried out later, or refused.
+Guards against a request that runs twice because it was retried at another VM, because a VM was
+paused, or because an abandoned write to the store arrived late. Each call to the store is held
+until the machine chooses its result: executed and answered, executed with its reply lost, timed out
+and executed later or never, or refused.
 """
 
 from __future__ import annotations
@@ -47,23 +47,23 @@
 OPTIONS = ClaimOptions(valid_for=VALID, longest=VALID, share_for=20.0, tries=2)
 KEYS = st.sampled_from(["k1", "k2"])
 VMS = st.integers(0, 1)
-PICK = st.integers(0, 1000)
+INDEXES = st.integers(0, 1000)
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=200, stateful_step_count=40
 )
-# The planted faults only have to be found, so no time goes into shrinking what finds them.
-FINDING = settings(SETTINGS, max_examples=1000, phases=[Phase.generate])
+# Faults that are injected on purpose only have to be found; shrinking their examples takes time.
+FIND_FAULT_SETTINGS = settings(SETTINGS, max_examples=1000, phases=[Phase.generate])
 
 
 class Call:
-    """One call to the store whose fate is open."""
+    """A call to the store whose result is not yet chosen."""
 
     def __init__(self, effect: Callable[[], Any]) -> None:
         self.effect = effect
         self.reply: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
     def carry_out(self, *, answer: bool) -> None:
-        """Let the call take effect; without an answer its reply is lost."""
+        """Execute the call; if `answer` is False, its reply is lost."""
         try:
             result = self.effect()
         except ConflictError as error:
@@ -86,7 +86,7 @@
 
 
 class SteppedStore(Store):
-    """Make a `Call` of each call and leave it to the machine."""
+    """A store that records each call as a `Call` for the machine."""
 
     def __init__(self, state: StoreState, now: Callable[[], float]) -> None:
         self.state = state
@@ -133,7 +133,7 @@
     """Two VMs, two keys, one store."""
 
     claims_type: type[Claims] = Claims
-    heeds_dispatch_before = True
+    checks_dispatch_before = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -143,7 +143,7 @@
         self.starts = 0
         self.vms = [self.new_vm(), self.new_vm()]
         self.tasks: list[tuple[int, asyncio.Task[Any]]] = []
-        self.late: list[Call] = []
+        self.late_calls: list[Call] = []
         self.held: list[tuple[int, Claim]] = []
         self.ran: list[tuple[int, Claim]] = []
         self.started: dict[str, float] = {}
@@ -183,15 +183,15 @@
             self.started[outcome.claim.record.token] = started
             self.held.append((vm, outcome.claim))
 
-    def take(self, pick: int) -> Call:
-        return self.store.calls.pop(pick % len(self.store.calls))
+    def take(self, index: int) -> Call:
+        return self.store.calls.pop(index % len(self.store.calls))
 
     @rule(vm=VMS, key=KEYS)
-    def caller_sends(self, vm: int, key: str) -> None:
+    def send_request(self, vm: int, key: str) -> None:
         self.start(vm, self.claim(vm, key))
 
     @rule(vm=VMS, key=KEYS)
-    def caller_is_served(self, vm: int, key: str) -> None:
+    def serve_request(self, vm: int, key: str) -> None:
         self.start(vm, self.claim(vm, key))
         self.answer_all()
 
@@ -200,9 +200,9 @@
         self.start(vm, self.vms[vm].retry_pending())
 
     @precondition(lambda self: self.store.calls)
-    @rule(pick=PICK)
-    def answer(self, pick: int) -> None:
-        self.take(pick).carry_out(answer=True)
+    @rule(index=INDEXES)
+    def answer(self, index: int) -> None:
+        self.take(index).carry_out(answer=True)
         self.step()
 
     @rule()
@@ -211,41 +211,41 @@
             self.answer(0)
 
     @precondition(lambda self: self.store.calls)
-    @rule(pick=PICK)
-    def lose_reply(self, pick: int) -> None:
-        call = self.take(pick)
+    @rule(index=INDEXES)
+    def lose_reply(self, index: int) -> None:
+        call = self.take(index)
         call.carry_out(answer=False)
         call.fail(StoreUnsure("lost reply"))
         self.step()
 
     @precondition(lambda self: self.store.calls)
-    @rule(pick=PICK)
-    def give_up_and_arrive_late(self, pick: int) -> None:
-        call = self.take(pick)
+    @rule(index=INDEXES)
+    def time_out_and_execute_later(self, index: int) -> None:
+        call = self.take(index)
         call.fail(StoreUnsure("timeout"))
-        self.late.append(call)
+        self.late_calls.append(call)
         self.step()
 
-    @precondition(lambda self: self.late)
-    @rule(pick=PICK)
-    def late_write_arrives(self, pick: int) -> None:
-        self.late.pop(pick % len(self.late)).carry_out(answer=False)
+    @precondition(lambda self: self.late_calls)
+    @rule(index=INDEXES)
+    def execute_late_write(self, index: int) -> None:
+        self.late_calls.pop(index % len(self.late_calls)).carry_out(answer=False)
 
     @precondition(lambda self: self.store.calls)
-    @rule(pick=PICK)
-    def refuse(self, pick: int) -> None:
-        self.take(pick).fail(StoreAway("outage"))
+    @rule(index=INDEXES)
+    def refuse(self, index: int) -> None:
+        self.take(index).fail(StoreAway("outage"))
         self.step()
 
     @rule(seconds=st.sampled_from([1.0, 60.0, 130.0]))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
 
     @precondition(lambda self: self.held)
-    @rule(pick=PICK)
-    def dispatch(self, pick: int) -> None:
-        vm, claim = self.held.pop(pick % len(self.held))
-        if self.heeds_dispatch_before and self.now > claim.dispatch_before:
+    @rule(index=INDEXES)
+    def dispatch(self, index: int) -> None:
+        vm, claim = self.held.pop(index % len(self.held))
+        if self.checks_dispatch_before and self.now > claim.dispatch_before:
             self.start(vm, self.vms[vm].release(claim))
             return
         started = self.started[claim.record.token]
@@ -254,23 +254,23 @@
         self.ran.append((vm, claim))
 
     @precondition(lambda self: self.held)
-    @rule(pick=PICK, luck=st.integers(0, 3))
-    def release_undispatched(self, pick: int, luck: int) -> None:
-        if luck:
+    @rule(index=INDEXES, skip=st.integers(0, 3))
+    def release_undispatched(self, index: int, skip: int) -> None:
+        if skip:
             return
-        vm, claim = self.held.pop(pick % len(self.held))
+        vm, claim = self.held.pop(index % len(self.held))
         self.start(vm, self.vms[vm].release(claim))
 
     @precondition(lambda self: self.ran)
-    @rule(pick=PICK)
-    def settle(self, pick: int) -> None:
-        vm, claim = self.ran.pop(pick % len(self.ran))
+    @rule(index=INDEXES)
+    def settle(self, index: int) -> None:
+        vm, claim = self.ran.pop(index % len(self.ran))
         outcome = DispatchOutcome(server="s", run=RunState.RAN, result={})
         self.start(vm, self.vms[vm].settle(claim, outcome))
 
-    @rule(vm=VMS, luck=st.integers(0, 3))
-    def vm_is_lost(self, vm: int, luck: int) -> None:
-        if luck:
+    @rule(vm=VMS, skip=st.integers(0, 3))
+    def lose_vm(self, vm: int, skip: int) -> None:
+        if skip:
             return
         for owner, task in self.tasks:
             if owner == vm:
@@ -281,7 +281,7 @@
         self.vms[vm] = self.new_vm()
 
     @invariant()
-    def what_comes_within_the_validity_of_a_request_that_ran_does_not_run(self) -> None:
+    def no_key_runs_twice_within_its_validity(self) -> None:
         by_key: dict[str, list[float]] = {}
         for key, started in self.dispatches:
             by_key.setdefault(key, []).append(started)
@@ -290,15 +290,15 @@
                 assert second - first >= VALID, f"{key} ran twice"
 
 
-class TakesOverAnyClaim(Claims):
-    """Without the guard that only the VM which gave a claim up may take it over."""
+class ClaimsWithoutOwnershipCheck(Claims):
+    """Claims without the rule that only the VM that abandoned a claim may take it over."""
 
     def _may_take_over(self, record: ClaimRecord) -> bool:
         return True
 
 
-class BelievesUnsureWrites(Claims):
-    """Without the guard that a lost reply is settled before dispatch."""
+class ClaimsTrustingLostReplies(Claims):
+    """Claims without the rule that a lost reply is resolved before the dispatch."""
 
     async def _entry_after_write(self, record: Any, expect: int, lease: Any) -> Any:
         try:
@@ -307,8 +307,8 @@
             return StoredValue(key="", value=codec.to_json(record), revision=0)
 
 
-class SharesALeaseForEver(Claims):
-    """Without the guard that a lease near its end takes no new claims."""
+class ClaimsWithEndlessLeases(Claims):
+    """Claims without the rule that new claims are bound only within the sharing period."""
 
     def __init__(self, store: Store, **settings_of_claims: Any) -> None:
         super().__init__(store, **settings_of_claims)
@@ -322,7 +322,7 @@
         return self._current[valid]
 
 
-def planted(**attributes: object) -> type[ClaimsMachine]:
+def with_fault(**attributes: object) -> type[ClaimsMachine]:
     return type("PlantedMachine", (ClaimsMachine,), attributes)
 
 
@@ -331,30 +331,32 @@
 
 
 @pytest.mark.parametrize(
-    ("machine", "found"),
+    ("machine", "message"),
     [
         pytest.param(
-            planted(claims_type=TakesOverAnyClaim), "ran twice", id="takes over any claim"
+            with_fault(claims_type=ClaimsWithoutOwnershipCheck),
+            "ran twice",
+            id="takes over any claim",
         ),
         pytest.param(
-            planted(claims_type=BelievesUnsureWrites), "ran twice", id="believes unsure writes"
+            with_fault(claims_type=ClaimsTrustingLostReplies),
+            "ran twice",
+            id="dispatches after lost replies",
         ),
         pytest.param(
-            planted(heeds_dispatch_before=False),
+            with_fault(checks_dispatch_before=False),
             "after its validity",
-            id="dispatches after a long sleep",
+            id="dispatches after a long pause",
         ),
     ],
 )
-def test_the_machine_finds_a_guard_that_is_missing(
-    machine: type[ClaimsMachine], found: str
-) -> None:
-    with pytest.raises(AssertionError, match=found):
-        run_state_machine_as_test(machine, settings=FINDING)
+def test_the_machine_finds_a_missing_rule(machine: type[ClaimsMachine], message: str) -> None:
+    with pytest.raises(AssertionError, match=message):
+        run_state_machine_as_test(machine, settings=FIND_FAULT_SETTINGS)
 
 
-class Played:
-    """A machine that is stepped by hand."""
+class ScriptedMachine:
+    """A machine that is stepped by a test; `close` tears it down."""
 
     def __init__(self, machine: ClaimsMachine) -> None:
         self.machine = machine
@@ -363,28 +365,28 @@
         self.machine.teardown()
 
 
-def play_a_claim_on_an_old_lease(machine: ClaimsMachine) -> None:
-    machine.caller_is_served(0, "k1")
-    machine.time_passes(130.0)
-    machine.caller_is_served(0, "k2")
+def run_claim_on_old_lease(machine: ClaimsMachine) -> None:
+    machine.serve_request(0, "k1")
+    machine.advance_time(130.0)
+    machine.serve_request(0, "k2")
     machine.dispatch(1)
-    machine.time_passes(60.0)
-    machine.caller_is_served(1, "k2")
+    machine.advance_time(60.0)
+    machine.serve_request(1, "k2")
     if len(machine.held) > 1:
         machine.dispatch(1)
-    machine.what_comes_within_the_validity_of_a_request_that_ran_does_not_run()
+    machine.no_key_runs_twice_within_its_validity()
 
 
-def test_a_claim_on_an_old_lease_is_kept_for_its_time() -> None:
-    """A hold runs, its claim lapses too soon with a lease of long ago, and its retry runs as well.
+def test_a_claim_on_an_old_lease_lasts_for_its_validity() -> None:
+    """Guard against a second run after a claim expired too early with an old lease.
 
-    Drawn runs seldom hit this order, so it is played by hand, with the guard and without it.
+    Random runs rarely reach this order of events, so it is scripted, with and without the rule.
     """
-    with contextlib.closing(Played(ClaimsMachine())) as played:
-        play_a_claim_on_an_old_lease(played.machine)
-    unguarded = planted(claims_type=SharesALeaseForEver)()
+    with contextlib.closing(ScriptedMachine(ClaimsMachine())) as scripted:
+        run_claim_on_old_lease(scripted.machine)
+    unguarded = with_fault(claims_type=ClaimsWithEndlessLeases)()
     with (
-        contextlib.closing(Played(unguarded)),
+        contextlib.closing(ScriptedMachine(unguarded)),
         pytest.raises(AssertionError, match="ran twice"),
     ):
-        play_a_claim_on_an_old_lease(unguarded)
+        run_claim_on_old_lease(unguarded)
--- a/tests/store/test_http_store.py
+++ b/tests/store/test_http_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform against its stand-in, over sockets, with the platform's failures."""
+"""Test the platform's client against the stand-in, over sockets, with faults of the platform."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     platform.change(PlatformChange(set=dict(faults)))
 
 
-async def test_compare_and_swap_takes_only_the_expected_revision(store: HttpStore) -> None:
+async def test_compare_and_swap_requires_the_expected_revision(store: HttpStore) -> None:
     first = await store.compare_and_swap("a/b c?", b"\x00one", expect=0)
     assert await store.get("a/b c?") == first
     second = await store.compare_and_swap("a/b c?", b"two", expect=first.revision)
@@ -53,7 +53,7 @@
     assert await store.get("a/b c?") is None
 
 
-async def test_deleting_what_is_not_there_proves_its_absence(store: HttpStore) -> None:
+async def test_deleting_a_missing_entry_confirms_its_absence(store: HttpStore) -> None:
     await store.compare_and_swap("absent", None, expect=0)
     present = await store.compare_and_swap("present", b"1", expect=0)
     with pytest.raises(StoreConflict) as conflict:
@@ -61,7 +61,7 @@
     assert conflict.value.current == present
 
 
-async def test_a_list_holds_one_prefix_in_order(store: HttpStore) -> None:
+async def test_a_list_has_the_entries_of_one_prefix_in_order(store: HttpStore) -> None:
     for key in ("x/2", "y/1", "x/1"):
         await store.compare_and_swap(key, key.encode(), expect=0)
     listed = await store.list("x/")
@@ -69,7 +69,7 @@
     assert listed.revision == 3
 
 
-async def test_a_watch_tells_changes_in_order_and_waits_for_the_next(store: HttpStore) -> None:
+async def test_a_watch_returns_changes_in_order_and_waits_for_the_next(store: HttpStore) -> None:
     await store.compare_and_swap("w/a", b"1", expect=0)
     await store.compare_and_swap("w/b", b"2", expect=0)
     seen = await store.watch("w/", after=0, wait=0.0)
@@ -83,7 +83,7 @@
     assert nothing.entries == ()
 
 
-async def test_a_watch_behind_the_log_says_that_it_is_compacted(
+async def test_a_watch_from_a_compacted_revision_reports_it(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     await store.compare_and_swap("w/a", b"1", expect=0)
@@ -93,7 +93,7 @@
     assert seen.revision == 1
 
 
-async def test_a_lapsed_lease_deletes_its_entries_and_wakes_watches(store: HttpStore) -> None:
+async def test_an_expired_lease_deletes_its_entries_and_ends_watches(store: HttpStore) -> None:
     lease = await store.grant_lease(0.05)
     bound = await store.compare_and_swap("l/a", b"1", expect=0, lease=lease.id)
     seen = await store.watch("l/", after=bound.revision, wait=5.0)
@@ -104,7 +104,7 @@
         await store.compare_and_swap("l/b", b"1", expect=0, lease=lease.id)
 
 
-async def test_revoking_a_lease_deletes_and_a_plain_write_unbinds(store: HttpStore) -> None:
+async def test_revoking_a_lease_deletes_only_entries_still_bound_to_it(store: HttpStore) -> None:
     lease = await store.grant_lease(60)
     bound = await store.compare_and_swap("l/a", b"1", expect=0, lease=lease.id)
     await store.compare_and_swap("l/b", b"1", expect=0, lease=lease.id)
@@ -113,13 +113,13 @@
     assert [entry.key for entry in (await store.list("l/")).entries] == ["l/a"]
 
 
-async def test_a_lost_reply_is_unsure_and_the_write_stands(
+async def test_a_lost_reply_is_unsure_and_the_write_took_effect(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """An operator's change is in force though the tool reports that it does not know.
+    """Guard against a change that is applied twice after a lost reply.
 
-    The write reaches the store and takes effect, then the connection breaks before the reply.
-    Calling that "not done" would let the caller do it twice.
+    The write takes effect and the connection breaks before the reply. If the client reported it as
+    not done, the caller would repeat it.
     """
     set_faults(platform, lost_replies=1)
     with pytest.raises(StoreUnsure):
@@ -130,7 +130,7 @@
     assert platform.counts.lost == 1
 
 
-async def test_a_silent_store_leaves_a_write_unsure_and_a_read_away(
+async def test_an_unresponsive_store_makes_writes_unsure_and_reads_away(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="silent")
@@ -170,8 +170,8 @@
             await store.compare_and_swap("k", b"1", expect=0)
 
 
-async def test_a_404_from_something_before_the_store_is_no_absence() -> None:
-    """A fresh VM believes that there is no configuration, since a balancer knew no route."""
+async def test_a_404_from_an_intermediary_is_no_absence() -> None:
+    """Guard against a 404 from a load balancer being taken for a missing configuration."""
 
     async def balancer(_: HttpRequest) -> HttpResponse:
         return HttpResponse(status=404)
@@ -182,13 +182,13 @@
             await store.get("k")
 
 
-async def test_a_lagging_read_shows_the_past_and_a_conflict_the_present(
+async def test_a_conflict_shows_the_current_entry_despite_lagging_reads(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """A caller asks for the outcome of an order and is told that there is none, though it ran.
+    """Guard against reporting a request that ran as unknown.
 
-    The claim is written, then a read is answered by a copy of the store that lags. The conflict of
-    a compare-and-swap comes from the store itself and shows the entry.
+    A read can be answered by a replica of the store that lags behind the claim's write; the
+    conflict of a compare-and-swap always shows the current entry.
     """
     await store.compare_and_swap("k", b"1", expect=0)
     set_faults(platform, read_lag_ms=30_000)
@@ -199,7 +199,7 @@
     assert conflict.value.current is not None
 
 
-async def test_a_value_over_a_megabyte_is_refused_unsent(
+async def test_a_value_over_a_megabyte_is_refused_before_sending(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     await store.compare_and_swap("big", bytes(1024 * 1024), expect=0)
@@ -208,7 +208,7 @@
     assert platform.counts.calls["put"] == 1
 
 
-async def test_the_vm_list_lags_and_skips_roles_that_are_not_known(
+async def test_the_vm_list_lags_and_skips_unknown_roles(
     platform: PlatformStandin,
 ) -> None:
     def listed(name: str, role: str) -> VmDocument:
--- a/tests/store/test_interfaces_page.py
+++ b/tests/store/test_interfaces_page.py
@@ -1,4 +1,4 @@
-"""The examples of docs/INTERFACES.md are what the code reads and writes."""
+"""Check the examples of docs/INTERFACES.md against the code."""
 
 from __future__ import annotations
 
@@ -26,9 +26,7 @@
     EXAMPLES,
     ids=[f"{name}-{n}" for n, (_, name, _) in enumerate(EXAMPLES)],
 )
-def test_an_example_is_a_message_and_shows_no_field_that_there_is_not(
-    module: str, name: str, text: str
-) -> None:
+def test_an_example_decodes_and_has_no_unknown_fields(module: str, name: str, text: str) -> None:
     kind = getattr(importlib.import_module(module), name)
     message = codec.from_json(text.encode(), kind)
     whole = json.loads(codec.to_json(message))
@@ -36,7 +34,7 @@
 
 
 def _with_defaults(shown: Any, whole: Any) -> Any:
-    """Return what is shown, with the fields that a reader may leave out, at every depth."""
+    """Return the shown document, completed at every depth by the defaults of omitted fields."""
     if isinstance(shown, dict) and isinstance(whole, dict):
         left_out = {key: value for key, value in whole.items() if key not in shown}
         return left_out | {k: _with_defaults(v, whole.get(k)) for k, v in shown.items()}
@@ -45,7 +43,7 @@
     return shown
 
 
-def test_the_page_lists_every_error_kind_as_the_table_has_it() -> None:
+def test_the_page_lists_every_error_kind_with_its_answer() -> None:
     rows = re.findall(
         r"^\| `(\w+)` \| (\d{3}) \| (\w+) \| (.*?) \| (\S+) \|$", PAGE.read_text(), re.M
     )
@@ -66,7 +64,7 @@
     assert {"berylspindle_model.backend_protocol", "berylspindle_store.routes"} <= modules
 
 
-def test_the_lengths_in_the_exchanges_are_those_of_their_bodies() -> None:
+def test_the_content_lengths_match_the_bodies() -> None:
     found = EXCHANGE.findall(PAGE.read_text())
     assert len(found) >= 6
     for length, rest in found:
