--- a/tests/controlplane/conftest.py
+++ b/tests/controlplane/conftest.py
@@ -1,4 +1,4 @@
-"""A store in memory and a network in memory, for several control planes in one process."""
+"""An in-memory store and network for several control planes in one process."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 )
 from berylspindle_store.vm_list import ListedVm, VmList, VmRole, VmState
 
-# The clock is virtual, so the times of the protocol are the usual ones.
+# The clock is virtual, so that the default times of the protocol can be used.
 OPTIONS = ControlOptions()
 
 
 class _InstantSelector(selectors.SelectSelector):
-    """Let a loop skip the time for which it would wait."""
+    """A selector that skips the time for which it would block."""
 
     def __init__(self) -> None:
         super().__init__()
         self.skipped = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "nothing is left to happen"
+        assert timeout is not None, "the loop has no pending timer"
         self.skipped += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock moves only when nothing is left to do now."""
+    """An event loop with a virtual clock that advances only when nothing is ready to run."""
 
     def __init__(self) -> None:
         self._instant = _InstantSelector()
@@ -63,7 +63,7 @@
 
 
 class MemoryStore:
-    """The state of the store, and what is wrong with it."""
+    """The state of the store and its injected faults."""
 
     def __init__(self) -> None:
         self.state = StoreState()
@@ -85,7 +85,7 @@
 
 
 class VmStore(Store):
-    """The store as one VM reaches it; `cut` keeps only this VM from it."""
+    """The store as seen by one VM; `cut` disconnects only this VM."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -112,7 +112,7 @@
             asyncio.get_running_loop().call_later(
                 self._store.delay_writes, self._write_late, key, value, expect
             )
-            raise StoreUnsure("the write is still on its way")
+            raise StoreUnsure("the write is delayed")
         stored = self._store.write(key, value, expect)
         if value is not None and self._store.lose_replies > 0:
             self._store.lose_replies -= 1
@@ -126,8 +126,8 @@
         state = self._store.state
         until = _now() + wait
         while not (found := state.changes(prefix, after)) and _now() < until:
-            # Short steps, so that a watch ends soon after the store went away.
-            # Not wait_for, which swallows a cancellation that comes as the event is set.
+            # Short steps, so that a watch ends soon after the store becomes unavailable.
+            # wait_for would swallow a cancellation that coincides with the event.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.3):
                     await self._store.changed.wait()
@@ -152,7 +152,7 @@
 
     def _check(self) -> None:
         if self._store.down or self.cut:
-            raise StoreAway("away")
+            raise StoreAway("disconnected")
 
     async def _call(self) -> None:
         await self.running.wait()
@@ -162,7 +162,7 @@
 
 
 class MemoryNetwork:
-    """Datagrams and calls between control planes; `cut` pairs of addresses hear nothing."""
+    """Datagrams and calls between control planes; `cut` has the disconnected address pairs."""
 
     def __init__(self) -> None:
         self.planes: dict[Address, ControlPlane] = {}
@@ -171,11 +171,11 @@
         self.loss = 0.0
         self.rng = random.Random(1)
 
-    def reaches(self, source: Address, to: Address) -> bool:
+    def can_deliver(self, source: Address, to: Address) -> bool:
         paused = to in self.paused or source in self.paused
         return to in self.planes and (source, to) not in self.cut and not paused
 
-    def separate(self, left: list[Vm], right: list[Vm]) -> None:
+    def partition(self, left: list[Vm], right: list[Vm]) -> None:
         for one in left:
             for other in right:
                 self.cut.add((address(one), address(other)))
@@ -183,7 +183,7 @@
 
 
 class MemoryTransport(Transport):
-    """The network as one VM sees it."""
+    """The network as seen by one VM."""
 
     def __init__(self, network: MemoryNetwork, me: Vm) -> None:
         self._network = network
@@ -195,22 +195,27 @@
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
         to = address(vm)
         await asyncio.sleep(0.001)
-        if not (self._network.reaches(self._me, to) and self._network.reaches(to, self._me)):
-            raise TransportError("not reached")
+        if not (
+            self._network.can_deliver(self._me, to) and self._network.can_deliver(to, self._me)
+        ):
+            raise TransportError("unreachable")
         try:
             async with asyncio.timeout(timeout):
                 answer: Awaitable[bytes] = self._network.planes[to].methods[method](payload)
                 return await answer
         except TimeoutError as error:
-            raise TransportError("too late") from error
+            raise TransportError("timeout") from error
 
     def _deliver(self, to: Address, data: bytes) -> None:
-        if self._network.reaches(self._me, to) and self._network.rng.random() >= self._network.loss:
+        if (
+            self._network.can_deliver(self._me, to)
+            and self._network.rng.random() >= self._network.loss
+        ):
             self._network.planes[to].on_datagram(data, self._me)
 
 
 class MemoryVmList(VmList):
-    """The platform's list, which names the VMs that run and is right here."""
+    """The platform's VM list; here it is always up to date."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -230,7 +235,7 @@
 
 
 class PausablePlane(ControlPlane):
-    """A control plane whose process can be stopped and go on, as by a signal."""
+    """A control plane that can be paused and resumed, like a process by SIGSTOP and SIGCONT."""
 
     paused = False
 
@@ -240,7 +245,7 @@
 
 
 class Cluster:
-    """Control planes over one store and one network."""
+    """Control planes that share a store and a network."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -261,8 +266,8 @@
             transport=MemoryTransport(self.network, vm),
             on_state=_ignore,
             events=lambda kind, fields: self.events.append((name, kind, fields)),
-            # Whom a plane probes and tells is part of the run: drawn anew each time, a machine
-            # finds a fault in one run and misses it in the next.
+            # Seeded, since the choice of peers is part of the example: with random choices, a
+            # machine would find a fault in one run and miss it in the next.
             rng=random.Random(name),
         )
         self.network.planes[address(vm)] = plane
@@ -295,7 +300,7 @@
             await plane.close()
 
     async def until(self, condition: Callable[[], bool], seconds: float = 60.0) -> None:
-        """Wait for a condition; the time is that of the virtual loop."""
+        """Wait up to `seconds` of the loop's virtual time for a condition."""
         async with asyncio.timeout(seconds):
             while True:
                 if condition():
@@ -312,7 +317,7 @@
 
 
 def _ignore(state: ClusterState) -> None:
-    """Drop a state; the tests read the latest from the plane."""
+    """Ignore the state; tests read the latest one from the plane."""
 
 
 def _stored(entry: EntryDocument) -> StoredValue:
@@ -331,6 +336,6 @@
 
 @pytest.fixture
 async def cluster() -> AsyncIterator[Cluster]:
-    made = Cluster()
-    yield made
-    await made.close()
+    new = Cluster()
+    yield new
+    await new.close()
--- a/tests/controlplane/test_configuration_machine.py
+++ b/tests/controlplane/test_configuration_machine.py
@@ -1,8 +1,8 @@
-"""Racing operators and a failing store: no revision goes back, and each plan applies once or not.
+"""State machine test of configuration changes by concurrent operators on a faulty store.
 
-The machine runs real control planes of two data centres on a virtual clock. Operators plan and
-confirm at any of them; the machine keeps what each of them was told and compares it in the end
-with what the store holds.
+Revisions never decrease on a VM, and each plan is applied at most once. The machine runs real
+control planes of two data centres on a virtual clock. Operators plan and confirm at any VM; at the
+end, their results are compared with the stored configuration.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 )
 NAMES = ["a1", "a2", "a3", "b1", "b2"]
 INDEX = st.integers(min_value=0, max_value=len(NAMES) - 1)
-# Seconds in which a revision is in force everywhere after the last fault; the watcher tries the
-# store again after at most seven and a half.
-IN_FORCE_WITHIN = 16
+# Time after the last fault until a revision is in force everywhere; the watcher retries the store
+# after at most 7.5 s.
+IN_FORCE_WITHIN_S = 16
 MACHINE_SETTINGS = settings(
     derandomize=True,
     deadline=None,
@@ -55,7 +55,7 @@
 
 
 class Operators(RuleBasedStateMachine):
-    """Operators plan and confirm at the same time, and old events come late."""
+    """Operators plan and confirm concurrently, and old watch events arrive late."""
 
     make_loop: Callable[[], asyncio.AbstractEventLoop]
     make_cluster: Callable[[], Any]
@@ -95,9 +95,9 @@
         until = self.loop.time() + seconds
         while self.loop.time() < until:
             await asyncio.sleep(0.05)
-            self.look()
+            self.check_revisions()
 
-    def look(self) -> None:
+    def check_revisions(self) -> None:
         for plane in self.cluster.network.planes.values():
             configuration = plane.state.configuration
             if configuration is None:
@@ -119,7 +119,7 @@
         known = plane.state.configuration
         out = known is not None and known.is_in(centre)
         kind = IntentKind.TAKE_OUT if out else IntentKind.RETURN
-        # The store may know better than this VM whether the data centre is in or out already.
+        # In the store, the data centre may already be in the requested state.
         with contextlib.suppress(RefusalError):
             self.plans.append(await plane.plan(Intent(kind=kind, subject=centre)))
 
@@ -136,44 +136,44 @@
 
     async def _confirm_one(self, at: int, plan: Plan) -> None:
         try:
-            told = await self.cluster.plane(self.vms[at]).confirm(plan, f"operator-{at}")
+            confirmation = await self.cluster.plane(self.vms[at]).confirm(plan, f"operator-{at}")
         except RefusalError as error:
             unknown = error.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
             (self.unknown if unknown else self.refused).add(plan.id)
             return
         self.applied.add(plan.id)
-        assert told.id == plan.id
+        assert confirmation.id == plan.id
 
     @rule(at=INDEX, other=INDEX, centre=st.sampled_from("abcd"), second=st.sampled_from("abcd"))
     def race(self, at: int, other: int, centre: str, second: str) -> None:
-        """Let two operators plan at the same time, and then confirm at the same time."""
+        """Let two operators plan concurrently and then confirm concurrently."""
         self.do(self._race(at, other, centre, second))
 
     async def _race(self, at: int, other: int, centre: str, second: str) -> None:
         before = len(self.plans)
         await asyncio.gather(self._plan(at, centre), self._plan(other, second))
-        made = self.plans[before:]
-        await asyncio.gather(*(self._confirm(at, plan, True) for plan in made))
+        new_plans = self.plans[before:]
+        await asyncio.gather(*(self._confirm(at, plan, True) for plan in new_plans))
         await self._pass(0.2)
 
     @precondition(lambda self: len(self.documents) > 1)
     @rule(at=INDEX, which=st.integers(min_value=0, max_value=9))
     def old_event(self, at: int, which: int) -> None:
-        """Bring a watch event once more, long after it was first there."""
+        """Deliver an old watch event again."""
         known = sorted(self.documents)
         self.do(self._old_event(self.vms[at], self.documents[known[which % len(known)]]))
 
     async def _old_event(self, vm: Vm, text: bytes) -> None:
         event = StoredValue(key=CONFIGURATION_KEY, value=text, revision=1)
         self.cluster.plane(vm)._watcher._publish((event,))
-        self.look()
+        self.check_revisions()
 
     def heal_all(self) -> None:
         self.cluster.network.cut.clear()
         store = self.cluster.store
         store.down, store.lose_replies, store.delay_writes, store.lag = False, 0, 0.0, 0.0
-        for reached in self.cluster.stores.values():
-            reached.cut = False
+        for vm_store in self.cluster.stores.values():
+            vm_store.cut = False
 
     def teardown(self) -> None:
         try:
@@ -190,22 +190,22 @@
         await self._pass(2.0)
         entry = self.cluster.store.state.get(CONFIGURATION_KEY, self.loop.time())
         accepted = from_stored(entry.value)
-        await self._pass(IN_FORCE_WITHIN)
+        await self._pass(IN_FORCE_WITHIN_S)
         for vm in self.vms:
             configuration = self.cluster.plane(vm).state.configuration
             assert configuration is not None
             same = canonical(configuration) == canonical(accepted)
-            assert same, f"{vm.id} has another document than was accepted"
+            assert same, f"{vm.id} has another document than the accepted one"
         recorded = [record.id for record in accepted.intents]
         assert len(set(recorded)) == len(recorded), "a plan was applied twice"
-        assert self.applied <= set(recorded), "told applied, but it is not"
-        # What was refused at one VM may have been applied by another one's confirm.
+        assert self.applied <= set(recorded), "confirmed, but not applied"
+        # A plan that was refused at one VM may have been confirmed at another.
         changed = (self.refused - self.applied - self.unknown) & set(recorded)
-        assert not changed, "told refused, but it is applied"
+        assert not changed, "refused, but applied"
 
 
 class FailingOperators(Operators):
-    """The store, links and VMs fail meanwhile."""
+    """Faults of the store, the network and VMs, in addition."""
 
     @rule(down=st.booleans())
     def store(self, down: bool) -> None:
@@ -221,10 +221,10 @@
         self.cluster.store.lag = lag
 
     @rule(cut=st.booleans())
-    def part(self, cut: bool) -> None:
+    def partition(self, cut: bool) -> None:
         self.cluster.network.cut.clear()
         if cut:
-            self.cluster.network.separate(self.vms[:3], self.vms[3:])
+            self.cluster.network.partition(self.vms[:3], self.vms[3:])
         for vm in self.vms[3:]:
             self.cluster.stores[vm.id].cut = cut
 
@@ -241,30 +241,36 @@
 
 
 @pytest.fixture
-def bound(new_cluster: Callable[[], Any], virtual_loop: Any) -> Callable[..., type[Operators]]:
+def bind_machine(
+    new_cluster: Callable[[], Any], virtual_loop: Any
+) -> Callable[..., type[Operators]]:
     def bind(machine: type[Operators]) -> type[Operators]:
-        made = {"make_loop": staticmethod(virtual_loop), "make_cluster": staticmethod(new_cluster)}
-        return type(machine.__name__, (machine,), made)
+        attributes = {
+            "make_loop": staticmethod(virtual_loop),
+            "make_cluster": staticmethod(new_cluster),
+        }
+        return type(machine.__name__, (machine,), attributes)
 
     return bind
 
 
-def finds(machine: type[Operators], message: str) -> None:
+def assert_finds(machine: type[Operators], message: str) -> None:
     generate = settings(MACHINE_SETTINGS, max_examples=400, phases=[Phase.generate])
     with pytest.raises((AssertionError, RefusalError), match=message):
         run_state_machine_as_test(machine, settings=generate)
 
 
-def test_operators_race_and_no_revision_goes_back(bound: Any) -> None:
-    run_state_machine_as_test(bound(FailingOperators), settings=MACHINE_SETTINGS)
+def test_no_revision_goes_back_with_concurrent_operators(bind_machine: Any) -> None:
+    run_state_machine_as_test(bind_machine(FailingOperators), settings=MACHINE_SETTINGS)
 
 
 def test_the_machine_finds_a_vm_that_adopts_any_revision(
-    bound: Any, monkeypatch: pytest.MonkeyPatch
+    bind_machine: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A data centre that was taken out gets work again, for a lagging read of the store came late.
+    """The machine must detect a VM that adopts an older configuration from a lagging read.
 
-    The guard that was taken away is the comparison of revisions.
+    The injected fault removes the comparison of revisions; a data centre that was taken out would
+    get requests again.
     """
 
     def adopt(self: Knowledge, configuration: Configuration, delta: object = None) -> bool:
@@ -273,15 +279,15 @@
         return changed
 
     monkeypatch.setattr(Knowledge, "offer_configuration", adopt)
-    finds(bound(Operators), "went back")
+    assert_finds(bind_machine(Operators), "went back")
 
 
 def test_the_machine_finds_a_confirm_on_any_revision(
-    bound: Any, monkeypatch: pytest.MonkeyPatch
+    bind_machine: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two operators confirm on one revision and the later one's change undoes the earlier one's.
+    """The machine must detect that one operator's change overwrites another's.
 
-    The guard that was taken away is the swap's expected revision: it takes the store's newest.
+    The injected fault replaces the swap's expected revision by the store's current one.
     """
     original = operations.Operations._swap
 
@@ -290,9 +296,11 @@
             expect = self._store._store.state.get(CONFIGURATION_KEY, 0.0).revision
 
     monkeypatch.setattr(operations.Operations, "_swap", swap)
-    finds(bound(Operators), "two documents|told applied|another document")
+    assert_finds(
+        bind_machine(Operators), "two documents|confirmed, but not applied|another document"
+    )
 
 
-def test_a_replaced_configuration_keeps_its_order() -> None:
-    turned = attrs.evolve(CONFIGURATION, data_centres=CONFIGURATION.data_centres[::-1])
-    assert canonical(turned) == canonical(CONFIGURATION)
+def test_the_canonical_form_does_not_depend_on_the_order() -> None:
+    reordered = attrs.evolve(CONFIGURATION, data_centres=CONFIGURATION.data_centres[::-1])
+    assert canonical(reordered) == canonical(CONFIGURATION)
--- a/tests/controlplane/test_membership_machine.py
+++ b/tests/controlplane/test_membership_machine.py
@@ -1,6 +1,6 @@
-"""Membership: a live VM that others can reach keeps its place, a dead one is soon sent nothing.
+"""State machine test of membership: reachable VMs stay, dead VMs are soon suspected.
 
-Real control planes run on a virtual clock, over a network in memory.
+Real control planes run on a virtual clock and an in-memory network.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
     return vms
 
 
-def removed(cluster: Any) -> set[str]:
+def removed_vms(cluster: Any) -> set[str]:
     return {str(fields["vm"]) for _, kind, fields in cluster.events if kind == "vm_dead"}
 
 
 class Links(RuleBasedStateMachine):
-    """One link at a time fails one way, a tenth of the datagrams is lost, VMs pause briefly."""
+    """One-way failures of one link at a time, 10% datagram loss, and short pauses of VMs."""
 
     make_loop: Callable[[], asyncio.AbstractEventLoop]
     make_cluster: Callable[[], Any]
@@ -107,11 +107,11 @@
         await asyncio.sleep(2.5)
 
     @rule(loss=st.sampled_from([0.0, 0.1]))
-    def lose(self, loss: float) -> None:
+    def lose_datagrams(self, loss: float) -> None:
         self.cluster.network.loss = loss
 
     def check(self) -> None:
-        assert not removed(self.cluster), f"removed though alive: {removed(self.cluster)}"
+        assert not removed_vms(self.cluster), f"removed though alive: {removed_vms(self.cluster)}"
 
     def teardown(self) -> None:
         if self.cluster is not None:
@@ -128,16 +128,16 @@
     return Bound
 
 
-def test_a_live_vm_keeps_its_place(machine: type[Links]) -> None:
+def test_no_live_vm_is_removed(machine: type[Links]) -> None:
     run_state_machine_as_test(machine, settings=MACHINE_SETTINGS)
 
 
-def test_the_machine_finds_guardians_without_helpers(
+def test_the_machine_finds_missing_indirect_probes(
     machine: type[Links], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One link fails one way, and a VM that all others reach loses its place and its servers.
+    """The machine must detect the removal of a VM because of one link that fails one way.
 
-    The guard that was taken away is the question to helpers, and the need for their word.
+    The injected fault disables indirect probes and the need for their results.
     """
     monkeypatch.setattr(Prober, "_helpers", lambda *_: ())
     monkeypatch.setattr(Wards, "_has_witness", lambda *_: True)
@@ -146,8 +146,8 @@
         run_state_machine_as_test(machine, settings=generate)
 
 
-async def test_nobody_sends_to_a_dead_vm_after_three_seconds(cluster: Any) -> None:
-    """A VM dies; each of its sub-requests is lost until others stop sending to it."""
+async def test_a_dead_vm_is_suspected_within_three_seconds(cluster: Any) -> None:
+    """Guard against requests to a crashed VM, which are lost until others suspect it."""
     vms = await begin(cluster)
     await cluster.kill(vms[0])
     await asyncio.sleep(3.0)
@@ -156,28 +156,28 @@
         assert vms[0].id in state.suspects or state.view("a").member(vms[0].id) is None
 
 
-async def test_a_paused_guardian_blames_nobody_when_it_wakes(cluster: Any) -> None:
-    """A VM sleeps for ten seconds; on waking it has heard nobody, and all are well.
+async def test_a_resumed_guardian_proposes_no_removals(cluster: Any) -> None:
+    """Guard against a guardian that proposes removals after it was paused for ten seconds.
 
-    The others have removed it meanwhile; it joins again and proposes nothing by itself.
+    It has had no contact with the live VMs. They have removed it, and it joins again.
     """
     vms = await begin(cluster)
     cluster.pause(vms[0])
     await asyncio.sleep(10.0)
     cluster.resume(vms[0])
     await asyncio.sleep(10.0)
-    assert removed(cluster) == {vms[0].id}
+    assert removed_vms(cluster) == {vms[0].id}
     assert cluster.plane(vms[0]).gossip.ownership.is_member
 
 
-async def test_a_data_centre_that_nobody_hears_is_suspected_as_a_whole(cluster: Any) -> None:
-    """Two data centres lose each other; each stops sending to the other and removes nobody."""
+async def test_an_unreachable_data_centre_is_suspected_as_a_whole(cluster: Any) -> None:
+    """Guard against removals and lost requests in a network partition between data centres."""
     vms = await begin(cluster)
-    cluster.network.separate(vms[:5], vms[5:])
+    cluster.network.partition(vms[:5], vms[5:])
     await asyncio.sleep(9.0)
     assert all("b1" in cluster.plane(vm).state.suspects for vm in vms[:5])
     assert cluster.plane(vms[5]).state.suspects == frozenset(vm.id for vm in vms[:5])
-    assert not removed(cluster)
+    assert not removed_vms(cluster)
     cluster.network.cut.clear()
     await asyncio.sleep(5.0)
     assert not any(cluster.plane(vm).state.suspects for vm in vms)
--- a/tests/controlplane/test_memory_store.py
+++ b/tests/controlplane/test_memory_store.py
@@ -1,4 +1,4 @@
-"""The store in memory ends its calls as a real one does when their VM is killed."""
+"""Test that calls to the in-memory store end when their VM is killed, as with the real store."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 KEY = "watched/key"
 
 
-async def test_a_watch_ends_when_it_is_cancelled_as_the_store_changes(cluster: Any) -> None:
-    """Guards against a killed VM whose watch swallows its cancellation and runs on for ever."""
+async def test_a_watch_that_is_cancelled_during_a_change_ends(cluster: Any) -> None:
+    """Guard against a watch that ignores its cancellation when the store changes."""
     await cluster.start("a1", "a")
     watch = asyncio.create_task(cluster.stores["a1"].watch("watched/", after=0, wait=30.0))
     await asyncio.sleep(0.01)
--- a/tests/controlplane/test_ownership_machine.py
+++ b/tests/controlplane/test_ownership_machine.py
@@ -1,8 +1,8 @@
-"""Ownership under every fault at once: never do two VMs hold the right to one backend server.
+"""State machine test of ownership: no two VMs ever hold the right to one backend server.
 
-The machine runs the real control planes, with their tasks, on a virtual clock, over a store and a
-network in memory. Between its steps an observer looks twenty times a second; a VM that is paused is
-looked at as if it woke at that moment.
+The machine runs real control planes, with their tasks, on a virtual clock with an in-memory store
+and network. An observer checks all VMs twenty times a second; a paused VM is checked as if it
+resumed at that moment.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     revision=1, deployment="d", data_centres=(DataCentre(name="a", region="n"),)
 )
 MAX_VMS = 6
-# Seconds after the last fault: silence, removal, the wait of the heirs, a way back of a minute.
-SETTLED_WITHIN = 90
+# Time after the last fault: suspicion, removal, wait of the new owners, a rejoin of up to a minute.
+SETTLED_WITHIN_S = 90
 MACHINE_SETTINGS = settings(
     derandomize=True,
     deadline=None,
@@ -49,23 +49,23 @@
 
 
 STEP_SECONDS = 3600.0
-"""Seconds of the virtual clock within which a step ends; one that waits for ever fails."""
+"""Maximum virtual time of a step; a step that never ends fails."""
 
 
 class Observer:
-    """Looks at the rights of all VMs, and remembers when two held one server's."""
+    """Checks the rights of all VMs and records each server that two of them held."""
 
     def __init__(self, cluster: Any) -> None:
         self._cluster = cluster
-        self.doubled: list[str] = []
-        self._lists: dict[tuple[str, int], tuple[str, ...]] = {}
+        self.violations: list[str] = []
+        self._owned_servers: dict[tuple[str, int], tuple[str, ...]] = {}
 
     async def run(self) -> None:
         while True:
-            self.look()
+            self.check()
             await asyncio.sleep(0.05)
 
-    def look(self) -> dict[str, list[str]]:
+    def check(self) -> dict[str, list[str]]:
         now = asyncio.get_running_loop().time()
         held: dict[str, list[str]] = {server: [] for server in SERVERS}
         for plane in self._cluster.network.planes.values():
@@ -74,21 +74,21 @@
                     held[server].append(plane.vm_id)
         for server, names in held.items():
             if len(names) > 1:
-                self.doubled.append(f"{server} held by {names} at {now:.2f}")
+                self.violations.append(f"{server} held by {names} at {now:.2f}")
         return held
 
     def _owned(self, plane: Any) -> tuple[str, ...]:
-        # Most of the time of the machine went into servers that a VM does not own.
+        # Cached, since checking servers that a VM does not own takes most of the machine's time.
         view = plane.gossip.ownership.view
         key = (plane.vm_id, view.epoch if view is not None else 0)
-        if key not in self._lists:
+        if key not in self._owned_servers:
             owned = (server for server in SERVERS if plane.gossip.ownership.owns(server))
-            self._lists[key] = tuple(owned)
-        return self._lists[key]
+            self._owned_servers[key] = tuple(owned)
+        return self._owned_servers[key]
 
 
 class Machine(RuleBasedStateMachine):
-    """Some VMs of one data centre; the subclasses bring the faults."""
+    """VMs of one data centre; subclasses add faults."""
 
     make_loop: Callable[[], asyncio.AbstractEventLoop]
     make_cluster: Callable[[], Any]
@@ -128,7 +128,7 @@
     @rule(seconds=st.sampled_from([0.3, 1.0, 2.5, 4.5, 9.0]))
     def pass_time(self, seconds: float) -> None:
         self.do(asyncio.sleep(seconds))
-        assert not self.observer.doubled, self.observer.doubled[:3]
+        assert not self.observer.violations, self.observer.violations[:3]
 
     def teardown(self) -> None:
         try:
@@ -150,18 +150,18 @@
             self.cluster.resume(vm)
 
     async def _settle(self) -> None:
-        """After the last fault every server has exactly one holder again, within a bound."""
+        """Check that after the last fault every server has one holder again, within the limit."""
         self.heal_all()
-        for _ in range(SETTLED_WITHIN):
+        for _ in range(SETTLED_WITHIN_S):
             await asyncio.sleep(1.0)
-            assert not self.observer.doubled, self.observer.doubled[:3]
-            held = self.observer.look()
+            assert not self.observer.violations, self.observer.violations[:3]
+            held = self.observer.check()
             if all(len(names) == 1 for names in held.values()):
                 return
-        states = [self._told(vm) for vm in self.vms]
+        states = [self._describe(vm) for vm in self.vms]
         raise AssertionError(f"not settled: {states}")
 
-    def _told(self, vm: Vm) -> str:
+    def _describe(self, vm: Vm) -> str:
         rights = self.cluster.plane(vm).gossip.ownership
         left = rights.lease_until - self.loop.time()
         return f"{vm.id}: {rights.view} lease {left:.1f} awaits {sorted(rights.awaited)}"
@@ -173,7 +173,7 @@
             await asyncio.gather(self.task, return_exceptions=True)
 
 
-class Comings(Machine):
+class Churn(Machine):
     """VMs start, crash and leave."""
 
     @precondition(lambda self: len(self.vms) < MAX_VMS)
@@ -200,7 +200,7 @@
 
 
 class Pauses(Machine):
-    """Processes stop and go on."""
+    """Processes are paused and resumed."""
 
     @rule(index=INDEX)
     def pause(self, index: int) -> None:
@@ -212,13 +212,13 @@
 
 
 class Partitions(Machine):
-    """Parts of the data centre are cut off, with the store or without it."""
+    """Network partitions; the smaller part can have the store or not."""
 
     @rule(first=INDEX, size=st.integers(min_value=1, max_value=3), with_store=st.booleans())
     def partition(self, first: int, size: int, with_store: bool) -> None:
-        turned = self.vms[first:] + self.vms[:first]
-        left, right = turned[:size], turned[size:]
-        self.cluster.network.separate(left, right)
+        rotated = self.vms[first:] + self.vms[:first]
+        left, right = rotated[:size], rotated[size:]
+        self.cluster.network.partition(left, right)
         for vm in left:
             self.cluster.stores[vm.id].cut = not with_store
 
@@ -230,8 +230,8 @@
             store.cut = False
 
 
-class Cuts(Partitions):
-    """Links break, in one direction or both, and lose datagrams."""
+class LinkFaults(Partitions):
+    """Links fail, in one direction or both, and lose datagrams."""
 
     @rule(index=INDEX, other=INDEX, both=st.booleans())
     def cut(self, index: int, other: int, both: bool) -> None:
@@ -246,7 +246,7 @@
 
 
 class StoreFaults(Machine):
-    """The store is away, loses replies, and writes late."""
+    """The store is unavailable, loses replies and delays writes."""
 
     @rule(down=st.booleans())
     def store(self, down: bool) -> None:
@@ -258,16 +258,16 @@
         self.cluster.store.delay_writes = late
 
 
-class Everything(Comings, Pauses, Cuts, StoreFaults):
+class AllFaults(Churn, Pauses, LinkFaults, StoreFaults):
     """All faults at once."""
 
 
-class Joining(Comings, Pauses):
-    """VMs come while others are paused."""
+class Joining(Churn, Pauses):
+    """VMs join while others are paused."""
 
 
 class Splits(Machine):
-    """Five VMs are split in two, and the smaller part has the store or doesn't."""
+    """A partition of five VMs in two; the smaller part can have the store or not."""
 
     @initialize()
     def begin(self) -> None:
@@ -276,59 +276,64 @@
     @precondition(lambda self: not self.cluster.network.cut)
     @rule(first=INDEX, size=st.integers(min_value=1, max_value=2), with_store=st.booleans())
     def split(self, first: int, size: int, with_store: bool) -> None:
-        turned = self.vms[first % 5 :] + self.vms[: first % 5]
-        self.cluster.network.separate(turned[:size], turned[size:])
-        for vm in turned[:size]:
+        rotated = self.vms[first % 5 :] + self.vms[: first % 5]
+        self.cluster.network.partition(rotated[:size], rotated[size:])
+        for vm in rotated[:size]:
             self.cluster.stores[vm.id].cut = not with_store
 
 
 @pytest.fixture
-def bound(new_cluster: Callable[[], Any], virtual_loop: Any) -> Callable[..., type[Machine]]:
+def bind_machine(new_cluster: Callable[[], Any], virtual_loop: Any) -> Callable[..., type[Machine]]:
     def bind(machine: type[Machine]) -> type[Machine]:
-        made = {"make_loop": staticmethod(virtual_loop), "make_cluster": staticmethod(new_cluster)}
-        return type(machine.__name__, (machine,), made)
+        attributes = {
+            "make_loop": staticmethod(virtual_loop),
+            "make_cluster": staticmethod(new_cluster),
+        }
+        return type(machine.__name__, (machine,), attributes)
 
     return bind
 
 
-def finds(machine: type[Machine]) -> None:
-    """Assert that the machine sees two holders; the example isn't made smaller, to save time."""
+def assert_finds(machine: type[Machine]) -> None:
+    """Assert that the machine finds two holders; examples are not shrunk, to save time."""
     generate = settings(MACHINE_SETTINGS, max_examples=400, phases=[Phase.generate])
     with pytest.raises(AssertionError, match="held by"):
         run_state_machine_as_test(machine, settings=generate)
 
 
-def test_no_server_ever_has_two_holders(bound: Any) -> None:
-    run_state_machine_as_test(bound(Everything), settings=MACHINE_SETTINGS)
+def test_no_server_ever_has_two_holders(bind_machine: Any) -> None:
+    run_state_machine_as_test(bind_machine(AllFaults), settings=MACHINE_SETTINGS)
 
 
-def test_the_machine_finds_heirs_that_do_not_wait(bound: Any) -> None:
-    """An owner is paused or cut off, its heir dispatches at once, and a cold server gets double.
+def test_the_machine_finds_new_owners_that_do_not_wait(bind_machine: Any) -> None:
+    """The machine must detect a new owner that dispatches while the former one still can.
 
-    The guard that was taken away is the wait after an unsettled removal.
+    The former owner is paused or cut off, and a cold server gets twice the allowed rate. The
+    injected fault removes the wait after an unsettled removal.
     """
-    machine = bound(Splits)
+    machine = bind_machine(Splits)
     machine.options = ControlOptions(leases=LeaseLimits(settle=0.0))
-    finds(machine)
+    assert_finds(machine)
 
 
-def test_the_machine_finds_a_joiner_that_does_not_ask(
-    bound: Any, monkeypatch: pytest.MonkeyPatch
+def test_the_machine_finds_a_joining_vm_that_does_not_wait(
+    bind_machine: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A VM joins and takes servers from one that is paused or has not heard of it yet.
+    """The machine must detect a joining VM that uses servers still held by another VM.
 
-    The guard that was taken away is the wait for the word of the earlier members.
+    That VM is paused or does not have the new view yet. The injected fault removes the wait for
+    confirmations by the earlier members.
     """
     monkeypatch.setattr(Ownership, "_await_earlier", lambda *_: None)
-    finds(bound(Joining))
+    assert_finds(bind_machine(Joining))
 
 
-def test_the_machine_finds_guardians_that_need_not_all_confirm(
-    bound: Any, monkeypatch: pytest.MonkeyPatch
+def test_the_machine_finds_rights_confirmed_by_one_guardian(
+    bind_machine: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cut off from the rest together with one guardian, an owner goes on for ever.
+    """The machine must detect an owner that keeps its rights when cut off with one guardian.
 
-    The guard that was taken away is that every guardian must confirm.
+    The injected fault removes the rule that all guardians must confirm.
     """
 
     def any_guardian(self: Ownership) -> float:
@@ -336,4 +341,4 @@
         return max(self._store_until, max(required, default=ownership._NEVER))
 
     monkeypatch.setattr(Ownership, "lease_until", property(any_guardian))
-    finds(bound(Splits))
+    assert_finds(bind_machine(Splits))
--- a/tests/controlplane/test_plane.py
+++ b/tests/controlplane/test_plane.py
@@ -1,4 +1,4 @@
-"""Several control planes in one process, with real tasks, over a store and network in memory."""
+"""Test several control planes in one process, with an in-memory store and network."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     await cluster.until(held)
 
 
-async def test_vms_join_and_each_server_has_one_holder(cluster: Any) -> None:
+async def test_vms_join_and_each_server_has_one_owner(cluster: Any) -> None:
     vms = await start(cluster, ["a1", "a2", "a3", "a4"])
     await all_held_once(cluster, vms)
 
@@ -72,27 +72,28 @@
     assert not any(cluster.plane(vm).state.configuration.is_in("a") for vm in vms)
 
 
-async def test_a_killed_vm_is_suspected_removed_and_its_servers_move(cluster: Any) -> None:
-    """A caller sees a few shards missing for seconds, then none.
+async def test_a_killed_vm_is_removed_and_its_servers_get_new_owners(cluster: Any) -> None:
+    """Guard against shards that stay missing after an owner crashes.
 
-    A VM dies with servers of its own. Its guardians stop hearing it, suspect it, write a view
-    without it, and the heirs wait until its rights have lapsed before they dispatch.
+    Its guardians suspect it and write a view without it; the new owners dispatch once its rights
+    have expired.
     """
     vms = await start(cluster, ["a1", "a2", "a3", "a4", "b1"])
-    near, left = vms[:4], vms[1:4]
-    await all_held_once(cluster, near)
+    local, remaining = vms[:4], vms[1:4]
+    await all_held_once(cluster, local)
     await cluster.kill(vms[0])
-    await cluster.until(lambda: all("a1" in cluster.plane(vm).state.suspects for vm in left))
+    await cluster.until(lambda: all("a1" in cluster.plane(vm).state.suspects for vm in remaining))
     await cluster.until(
         lambda: all(cluster.plane(vm).state.view("a").member("a1") is None for vm in vms[1:])
     )
-    await all_held_once(cluster, left)
+    await all_held_once(cluster, remaining)
 
 
-async def test_a_planned_leave_hands_over_without_the_wait(cluster: Any) -> None:
-    """A rolling restart leaves no server without an owner for the time of a lapse.
+async def test_a_planned_leave_hands_over_without_waiting(cluster: Any) -> None:
+    """Guard against servers without an owner during a rolling restart.
 
-    The leaver gives up its rights, resigns as a guardian, and leaves the view as released.
+    The leaving VM releases its rights, resigns as a guardian and is marked as released in the view,
+    so that the new owners need not wait until its rights would have expired.
     """
     vms = await start(cluster, ["a1", "a2", "a3"])
     await all_held_once(cluster, vms)
@@ -107,10 +108,10 @@
     await all_held_once(cluster, vms[1:])
 
 
-async def test_rights_outlive_a_store_outage(cluster: Any) -> None:
-    """The store is away for longer than a lease, and no answer gets worse.
+async def test_dispatch_rights_last_through_a_store_outage(cluster: Any) -> None:
+    """Guard against lost dispatch rights when the store is unavailable for longer than a lease.
 
-    Guardians go on confirming, so no VM needs the store.
+    Guardians confirm the rights without the store.
     """
     vms = await start(cluster, ["a1", "a2", "a3", "a4"])
     await all_held_once(cluster, vms)
@@ -120,9 +121,10 @@
         assert all(len(holders(cluster, vms, server)) == 1 for server in SERVERS)
 
 
-async def test_a_lost_reply_to_a_join_is_settled(cluster: Any) -> None:
-    """A VM's swap of the view took effect and the reply was lost; it must neither stay out nor
-    join twice. It tries the same swap again, is refused, and finds itself in the refusal.
+async def test_a_lost_reply_to_a_join_is_resolved(cluster: Any) -> None:
+    """Guard against a VM that joins twice or not at all after a lost reply.
+
+    The VM repeats the swap, which took effect, and finds itself in the entry of the conflict.
     """
     accept(cluster, CONFIGURATION)
     cluster.store.lose_replies = 1
@@ -131,15 +133,15 @@
     assert cluster.plane(vm).state.view("a").epoch == 1
 
 
-async def test_a_fresh_vm_starts_from_peers_while_the_store_is_away(cluster: Any) -> None:
-    """A VM is replaced during an outage of the store; it must serve all the same.
+async def test_a_new_vm_starts_from_peers_during_a_store_outage(cluster: Any) -> None:
+    """Guard against a VM that cannot start during an outage of the store.
 
-    It has an empty memory and hears the configuration and the views from a seed.
+    It gets the configuration and the views from a seed.
     """
     await start(cluster, ["a1", "a2"])
     cluster.store.down = True
-    fresh = await cluster.start("a3", "a")
-    await cluster.until(lambda: cluster.plane(fresh).is_ready)
-    assert cluster.plane(fresh).state.view("a") is not None
+    new_vm = await cluster.start("a3", "a")
+    await cluster.until(lambda: cluster.plane(new_vm).is_ready)
+    assert cluster.plane(new_vm).state.view("a") is not None
     cluster.store.down = False
-    await cluster.until(lambda: cluster.plane(fresh).gossip.ownership.is_member)
+    await cluster.until(lambda: cluster.plane(new_vm).gossip.ownership.is_member)
--- a/tests/controlplane/test_ticker.py
+++ b/tests/controlplane/test_ticker.py
@@ -1,4 +1,4 @@
-"""The control plane's steps go on after one that fails."""
+"""Test that the control plane's ticker continues after a failed tick."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from berylspindle_model.configuration import Configuration, DataCentre
 
 
-async def test_a_step_that_fails_does_not_end_the_steps(
+async def test_a_failed_tick_does_not_end_the_ticker(
     cluster: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half of a data centre's servers stand idle until somebody restarts a VM.
+    """Guard against idle servers after an error in one tick.
 
-    One step of its control plane met a fault; no step came after it, and its rights lapsed.
+    If the ticker ended, the VM's dispatch rights would expire until it is restarted.
     """
     configuration = Configuration(
         revision=1, deployment="d", data_centres=(DataCentre(name="a", region="n"),)
@@ -28,21 +28,21 @@
     vms = [await cluster.start(name, "a") for name in ("a1", "a2")]
     plane = cluster.plane(vms[0])
 
-    def holds_some() -> bool:
+    def holds_any_right() -> bool:
         now = asyncio.get_running_loop().time()
         levels = [plane.rights.level(f"server-{n}", now) for n in range(20)]
         return RightLevel.HELD in levels
 
-    await cluster.until(holds_some)
-    tick, left = Gossip.tick, [5]
+    await cluster.until(holds_any_right)
+    tick, failures_left = Gossip.tick, [5]
 
-    def failing(self: Gossip, now: float) -> None:
-        if left[0]:
-            left[0] -= 1
-            raise RuntimeError("a fault in one step")
+    def failing_tick(self: Gossip, now: float) -> None:
+        if failures_left[0]:
+            failures_left[0] -= 1
+            raise RuntimeError("injected error")
         tick(self, now)
 
-    monkeypatch.setattr(Gossip, "tick", failing)
+    monkeypatch.setattr(Gossip, "tick", failing_tick)
     await asyncio.sleep(10.0)
-    assert left == [0]
-    assert holds_some()
+    assert failures_left == [0]
+    assert holds_any_right()
