--- a/libs/store/berylspindle_store/claims.py
+++ b/libs/store/berylspindle_store/claims.py
@@ -266,7 +266,7 @@
         return self._pending.is_abandoned(record.token)
 
     def _abandon(self, record: ClaimRecord) -> None:
-        """Keep the token of a claim that is never dispatched for longer than its lease can last."""
+        """Mark a claim as never to be dispatched, for longer than its lease can last."""
         max_lifetime = (1 + DISPATCH_SHARE) * self._options.longest + 2 * self._options.share_for
         self._pending.abandon(record, keep_until=self._now() + max_lifetime)
 
