--- a/libs/wire/berylspindle_wire/__init__.py
+++ b/libs/wire/berylspindle_wire/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on both sides and the protocol between peers."""
+"""HTTP/1.1 server and client, and the protocol between peers."""
--- a/libs/wire/berylspindle_wire/client.py
+++ b/libs/wire/berylspindle_wire/client.py
@@ -1,7 +1,7 @@
 """A small HTTP client over the connection pool, for the platform, the operators' tool and tests.
 
-Flow: each method builds an `HttpRequest` and sends it on a pooled connection; failures are
-HttpFailure as everywhere. Nothing is retried here, since only the caller knows what may be.
+Flow: each method builds an `HttpRequest` and sends it on a pooled connection; failures raise
+HttpFailure. Nothing is retried, since only the caller knows which requests may be repeated.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from berylspindle_wire.http import HttpLimits, HttpRequest, HttpResponse
 from berylspindle_wire.http_pool import ConnectionPool
 
-_TIMEOUT: Final = 5.0
-_NEVER_PROBE: Final = 3600.0
+_DEFAULT_TIMEOUT_S: Final = 5.0
+_IDLE_PROBE_AFTER_S: Final = 3600.0
 
 
 class HttpClient:
     """Send requests to one host and port on at most `limit` connections.
 
-    Needs a running event loop when made. Times are in seconds.
+    Requires a running event loop when created. Times are in seconds.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
             limit=limit,
             spare=0,
             connect_timeout=connect_timeout,
-            idle_probe_after=_NEVER_PROBE,
+            idle_probe_after=_IDLE_PROBE_AFTER_S,
             limits=limits,
             tls=tls,
         )
@@ -53,9 +53,9 @@
         query: Mapping[str, str] | None = None,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        timeout: float = _TIMEOUT,
+        timeout: float = _DEFAULT_TIMEOUT_S,
     ) -> HttpResponse:
-        """Send one request and return the response, whatever its status; raises HttpFailure."""
+        """Send one request and return the response of any status; raise HttpFailure."""
         request = HttpRequest(
             method=method,
             path=path,
@@ -71,9 +71,9 @@
         *,
         query: Mapping[str, str] | None = None,
         headers: Mapping[str, str] | None = None,
-        timeout: float = _TIMEOUT,
+        timeout: float = _DEFAULT_TIMEOUT_S,
     ) -> HttpResponse:
-        """Send a GET request; as `request`."""
+        """Send a GET request; see `request`."""
         return await self.request("GET", path, query=query, headers=headers, timeout=timeout)
 
     async def post(
@@ -83,9 +83,9 @@
         query: Mapping[str, str] | None = None,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        timeout: float = _TIMEOUT,
+        timeout: float = _DEFAULT_TIMEOUT_S,
     ) -> HttpResponse:
-        """Send a POST request; as `request`."""
+        """Send a POST request; see `request`."""
         return await self.request(
             "POST", path, query=query, headers=headers, body=body, timeout=timeout
         )
@@ -97,9 +97,9 @@
         query: Mapping[str, str] | None = None,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        timeout: float = _TIMEOUT,
+        timeout: float = _DEFAULT_TIMEOUT_S,
     ) -> HttpResponse:
-        """Send a PUT request; as `request`."""
+        """Send a PUT request; see `request`."""
         return await self.request(
             "PUT", path, query=query, headers=headers, body=body, timeout=timeout
         )
@@ -110,9 +110,9 @@
         *,
         query: Mapping[str, str] | None = None,
         headers: Mapping[str, str] | None = None,
-        timeout: float = _TIMEOUT,
+        timeout: float = _DEFAULT_TIMEOUT_S,
     ) -> HttpResponse:
-        """Send a DELETE request; as `request`."""
+        """Send a DELETE request; see `request`."""
         return await self.request("DELETE", path, query=query, headers=headers, timeout=timeout)
 
     async def close(self) -> None:
@@ -126,6 +126,6 @@
         self,
         kind: type[BaseException] | None,
         error: BaseException | None,
-        trace: TracebackType | None,
+        traceback: TracebackType | None,
     ) -> None:
         await self.close()
--- a/libs/wire/berylspindle_wire/datagrams.py
+++ b/libs/wire/berylspindle_wire/datagrams.py
@@ -1,13 +1,12 @@
-"""Small control messages over UDP, as membership probes use them.
+"""Small control messages over UDP, such as membership probes.
 
 Terms:
-  MAC   keyed BLAKE2b over the message, 16 bytes, in front of it
+  MAC   keyed BLAKE2b digest of the message, 16 bytes, prepended to it
 
-Flow: `open_datagrams` binds a port; `send` prepends the MAC and hands the datagram to the kernel;
-a datagram that arrives is passed on only if its MAC fits. A message says for whom it is and carries
-its own sequence number where order matters: UDP loses, repeats and reorders, and a MAC doesn't keep
-a recorded datagram from being sent again. It keeps out whoever has no key, and whatever was damaged
-on the way.
+Flow: `open_datagrams` binds a port; `send` prepends the MAC and passes the datagram to the kernel;
+a received datagram is delivered only if its MAC is valid. The MAC rejects senders without the key
+and damaged datagrams. It doesn't prevent replay, and UDP loses, duplicates and reorders datagrams,
+so a message names its recipient and carries a sequence number where order matters.
 """
 
 from __future__ import annotations
@@ -22,9 +21,9 @@
 
 from berylspindle_wire.peer_auth import require_key
 
-MAX_PAYLOAD: Final = 1400
-"""Largest message in bytes; with MAC and headers it fits one Ethernet frame, as a fragment lost
-would lose the whole."""
+MAX_PAYLOAD_BYTES: Final = 1400
+"""With MAC and headers, a message of this size fits one Ethernet frame; the loss of one IP fragment
+would lose the whole message."""
 
 _MAC_BYTES: Final = 16
 
@@ -34,7 +33,7 @@
 
 @attrs.define
 class DatagramCounters:
-    """Counts of one port; they only grow. `refused` had a wrong MAC or length."""
+    """Cumulative counts of one port. `refused` counts datagrams with an invalid MAC or length."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -46,24 +45,26 @@
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """A bound UDP port; made by `open_datagrams`."""
+    """A bound UDP port, created by `open_datagrams`."""
 
     def __init__(self, key: bytes | None, on_message: OnMessage) -> None:
         self.counters: Final = DatagramCounters()
-        self._keyed: Final = hashlib.blake2b(key=key or b"", digest_size=_MAC_BYTES)
+        self._keyed_hash: Final = hashlib.blake2b(key=key or b"", digest_size=_MAC_BYTES)
         self._on_message: Final = on_message
         self._transport = cast(asyncio.DatagramTransport, None)
 
     @property
     def port(self) -> int:
-        """Return the port that is bound."""
+        """Return the bound port number."""
         port: int = self._transport.get_extra_info("sockname")[1]
         return port
 
     def send(self, data: bytes, address: Address) -> None:
-        """Send one message, which may get lost; raises ValueError where it is too long."""
-        if len(data) > MAX_PAYLOAD:
-            raise ValueError(f"a message of {len(data)} bytes; {MAX_PAYLOAD} are allowed")
+        """Send one message without delivery guarantee; raise ValueError if it is too long."""
+        if len(data) > MAX_PAYLOAD_BYTES:
+            raise ValueError(
+                f"message too long: {len(data)} bytes, at most {MAX_PAYLOAD_BYTES} allowed"
+            )
         if self._transport.is_closing():
             return
         self._transport.sendto(self._mac(data) + data, address)
@@ -75,14 +76,14 @@
         self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass a message on if its MAC fits."""
+        """Deliver a message if its MAC is valid."""
         message = data[_MAC_BYTES:]
-        fits = hmac.compare_digest(data[:_MAC_BYTES], self._mac(message))
-        if not fits or len(message) > MAX_PAYLOAD:
+        is_valid = hmac.compare_digest(data[:_MAC_BYTES], self._mac(message))
+        if not is_valid or len(message) > MAX_PAYLOAD_BYTES:
             self.counters.refused += 1
             self.counters.refused_bytes += len(data)
             return
@@ -91,22 +92,22 @@
         self._on_message(message, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Count an error that an earlier send met, such as a port that nobody listens on."""
+        """Count an error of an earlier send, such as a port without a listener."""
         self.counters.errors += 1
 
     def _mac(self, data: bytes) -> bytes:
-        keyed = self._keyed.copy()
-        keyed.update(data)
-        return keyed.digest()
+        mac = self._keyed_hash.copy()
+        mac.update(data)
+        return mac.digest()
 
 
 async def open_datagrams(
     host: str, port: int, *, key: bytes | None, on_message: OnMessage
 ) -> DatagramPort:
-    """Bind a UDP port and pass each genuine message on to `on_message`.
+    """Bind a UDP port and deliver each authentic message to `on_message`.
 
-    Without a key the MAC only guards against damage, hence KeyRequiredError where `host` is no
-    loopback address; a key is at most 64 bytes (ValueError). Raises OSError where the address can't
+    Raise KeyRequiredError if there is no key and `host` is no loopback address, since the MAC then
+    only detects damage; ValueError if the key is longer than 64 bytes; OSError if the address can't
     be bound.
     """
     require_key(host, key)
--- a/libs/wire/berylspindle_wire/entry_link.py
+++ b/libs/wire/berylspindle_wire/entry_link.py
@@ -1,14 +1,13 @@
-"""One link as the entry uses it: batches out, replies in, each attempt settled exactly once.
+"""The entry's end of one link: batches out, replies in, exactly one reply for each attempt.
 
 Terms:
-  settle    pass on the one reply of an attempt and forget it
-  written   handed to the stream; from then on only the owner can say that an attempt has not run
-
-Flow: the link's task waits for work, opens a stream, and reads replies while a writer task sends
-all that was queued since its last frame as one frame. However the stream ends, what is then
-outstanding is settled: NOT_RUN if it was never written, MAY_HAVE_RUN if it was. A reply that
-matches no outstanding attempt by id, backend server and shard is dropped and counted: it is late or
-crossed, and passing it on would give one caller another's hits.
+  written   passed to the stream; from then on only the owner can tell that an attempt has not run
+
+Flow: the link's task waits for work, opens a stream and reads replies, while a writer task sends
+everything queued since its last frame as one frame. When the stream ends, each outstanding attempt
+gets a failure reply: NOT_RUN if it was never written, else MAY_HAVE_RUN. A reply that matches no
+outstanding attempt by id, backend server and shard is dropped and counted: it is late or misrouted,
+and delivering it would give one caller the results of another.
 """
 
 from __future__ import annotations
@@ -32,20 +31,20 @@
 from berylspindle_wire.peer_auth import sign_call
 from berylspindle_wire.peer_codec import FRAME_ITEMS, LINK_PATH, PeerCodec, PeerFrame
 
-FIRST_BACKOFF: Final = 0.05
-LAST_BACKOFF: Final = 2.0
+INITIAL_BACKOFF_S: Final = 0.05
+MAX_BACKOFF_S: Final = 2.0
 
-_PINGS: Final = 4
-"""A link that has brought nothing for this part of the silence timeout is pinged."""
+_PINGS_PER_SILENCE_TIMEOUT: Final = 4
+"""A link is pinged once it has received nothing for this fraction of the silence timeout."""
 
 OnReply = Callable[[AttemptReply], None]
 _LinkStream = Stream[PeerFrame, PeerFrame]
-_BROKEN: Final = (OSError, TimeoutError, GRPCError, StreamTerminatedError, ProtocolError)
+_STREAM_ERRORS: Final = (OSError, TimeoutError, GRPCError, StreamTerminatedError, ProtocolError)
 
 
 @attrs.frozen(kw_only=True)
 class LinkSettings:
-    """What all links of one VM share; see `PeerLinks`."""
+    """Settings shared by all links of one VM; see `PeerLinks`."""
 
     entry_id: str
     key: bytes | None
@@ -57,9 +56,9 @@
 
 @attrs.define
 class LinkCounters:
-    """Counts over all links of one VM; they only grow.
+    """Cumulative counts over all links of one VM.
 
-    `dropped_replies` are late or crossed ones.
+    `dropped_replies` counts late or misrouted replies.
     """
 
     opened: int = 0
@@ -83,11 +82,11 @@
 @attrs.frozen
 class _Queued:
     batch: AttemptBatch
-    at: float
+    queued_at: float
 
 
 class EntryLink:
-    """The link to one VM."""
+    """The link from this VM to one owner."""
 
     def __init__(self, vm: Vm, settings: LinkSettings, counters: LinkCounters) -> None:
         self._vm: Final = vm
@@ -98,95 +97,97 @@
         self._queue: deque[_Queued] = deque()
         self._queued_attempts = 0
         self._cancelled: list[str] = []
-        self._ping = 0
+        self._ping_number = 0
         self._ping_due = False
         self._closing = False
         self._channel: Channel | None = None
         self._failures = 0
-        self._not_before = 0.0
-        self._heard = 0.0
-        self._used = self._loop.time()
-        self._wake = asyncio.Event()
+        self._next_open = 0.0
+        self._last_received = 0.0
+        self._last_submitted = self._loop.time()
+        self._work_available = asyncio.Event()
         self._task = self._loop.create_task(self._run())
 
     @property
     def outstanding(self) -> int:
-        """Return how many attempts wait for a reply."""
+        """Return the number of attempts waiting for a reply."""
         return len(self._outstanding)
 
-    def is_unused(self, now: float, bound: float) -> bool:
-        """Tell whether nothing is outstanding and nothing was submitted for `bound` seconds."""
-        return not self._outstanding and now - self._used > bound
+    def is_unused(self, now: float, timeout: float) -> bool:
+        """Return whether nothing is outstanding and nothing was submitted for `timeout` seconds."""
+        return not self._outstanding and now - self._last_submitted > timeout
 
     def submit(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Queue a batch; see `PeerLinks.submit`."""
         if any(attempt.id in self._outstanding for attempt in batch.attempts):
-            raise ValueError("an attempt id is outstanding already")
+            raise ValueError("attempt id is already outstanding")
         if not self._outstanding:
-            self._heard = self._loop.time()
-        self._used = self._loop.time()
+            self._last_received = self._loop.time()
+        self._last_submitted = self._loop.time()
         for attempt in batch.attempts:
             self._outstanding[attempt.id] = _Outstanding(attempt, on_reply)
         if self._closing:
-            self._refuse_soon(batch, ErrorKind.SHUTTING_DOWN, "the owner is shutting down")
+            self._schedule_refusal(batch, ErrorKind.SHUTTING_DOWN, "the owner is shutting down")
         elif self._queued_attempts + len(batch.attempts) > self._settings.max_queued:
             self._counters.overloaded += len(batch.attempts)
-            self._refuse_soon(batch, ErrorKind.OVERLOADED, "the queue to the owner is full")
+            self._schedule_refusal(batch, ErrorKind.OVERLOADED, "the queue to the owner is full")
         else:
-            self._queue.append(_Queued(batch, self._used))
+            self._queue.append(_Queued(batch, self._last_submitted))
             self._queued_attempts += len(batch.attempts)
-            self._wake.set()
+            self._work_available.set()
 
     def cancel(self, attempts: Sequence[str]) -> None:
-        """Forget attempts, and tell the owner of those that were written."""
+        """Drop attempts, and send the owner a cancellation for those already written."""
         for attempt in attempts:
-            found = self._outstanding.pop(attempt, None)
-            if found is not None and found.written:
+            pending = self._outstanding.pop(attempt, None)
+            if pending is not None and pending.written:
                 self._cancelled.append(attempt)
-                self._wake.set()
+                self._work_available.set()
 
     def tick(self, now: float) -> None:
-        """Ping while something is outstanding; break the link if nothing has come for too long."""
+        """Ping while attempts are outstanding; close the link if it is silent for too long."""
         if not self._outstanding or self._channel is None:
             return
-        if now - self._heard > self._settings.silence_timeout:
+        if now - self._last_received > self._settings.silence_timeout:
             self._counters.silent += 1
             self._channel.close()
             return
-        if now - self._heard > self._settings.silence_timeout / _PINGS:
+        if now - self._last_received > self._settings.silence_timeout / _PINGS_PER_SILENCE_TIMEOUT:
             self._ping_due = True
-            self._wake.set()
+            self._work_available.set()
 
     async def close(self) -> None:
-        """Break the link and settle what is outstanding."""
+        """Close the link and fail all outstanding attempts."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
-        self._settle_all("the link was closed")
+        self._fail_outstanding("the link was closed")
 
     async def _run(self) -> None:
         while True:
-            await self._wake.wait()
+            await self._work_available.wait()
             if not self._queue:
-                # Cancellations and pings alone open no stream; they were for one that is gone.
-                self._wake.clear()
+                # Cancellations and pings alone open no stream; they concern a closed one.
+                self._work_available.clear()
                 self._cancelled.clear()
                 continue
             async with AsyncExitStack() as stack:
                 stream = await self._open(stack)
                 if stream is not None:
-                    await self._use(stream)
-            self._settle_all("the link broke" if stream is not None else "no link to the owner")
+                    await self._run_stream(stream)
+            self._fail_outstanding(
+                "the link broke" if stream is not None else "no link to the owner"
+            )
             self._closing = False
 
     async def _open(self, stack: AsyncExitStack) -> _LinkStream | None:
-        """Return an open stream whose owner has accepted it, or None.
+        """Return an open stream that the owner has accepted, or None.
 
-        Waiting for the owner's first answer before any batch is written costs one round trip for
-        each link, and lets a wrong key or a VM that is leaving end in a true NOT_RUN.
+        Waiting for the owner's initial metadata before writing any batch costs one round trip per
+        link. It lets a wrong key or a VM that is shutting down result in a definite NOT_RUN.
         """
-        if self._loop.time() < self._not_before:
-            # A reply callback may submit again at once. Without this pause the two would go round
-            # without ever letting the event loop see to anything else.
+        if self._loop.time() < self._next_open:
+            # A reply callback may submit again at once. Without this yield, the two would loop
+            # without letting the event loop run anything else.
             await asyncio.sleep(0)
             return None
         channel = Channel(self._vm.host, self._vm.peer_port, codec=PeerCodec())
@@ -201,32 +202,32 @@
                 stack.push_async_callback(_release, stream)
                 await stream.send_request()
                 await stream.recv_initial_metadata()
-        except _BROKEN:
+        except _STREAM_ERRORS:
             self._counters.open_failed += 1
             self._back_off()
             return None
         self._counters.opened += 1
         self._failures = 0
-        self._heard = self._loop.time()
+        self._last_received = self._loop.time()
         self._channel = channel
-        stack.callback(self._forget_channel)
+        stack.callback(self._clear_channel)
         return stream
 
-    def _forget_channel(self) -> None:
+    def _clear_channel(self) -> None:
         self._channel = None
 
     def _back_off(self) -> None:
-        """Put the next attempt to open off, twice as long each time; submits fail at once then."""
-        backoff = min(LAST_BACKOFF, FIRST_BACKOFF * 2.0**self._failures)
+        """Delay the next open, doubling the delay each time; submits fail at once meanwhile."""
+        backoff = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self._failures)
         self._failures = min(self._failures + 1, 16)
-        self._not_before = self._loop.time() + backoff
+        self._next_open = self._loop.time() + backoff
 
-    async def _use(self, stream: _LinkStream) -> None:
+    async def _run_stream(self, stream: _LinkStream) -> None:
         writer = self._loop.create_task(self._write(stream))
         try:
             async for frame in stream:
-                self._take(frame)
-        except _BROKEN:
+                self._handle_frame(frame)
+        except _STREAM_ERRORS:
             self._counters.broken += 1
         except MalformedError as error:
             self._counters.broken += 1
@@ -235,26 +236,26 @@
             writer.cancel()
             await asyncio.gather(writer, return_exceptions=True)
 
-    def _take(self, frame: PeerFrame) -> None:
-        self._heard = self._loop.time()
+    def _handle_frame(self, frame: PeerFrame) -> None:
+        self._last_received = self._loop.time()
         self._counters.frames_received += 1
         for reply in frame.replies:
-            found = self._outstanding.get(reply.attempt)
-            if found is None or not _matches(found, reply):
+            pending = self._outstanding.get(reply.attempt)
+            if pending is None or not _matches(pending, reply):
                 self._counters.dropped_replies += 1
                 continue
             self._counters.replies += 1
-            self._settle(found.attempt.id, reply)
+            self._complete(pending.attempt.id, reply)
         if frame.closing:
             self._closing = True
-            for queued in self._take_queue():
+            for queued in self._drain_queue():
                 self._refuse(queued.batch, ErrorKind.SHUTTING_DOWN, "the owner is shutting down")
-            self._wake.set()
+            self._work_available.set()
 
     async def _write(self, stream: _LinkStream) -> None:
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._work_available.wait()
+            self._work_available.clear()
             frame = self._next_frame()
             if frame is not None:
                 self._counters.frames_sent += 1
@@ -264,92 +265,94 @@
                 return
 
     def _next_frame(self) -> PeerFrame | None:
-        """Return all that is to be sent, with what it holds marked as written, or None."""
-        batches = tuple(self._ready_batches())
+        """Return a frame of all that is ready to send, marked as written, or None."""
+        batches = tuple(self._prepare_batches())
         if not (batches or self._cancelled or self._ping_due):
             return None
         if self._ping_due:
-            self._ping += 1
+            self._ping_number += 1
         frame = PeerFrame(
             batches=batches,
             cancel=tuple(self._cancelled),
-            ping=self._ping if self._ping_due else None,
+            ping=self._ping_number if self._ping_due else None,
         )
         self._cancelled.clear()
         self._ping_due = False
         return frame
 
-    def _ready_batches(self) -> Iterable[AttemptBatch]:
-        """Yield queued batches, without what was cancelled and with the time that is left.
+    def _prepare_batches(self) -> Iterable[AttemptBatch]:
+        """Yield queued batches without cancelled attempts and with the remaining deadline.
 
-        Stops at a full frame; the rest goes into the next one.
+        Stop when the frame is full; the rest goes into the next one.
         """
         now = self._loop.time()
-        room = FRAME_ITEMS
-        while self._queue and room > 0:
+        capacity = FRAME_ITEMS
+        while self._queue and capacity > 0:
             queued = self._queue.popleft()
             self._queued_attempts -= len(queued.batch.attempts)
-            batch = self._ready(queued, now)
+            batch = self._prepare(queued, now)
             if batch is not None:
-                room -= len(batch.attempts)
+                capacity -= len(batch.attempts)
                 yield batch
         if self._queue:
-            self._wake.set()
+            self._work_available.set()
 
-    def _ready(self, queued: _Queued, now: float) -> AttemptBatch | None:
-        """Return a queued batch as it is to be written, marked as written, or None."""
+    def _prepare(self, queued: _Queued, now: float) -> AttemptBatch | None:
+        """Return a queued batch ready to write and marked as written, or None."""
         batch = queued.batch
-        kept = tuple(a for a in batch.attempts if a.id in self._outstanding)
-        left = batch.deadline_ms - int((now - queued.at) * 1000)
-        if left <= 0:
-            self._refuse(batch, ErrorKind.DEADLINE_EXCEEDED, "the wait for the link")
+        remaining = tuple(a for a in batch.attempts if a.id in self._outstanding)
+        remaining_ms = batch.deadline_ms - int((now - queued.queued_at) * 1000)
+        if remaining_ms <= 0:
+            self._refuse(
+                batch, ErrorKind.DEADLINE_EXCEEDED, "deadline passed while waiting for the link"
+            )
             return None
-        if not kept:
+        if not remaining:
             return None
-        for attempt in kept:
+        for attempt in remaining:
             self._outstanding[attempt.id].written = True
-        if left == batch.deadline_ms and len(kept) == len(batch.attempts):
+        if remaining_ms == batch.deadline_ms and len(remaining) == len(batch.attempts):
             return batch
-        return attrs.evolve(batch, attempts=kept, deadline_ms=left)
+        return attrs.evolve(batch, attempts=remaining, deadline_ms=remaining_ms)
 
-    def _take_queue(self) -> deque[_Queued]:
+    def _drain_queue(self) -> deque[_Queued]:
         queue, self._queue = self._queue, deque()
         self._queued_attempts = 0
         return queue
 
-    def _settle_all(self, detail: str) -> None:
-        self._take_queue()
+    def _fail_outstanding(self, detail: str) -> None:
+        self._drain_queue()
         self._cancelled.clear()
-        for found in tuple(self._outstanding.values()):
-            run = RunState.MAY_HAVE_RUN if found.written else RunState.NOT_RUN
-            # Not CONNECTION_LOST: that a VM is gone says nothing about what its servers ran.
-            reply = failed_reply(found.attempt, ErrorKind.PEER_LOST, run, detail)
-            self._settle(found.attempt.id, reply)
+        for pending in tuple(self._outstanding.values()):
+            run = RunState.MAY_HAVE_RUN if pending.written else RunState.NOT_RUN
+            # Not CONNECTION_LOST: the loss of a VM says nothing about what its servers ran.
+            reply = failed_reply(pending.attempt, ErrorKind.PEER_LOST, run, detail)
+            self._complete(pending.attempt.id, reply)
 
-    def _refuse_soon(self, batch: AttemptBatch, kind: ErrorKind, detail: str) -> None:
+    def _schedule_refusal(self, batch: AttemptBatch, kind: ErrorKind, detail: str) -> None:
         self._loop.call_soon(self._refuse, batch, kind, detail)
 
     def _refuse(self, batch: AttemptBatch, kind: ErrorKind, detail: str) -> None:
         for attempt in batch.attempts:
-            self._settle(attempt.id, failed_reply(attempt, kind, RunState.NOT_RUN, detail))
+            self._complete(attempt.id, failed_reply(attempt, kind, RunState.NOT_RUN, detail))
 
-    def _settle(self, attempt: str, reply: AttemptReply) -> None:
-        found = self._outstanding.pop(attempt, None)
-        if found is None:
+    def _complete(self, attempt: str, reply: AttemptReply) -> None:
+        pending = self._outstanding.pop(attempt, None)
+        if pending is None:
             return
         try:
-            found.on_reply(reply)
+            pending.on_reply(reply)
         except Exception as error:
             self._settings.on_fault(error)
 
 
-def _matches(found: _Outstanding, reply: AttemptReply) -> bool:
-    attempt = found.attempt
-    return found.written and attempt.server == reply.server and attempt.shard == reply.shard
+def _matches(pending: _Outstanding, reply: AttemptReply) -> bool:
+    attempt = pending.attempt
+    return pending.written and attempt.server == reply.server and attempt.shard == reply.shard
 
 
 def failed_reply(attempt: Attempt, kind: ErrorKind, run: RunState, detail: str) -> AttemptReply:
-    """Return the reply that an entry makes itself, where no owner can."""
+    """Return a failure reply that the entry generates in place of the owner."""
     return AttemptReply(
         attempt=attempt.id,
         server=attempt.server,
@@ -361,8 +364,8 @@
 
 
 async def _release(stream: _LinkStream) -> None:
-    """Give a stream back to grpclib without waiting for its end, and drop its errors."""
+    """Release a stream to grpclib without waiting for its end, ignoring its errors."""
     try:
         await stream.__aexit__(GeneratorExit, GeneratorExit(), None)
-    except _BROKEN:
+    except _STREAM_ERRORS:
         pass
--- a/libs/wire/berylspindle_wire/exchange.py
+++ b/libs/wire/berylspindle_wire/exchange.py
@@ -1,18 +1,19 @@
-"""One client connection that carries whole exchanges, told by calls rather than awaited.
+"""A client connection for HTTP exchanges that reports results by callback.
 
 Terms:
-  exchange   one request and its whole reply
-  sink       who is told how an exchange ended: exactly one call, from the event loop
-  leftover   bytes that a peer sends after a whole reply; they belong to no request
-
-Flow: `open_exchanges` connects; `send` writes one request and remembers its sink; when the reply is
-whole the sink gets it, and the connection is free again where `is_free` says so. A fan-out sends
-ten requests at a time, and a task and a future for each would cost more than the exchange itself.
-
-Guards: a reply is told only when it is whole by its own framing; a connection with leftovers, with
-a request still unwritten, or past the idle time that its peer has stated is never used again, so
-that no reply can be taken for the reply to another request. Packets that nobody acknowledges end
-the connection soon, for the path to a peer can go silent without a reset.
+  exchange   one request and its complete reply
+  sink       receiver of the result of an exchange: exactly one call, from the event loop
+  leftover   bytes received after a complete reply; they belong to no request
+
+Flow: `open_exchanges` connects; `send` writes one request and stores its sink. The sink receives
+the reply once it is complete, and the connection can be used again if `is_free`. Callbacks are used
+since a fan-out sends ten requests at a time, and a task and a future for each would cost more than
+the exchange itself.
+
+A reply is delivered only if it is complete by its own framing. A connection with leftovers, with
+unwritten request bytes, or past the idle timeout announced by its peer is never used again, so that
+no reply can be taken for the reply to another request. Unacknowledged packets end the connection
+after a short timeout, since the path to a peer can fail without a reset.
 """
 
 from __future__ import annotations
@@ -27,26 +28,26 @@
 import attrs
 import h11
 
-from berylspindle_wire.sockets import has_ended, watch_path
+from berylspindle_wire.sockets import enable_dead_path_detection, peer_has_closed
 
-DEFAULT_IDLE_S: Final = 4.0
-"""Seconds for which an idle connection is trusted where its peer states no time: common servers
-close theirs after five or more."""
+DEFAULT_IDLE_TIMEOUT_S: Final = 4.0
+"""Seconds for which an idle connection is reused if its peer announces no timeout: common servers
+close idle connections after five or more."""
 
-IDLE_SHARE: Final = 0.7
-"""Share of the idle time stated by the peer within which a connection is used again; the rest
-covers the way there and a busy event loop."""
+IDLE_TIMEOUT_FRACTION: Final = 0.7
+"""Fraction of the peer's announced idle timeout within which a connection is reused; the rest
+covers the network delay and a busy event loop."""
 
-MOST_INFORMATIONAL: Final = 8
+MAX_INFORMATIONAL: Final = 8
 
 _KEEP_ALIVE: Final = re.compile(rb"(?:^|[,;\s])timeout\s*=\s*(\d{1,9})", re.IGNORECASE)
 
 
 class EndKind(enum.StrEnum):
-    """How an exchange ended without a whole reply.
+    """How an exchange ended without a complete reply.
 
-    NOT_SENT: no byte was handed to the connection. LOST: bytes were written and the connection
-    ended before any byte of a reply. BROKEN: what came is no whole reply.
+    NOT_SENT: no byte was written to the connection. LOST: bytes were written and the connection
+    ended before any byte of a reply. BROKEN: the reply is malformed or incomplete.
     """
 
     NOT_SENT = "not_sent"
@@ -56,7 +57,7 @@
 
 @attrs.frozen
 class ExchangeEnd:
-    """Why an exchange got no whole reply."""
+    """Why an exchange got no complete reply."""
 
     kind: EndKind
     detail: str
@@ -64,21 +65,21 @@
 
 @attrs.frozen
 class ExchangeReply:
-    """One whole reply; header names are lower case, as the parser gives them."""
+    """One complete reply; header names are lower case, as the parser returns them."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
 
     def header(self, name: bytes) -> str | None:
-        """Return the value of a header, joined by commas where it came several times."""
+        """Return the value of a header; repeated headers are joined by commas."""
         values = [value for key, value in self.headers if key == name]
         return b", ".join(values).decode("latin-1") if values else None
 
 
 @attrs.frozen
 class ExchangeRequest:
-    """One request as it goes on the wire; `target` is passed on unchanged."""
+    """One request as sent on the wire; `target` is written unchanged."""
 
     method: bytes
     target: bytes
@@ -87,24 +88,24 @@
 
 
 class ExchangeSink(abc.ABC):
-    """Who is told how an exchange ended; exactly one of the two is called, once."""
+    """Receiver of the result of an exchange: `on_reply` or `on_end` is called exactly once."""
 
     @abc.abstractmethod
     def on_reply(self, reply: ExchangeReply) -> None:
-        """Take a whole reply."""
+        """Handle a complete reply."""
 
     @abc.abstractmethod
     def on_end(self, end: ExchangeEnd) -> None:
-        """Take that there will be no reply."""
+        """Handle the end of the exchange without a complete reply."""
 
     @abc.abstractmethod
     def on_carried(self, connection: ExchangeConnection) -> None:
-        """Take the connection that carries a request which had to wait for one."""
+        """Record the connection assigned to a request that waited for one."""
 
 
 class ExchangeConnection(asyncio.Protocol):
-    """One connection; made by `open_exchanges`. `on_free` is told when it can be used again or
-    has ended."""
+    """One connection, created by `open_exchanges`. `on_free` is called when it can be used again
+    or has ended."""
 
     def __init__(
         self,
@@ -114,7 +115,7 @@
         on_free: Callable[[ExchangeConnection], None],
     ) -> None:
         self._now: Final = now
-        self._most_bytes: Final = most_bytes
+        self._max_reply_bytes: Final = most_bytes
         self._on_free: Final = on_free
         self._parser = h11.Connection(h11.CLIENT)
         self._transport: asyncio.Transport = cast(asyncio.Transport, None)
@@ -123,75 +124,75 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._informational = 0
-        self._started = False
-        self._ended = False
-        self._since = now()
-        self._until = self._since + DEFAULT_IDLE_S
-        self._idle_s = DEFAULT_IDLE_S
+        self._reply_started = False
+        self._closed = False
+        self._idle_since = now()
+        self._usable_until = self._idle_since + DEFAULT_IDLE_TIMEOUT_S
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self._exchanges = 0
 
     @property
     def is_free(self) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         return (
-            not self._ended
+            not self._closed
             and self._sink is None
-            and self._now() < self._until
+            and self._now() < self._usable_until
             and not self._transport.is_closing()
         )
 
     @property
-    def has_ended(self) -> bool:
-        """Tell whether the connection is gone."""
-        return self._ended
+    def is_closed(self) -> bool:
+        """Return whether the connection has ended."""
+        return self._closed
 
     @property
     def exchanges(self) -> int:
-        """Return how many requests were sent."""
+        """Return the number of requests sent."""
         return self._exchanges
 
     def idle_for(self) -> float:
-        """Return for how many seconds nothing was sent or received."""
-        return self._now() - self._since
+        """Return the seconds since the last complete reply, or since the connect before any."""
+        return self._now() - self._idle_since
 
     def peer_has_ended(self) -> bool:
-        """Ask the kernel whether the peer has ended the connection, though nobody looked yet."""
-        return has_ended(self._transport.get_extra_info("socket"))
+        """Ask the kernel whether the peer has closed the connection, even if not yet read."""
+        return peer_has_closed(self._transport.get_extra_info("socket"))
 
     def send(self, request: ExchangeRequest, sink: ExchangeSink) -> None:
-        """Write one request; the connection must be free. Raises ValueError for an illegal one,
-        of which nothing was written."""
+        """Write one request; the connection must be free. Raise ValueError for an invalid request,
+        of which nothing is written."""
         try:
             data = self._encode(request)
         except h11.LocalProtocolError as error:
             self.close()
             raise ValueError(str(error)) from error
         self._sink = sink
-        self._started = False
+        self._reply_started = False
         self._exchanges += 1
         self._transport.write(data)
 
     def close(self) -> None:
-        """End the connection at once; an exchange under way is told, as LOST or BROKEN."""
+        """Close the connection at once; an exchange in flight ends as LOST or BROKEN."""
         self._transport.abort()
-        self._finish("closed here")
+        self._finish("closed locally")
 
     def forget(self) -> None:
-        """End the connection without telling the sink, which has given the exchange up."""
+        """Close the connection without notifying the sink, which has abandoned the exchange."""
         self._sink = None
         self.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and have the kernel watch for a silent path."""
+        """Store the transport and enable kernel detection of a dead path."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_path(transport.get_extra_info("socket"))
+        enable_dead_path_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse part of a reply; bytes that nobody asked for end the connection."""
+        """Parse part of a reply; unsolicited bytes close the connection."""
         if self._sink is None:
             self.close()
             return
-        self._started = True
+        self._reply_started = True
         try:
             self._parser.receive_data(data)
             self._read_events()
@@ -200,18 +201,18 @@
             self._finish(str(error), broken=True)
 
     def eof_received(self) -> bool:
-        """Complete a reply that ends with its connection, or fail one that is cut."""
+        """Complete a reply delimited by the end of the connection, or fail a truncated one."""
         if self._sink is not None:
             try:
                 self._parser.receive_data(b"")
                 self._read_events()
             except h11.RemoteProtocolError as error:
-                self._finish(str(error), broken=self._started)
+                self._finish(str(error), broken=self._reply_started)
         self._finish("the peer closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the exchange under way."""
+        """Fail the exchange in flight."""
         self._finish(f"reset: {exc}" if exc is not None else "closed")
 
     def _encode(self, request: ExchangeRequest) -> bytes:
@@ -237,16 +238,16 @@
                 self._complete()
             elif isinstance(event, h11.InformationalResponse):
                 self._informational += 1
-                if self._informational > MOST_INFORMATIONAL:
+                if self._informational > MAX_INFORMATIONAL:
                     raise h11.RemoteProtocolError("too many informational responses")
             else:
-                raise h11.RemoteProtocolError("the reply ended early")
+                raise h11.RemoteProtocolError("reply truncated")
 
     def _add_body(self, part: bytes) -> None:
         self._body.append(part)
         self._body_bytes += len(part)
-        if self._body_bytes > self._most_bytes:
-            raise h11.RemoteProtocolError("the reply is larger than the limit")
+        if self._body_bytes > self._max_reply_bytes:
+            raise h11.RemoteProtocolError("reply body exceeds the size limit")
 
     def _complete(self) -> None:
         head, sink = self._head, self._sink
@@ -257,35 +258,35 @@
         self._sink = self._head = None
         self._body = []
         self._body_bytes = self._informational = 0
-        self._note_idle_time(reply)
-        # A request whose tail is still unwritten would be read as the start of the next one.
+        self._update_idle_timeout(reply)
+        # The unwritten tail of a request would be read as the start of the next one.
         unwritten = self._transport.get_write_buffer_size() > 0
         done = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
         if done and not unwritten and not self._parser.trailing_data[0]:
             self._parser.start_next_cycle()
         else:
-            self._ended = True
+            self._closed = True
             self._transport.close()
         sink.on_reply(reply)
         self._on_free(self)
 
-    def _note_idle_time(self, reply: ExchangeReply) -> None:
+    def _update_idle_timeout(self, reply: ExchangeReply) -> None:
         for name, value in reply.headers:
             if name == b"keep-alive":
-                stated = _KEEP_ALIVE.search(value)
-                if stated is not None:
-                    self._idle_s = int(stated[1]) * IDLE_SHARE
-        self._since = self._now()
-        self._until = self._since + self._idle_s
+                match = _KEEP_ALIVE.search(value)
+                if match is not None:
+                    self._idle_timeout_s = int(match[1]) * IDLE_TIMEOUT_FRACTION
+        self._idle_since = self._now()
+        self._usable_until = self._idle_since + self._idle_timeout_s
 
     def _finish(self, detail: str, *, broken: bool | None = None) -> None:
-        """Tell the sink of an exchange under way that there will be no reply."""
-        first, self._ended = not self._ended, True
+        """Notify the sink of the exchange in flight, if any, that there will be no reply."""
+        newly_closed, self._closed = not self._closed, True
         sink, self._sink = self._sink, None
         if sink is not None:
-            cut = self._started if broken is None else broken
-            sink.on_end(ExchangeEnd(EndKind.BROKEN if cut else EndKind.LOST, detail))
-        if first:
+            is_broken = self._reply_started if broken is None else broken
+            sink.on_end(ExchangeEnd(EndKind.BROKEN if is_broken else EndKind.LOST, detail))
+        if newly_closed:
             self._on_free(self)
 
 
@@ -297,8 +298,8 @@
     most_bytes: int,
     on_free: Callable[[ExchangeConnection], None],
 ) -> ExchangeConnection:
-    """Connect within `timeout` seconds; replies may have `most_bytes`. Raises OSError, of which
-    TimeoutError is one."""
+    """Connect within `timeout` seconds; `most_bytes` limits the body of a reply. Raise OSError,
+    which includes TimeoutError."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout):
         _, connection = await loop.create_connection(
--- a/libs/wire/berylspindle_wire/http.py
+++ b/libs/wire/berylspindle_wire/http.py
@@ -1,11 +1,11 @@
-"""The typed HTTP/1.1 messages that both sides of every edge use.
+"""Typed HTTP/1.1 messages shared by server and client.
 
 Terms:
-  request    method, target, headers and body, read whole and checked before anything sees it
-  response   status, headers and body, whole
-  handler    a coroutine from request to response; it is cancelled when its peer goes away
+  request    method, target, headers and body, fully read and validated before it is handled
+  response   status, headers and body, complete
+  handler    a coroutine from request to response; it is cancelled when its peer disconnects
 
-Flow: `http_server.serve` reads requests off sockets and calls a handler; `http_client` sends
+Flow: `http_server.serve` reads requests from sockets and calls a handler; `http_client` sends
 requests and returns responses. Header names are lower case throughout.
 """
 
@@ -21,14 +21,14 @@
 
 @attrs.frozen(kw_only=True)
 class HttpLimits:
-    """Bounds on what one peer can make this process hold.
+    """Limits on the resources that peers can occupy in this process.
 
     Attributes:
-        header_bytes: longest request line and headers together.
-        body_bytes: longest body.
-        read_timeout: seconds a peer may take to send one request once its first byte arrived.
-        idle_timeout: seconds a connection may stay open between requests.
-        connections: open connections of one server; one more is answered 503 and closed.
+        header_bytes: maximum size of request line and headers together.
+        body_bytes: maximum size of a body.
+        read_timeout: seconds for receiving one request after its first byte.
+        idle_timeout: seconds for which a connection may stay open between requests.
+        connections: open connections of one server; one more gets a 503 and is closed.
     """
 
     header_bytes: int = 16 * 1024
@@ -40,10 +40,10 @@
 
 @attrs.frozen(kw_only=True)
 class HttpRequest:
-    """One request, read whole. `path` has no query; `query` holds the decoded parameters.
+    """One complete request. `path` has no query; `query` holds the decoded parameters.
 
-    Where a server reads requests raw, to pass them on, nothing is decoded: `target` is the request
-    target as it came, `raw_headers` are all headers in order, `path` and `headers` stay empty.
+    A server that forwards requests reads them undecoded: `target` is the request target as
+    received, `raw_headers` are all headers in order, `path` and `headers` stay empty.
     """
 
     method: str
@@ -54,14 +54,14 @@
     target: str = ""
     raw_headers: tuple[tuple[bytes, bytes], ...] = ()
     is_first: bool = True
-    """Whether it is the first request of its connection."""
+    """Whether this is the first request of its connection."""
 
 
 @attrs.frozen(kw_only=True)
 class HttpResponse:
-    """One response. `close` asks the server to close the connection after it.
+    """One response. `close` makes the server close the connection after it.
 
-    `raw_headers` are written as they are, before `headers`.
+    `raw_headers` are written unchanged, before `headers`.
     """
 
     status: int
@@ -75,5 +75,5 @@
 
 
 def json_response(status: int, body: bytes, *, close: bool = False) -> HttpResponse:
-    """Return a response that carries JSON text."""
+    """Return a response with a JSON body."""
     return HttpResponse(status=status, body=body, headers={"content-type": JSON_TYPE}, close=close)
--- a/libs/wire/berylspindle_wire/http_client.py
+++ b/libs/wire/berylspindle_wire/http_client.py
@@ -2,13 +2,13 @@
 
 Terms:
   failure phase   how far a request got before it failed: NOT_SENT, SENT or BAD_REPLY; it decides
-                  whether "not run" may be said and whether a retry is safe
+                  whether "not run" may be reported and whether a retry is safe
   progress        any byte of the reply
-  reusable        a connection with no reply outstanding, no failure and no wish to close
+  reusable        a connection without an outstanding reply, a failure or a pending close
 
 Flow: `connect` opens a socket; `request` writes one request and waits until `data_received` has
-completed the reply. Whatever goes wrong closes the connection, so that a late reply to one request
-can never be read as the reply to another.
+completed the reply. Any failure closes the connection, so that a late reply to one request can
+never be read as the reply to another.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 
 from berylspindle_wire.http import HttpLimits, HttpRequest, HttpResponse
 from berylspindle_wire.http_head import HEAD_END, framing_fault
-from berylspindle_wire.sockets import has_ended, watch_path
+from berylspindle_wire.sockets import enable_dead_path_detection, peer_has_closed
 
-_MOST_INFORMATIONAL: Final = 8
+_MAX_INFORMATIONAL: Final = 8
 _PATH_SAFE: Final = "/:@!$&'()*+,;=~"
 
 
 class FailurePhase(enum.StrEnum):
     """How far a request got before it failed.
 
-    NOT_SENT: no byte of it was handed to the socket. SENT: bytes were written and no whole reply
-    came. BAD_REPLY: a reply came that is malformed or truncated.
+    NOT_SENT: no byte of it was written to the socket. SENT: bytes were written and no complete
+    reply was received. BAD_REPLY: the reply is malformed or truncated.
     """
 
     NOT_SENT = "not_sent"
@@ -42,11 +42,11 @@
 
 
 class HttpFailure(Exception):  # noqa: N818
-    """A request got no whole reply.
+    """A request got no complete reply.
 
-    `timed_out` marks a request that was sent and given up when its time was over, though nothing
-    was reset: no evidence that it harmed the server. `silent` marks, of those, one given up by
-    `progress_timeout` before any byte of the reply came.
+    `timed_out` marks a request that was sent and timed out without a connection reset, which is no
+    evidence that it harmed the server. `silent` marks a timed-out request that exceeded
+    `progress_timeout` before any byte of the reply was received.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One client connection; made by `connect`."""
+    """One client connection, created by `connect`."""
 
     def __init__(self, host_header: str, limits: HttpLimits) -> None:
         self._host_header = host_header
@@ -75,7 +75,7 @@
         self._informational = 0
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._progress = 0
+        self._received_chunks = 0
         self._lost = False
         self._closed: Final[asyncio.Future[None]] = self._loop.create_future()
         self._last_success = self._loop.time()
@@ -83,22 +83,22 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Tell whether another request may be sent on this connection."""
+        """Return whether another request may be sent on this connection."""
         return not self._lost and self._reply is None and not self._transport.is_closing()
 
     @property
     def last_success(self) -> float:
-        """Return the loop's time of the last whole reply, or of the connect before any."""
+        """Return the loop time of the last complete reply, or of the connect before any."""
         return self._last_success
 
     @property
     def requests(self) -> int:
-        """Return how many requests were sent on this connection."""
+        """Return the number of requests sent on this connection."""
         return self._requests
 
     def peer_has_ended(self) -> bool:
-        """Ask the kernel whether the peer has ended the connection, though nobody looked yet."""
-        return has_ended(self._transport.get_extra_info("socket"))
+        """Ask the kernel whether the peer has closed the connection, even if not yet read."""
+        return peer_has_closed(self._transport.get_extra_info("socket"))
 
     async def request(
         self,
@@ -108,15 +108,15 @@
         progress_timeout: float | None = None,
         cancel_wait: float = 0.0,
     ) -> HttpResponse:
-        """Send one request and return the whole reply.
+        """Send one request and return the complete reply; raise HttpFailure.
 
-        All times are in seconds; `progress_timeout` bounds the wait for the next byte of the
-        reply. Raises HttpFailure. Cancelling this closes the socket, which is how work is
-        cancelled at a backend server; with `cancel_wait` it waits as long at most until the peer
-        has closed its side, and so has ended the work.
+        All times are in seconds; `progress_timeout` limits the wait for the next byte of the
+        reply. Cancelling this coroutine closes the socket, which cancels the work at a backend
+        server. With `cancel_wait`, it then waits up to that time for the peer to close its side,
+        which shows that the work has ended.
         """
         if not self.is_reusable:
-            raise HttpFailure(FailurePhase.NOT_SENT, "the connection is closed")
+            raise HttpFailure(FailurePhase.NOT_SENT, "connection is closed")
         try:
             data = self._encode(request)
         except h11.LocalProtocolError as error:
@@ -124,9 +124,13 @@
             raise HttpFailure(FailurePhase.NOT_SENT, str(error)) from error
         reply: asyncio.Future[HttpResponse] = self._loop.create_future()
         self._reply = reply
-        timers = [self._loop.call_later(timeout, self._time_out, "no whole reply in time")]
+        timers = [
+            self._loop.call_later(
+                timeout, self._fail_timed_out, "no complete reply within the timeout"
+            )
+        ]
         if progress_timeout is not None:
-            self._watch(timers, progress_timeout, 0)
+            self._schedule_progress_check(timers, progress_timeout, 0)
         self._requests += 1
         self._transport.write(data)
         try:
@@ -143,20 +147,20 @@
                 self._transport.abort()
 
     def close(self) -> None:
-        """Close the socket; a reply that is outstanding fails."""
+        """Close the socket; an outstanding reply fails."""
         self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and have the kernel watch for a silent path."""
+        """Store the transport and enable kernel detection of a dead path."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_path(transport.get_extra_info("socket"))
+        enable_dead_path_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse part of the reply; bytes that nobody asked for close the connection."""
+        """Parse part of the reply; unsolicited bytes close the connection."""
         if self._reply is None or self._reply.done():
             self._transport.abort()
             return
-        self._progress += 1
+        self._received_chunks += 1
         try:
             if not self._head_checked:
                 self._check_head(data)
@@ -166,21 +170,21 @@
             self._fail(FailurePhase.BAD_REPLY, str(error))
 
     def eof_received(self) -> bool:
-        """Fail the reply that is outstanding; its kind depends on what had come of it."""
-        if self._progress:
-            self._fail(FailurePhase.BAD_REPLY, "the reply ended early")
+        """Fail the outstanding reply: BAD_REPLY if part of it was received, else SENT."""
+        if self._received_chunks:
+            self._fail(FailurePhase.BAD_REPLY, "reply truncated")
         else:
-            self._fail(FailurePhase.SENT, "the peer closed the connection")
+            self._fail(FailurePhase.SENT, "peer closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the reply that is outstanding."""
+        """Fail the outstanding reply."""
         self._lost = True
         self._closed.set_result(None)
-        self._fail(FailurePhase.SENT, "the connection was reset" if exc else "it was closed")
+        self._fail(FailurePhase.SENT, "connection reset" if exc else "connection closed")
 
     async def _half_close(self, wait: float) -> None:
-        """Close this side, and wait at most `wait` seconds until the peer has closed its own."""
+        """Close this side and wait up to `wait` seconds for the peer to close its own."""
         if not self._transport.can_write_eof() or self._transport.is_closing():
             return
         self._transport.write_eof()
@@ -195,19 +199,19 @@
             headers.insert(0, ("host", self._host_header))
         if request.body or request.method in ("POST", "PUT", "PATCH"):
             headers.append(("content-length", str(len(request.body))))
-        start = h11.Request(method=request.method, target=target, headers=headers)
-        data = self._parser.send(start)
+        head = h11.Request(method=request.method, target=target, headers=headers)
+        data = self._parser.send(head)
         if request.body:
             data += self._parser.send(h11.Data(data=request.body))
         return data + self._parser.send(h11.EndOfMessage())
 
     def _check_head(self, data: bytes) -> None:
-        """Refuse a reply whose boundary can be read in two ways."""
+        """Reject a reply whose message boundary is ambiguous."""
         self._raw_head += data
         end = self._raw_head.find(HEAD_END)
         if end < 0:
             if len(self._raw_head) > self._limits.header_bytes:
-                raise h11.RemoteProtocolError("the headers are larger than the limit")
+                raise h11.RemoteProtocolError("headers exceed the size limit")
             return
         fault = framing_fault(bytes(self._raw_head[: end + len(HEAD_END)]))
         if fault is not None:
@@ -230,25 +234,25 @@
                 self._complete()
                 return
             else:
-                raise h11.RemoteProtocolError("unexpected end of the reply")
+                raise h11.RemoteProtocolError("unexpected end of reply")
 
     def _skip_informational(self) -> None:
         self._head_checked = False
         self._check_head(self._parser.trailing_data[0])
         self._informational += 1
-        if self._informational > _MOST_INFORMATIONAL:
+        if self._informational > _MAX_INFORMATIONAL:
             raise h11.RemoteProtocolError("too many informational responses")
 
     def _add_body(self, part: bytes) -> None:
         self._body.append(part)
         self._body_bytes += len(part)
         if self._body_bytes > self._limits.body_bytes:
-            raise h11.RemoteProtocolError("the body is larger than the limit")
+            raise h11.RemoteProtocolError("reply body exceeds the size limit")
 
     def _complete(self) -> None:
         assert self._head is not None
         if self._parser.trailing_data[0]:
-            raise h11.RemoteProtocolError("more bytes than the reply holds")
+            raise h11.RemoteProtocolError("unexpected bytes after the reply")
         headers: dict[str, str] = {}
         for raw_name, raw_value in self._head.headers:
             name, value = raw_name.decode("latin-1"), raw_value.decode("latin-1")
@@ -259,43 +263,53 @@
             headers=headers,
             close=self._parser.their_state is not h11.DONE,
         )
-        self._renew()
+        self._prepare_next_request()
         reply, self._reply = self._reply, None
         if reply is not None and not reply.done():
             reply.set_result(response)
 
-    def _renew(self) -> None:
-        """Get ready for a next request, or close where the peer wants to."""
+    def _prepare_next_request(self) -> None:
+        """Prepare for the next request, or close if the peer requires it."""
         self._last_success = self._loop.time()
         self._head = None
         self._head_checked = False
         self._informational = 0
         self._body = []
         self._body_bytes = 0
-        self._progress = 0
+        self._received_chunks = 0
         if self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE:
             self._parser.start_next_cycle()
         else:
             self._transport.close()
 
-    def _watch(self, timers: list[asyncio.TimerHandle], bound: float, seen: int) -> None:
-        """Fail the reply if no byte of it has come within `bound` seconds, again and again."""
-        timers[1:] = [self._loop.call_later(bound, self._check_progress, timers, bound, seen)]
+    def _schedule_progress_check(
+        self, timers: list[asyncio.TimerHandle], interval: float, seen_chunks: int
+    ) -> None:
+        """Fail the reply once `interval` seconds pass without a byte of it."""
+        timers[1:] = [
+            self._loop.call_later(interval, self._check_progress, timers, interval, seen_chunks)
+        ]
 
-    def _check_progress(self, timers: list[asyncio.TimerHandle], bound: float, seen: int) -> None:
-        if self._progress == seen:
-            self._time_out("no byte of the reply came in time", silent=seen == 0)
+    def _check_progress(
+        self, timers: list[asyncio.TimerHandle], interval: float, seen_chunks: int
+    ) -> None:
+        if self._received_chunks == seen_chunks:
+            self._fail_timed_out(
+                "no byte of the reply within the progress timeout", silent=seen_chunks == 0
+            )
         else:
-            self._watch(timers, bound, self._progress)
+            self._schedule_progress_check(timers, interval, self._received_chunks)
 
-    def _time_out(self, detail: str, *, silent: bool = False) -> None:
-        self._end(HttpFailure(FailurePhase.SENT, detail, timed_out=True, silent=silent))
+    def _fail_timed_out(self, detail: str, *, silent: bool = False) -> None:
+        self._fail_outstanding(
+            HttpFailure(FailurePhase.SENT, detail, timed_out=True, silent=silent)
+        )
 
     def _fail(self, phase: FailurePhase, detail: str) -> None:
-        self._end(HttpFailure(phase, detail))
+        self._fail_outstanding(HttpFailure(phase, detail))
 
-    def _end(self, failure: HttpFailure) -> None:
-        """Fail the reply that is outstanding, if one is, and close the connection."""
+    def _fail_outstanding(self, failure: HttpFailure) -> None:
+        """Fail the outstanding reply, if any, and close the connection."""
         reply = self._reply
         if reply is not None and not reply.done():
             reply.set_exception(failure)
@@ -312,7 +326,7 @@
 ) -> HttpConnection:
     """Open a connection within `timeout` seconds.
 
-    Raises HttpFailure with NOT_SENT where it is refused, unreachable or too slow.
+    Raise HttpFailure with NOT_SENT if the address refuses, is unreachable or times out.
     """
     loop = asyncio.get_running_loop()
     host_header = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -326,7 +340,7 @@
                 server_hostname=host if tls is not None else None,
             )
     except TimeoutError as error:
-        raise HttpFailure(FailurePhase.NOT_SENT, "the connect timed out") from error
+        raise HttpFailure(FailurePhase.NOT_SENT, "connect timed out") from error
     except OSError as error:
-        raise HttpFailure(FailurePhase.NOT_SENT, f"the connect failed: {error}") from error
+        raise HttpFailure(FailurePhase.NOT_SENT, f"connect failed: {error}") from error
     return connection
--- a/libs/wire/berylspindle_wire/http_errors.py
+++ b/libs/wire/berylspindle_wire/http_errors.py
@@ -1,10 +1,10 @@
-"""The one place where a refusal becomes an HTTP response.
+"""Conversion of refusals to HTTP responses.
 
 Terms:
-  refusal   the outcome of a request that got no answer, of one of the closed error kinds
+  refusal   the outcome of a request that got no answer, with a kind from the closed `ErrorKind`
 
 Flow: the HTTP server, the data plane and the operators' interface all call `refusal_response`, so
-that a caller reads every error in the same shape, whichever part gave the request up.
+that a caller gets every error in the same format, whichever component failed the request.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str = "") -> HttpResponse:
-    """Return the response that tells a caller of a refusal.
+    """Return the error response for a refusal.
 
-    The `retry-after` header carries whole seconds, rounded up, since HTTP knows no smaller unit;
-    the body's `retry_after_ms` is exact. `request_id` is echoed as a header and in the body where
-    it is given, so that a caller's log holds what the time line can be searched for.
+    The `retry-after` header carries whole seconds, rounded up, since HTTP has no smaller unit; the
+    body's `retry_after_ms` is exact. `request_id`, if given, is echoed as a header and in the body,
+    so that a caller's log holds the id by which the time line can be searched.
     """
     answer = ANSWERS[refusal.kind]
     retry_after_ms = refusal.retry_after
--- a/libs/wire/berylspindle_wire/http_head.py
+++ b/libs/wire/berylspindle_wire/http_head.py
@@ -1,15 +1,15 @@
-"""Check the head of an HTTP/1.1 message and turn a request's head into typed values.
+"""Validate the head of an HTTP/1.1 message and decode a request's head.
 
 Terms:
   head       start line and headers, up to the empty line
   obs-fold   a header continued on a line that starts with a space, obsolete since RFC 7230
-  smuggling  two programs on one path read different message boundaries out of the same bytes, so
+  smuggling  two programs on one path read different message boundaries from the same bytes, so
              that the tail of one caller's request is taken for the start of another's
 
-Flow: the server checks each head here before h11 parses it. h11 is lenient where RFC 9112 allows
-it: it unfolds obs-fold, takes a bare LF for a line end, and merges equal Content-Length headers.
-Any of these is a place where a balancer in front may have read another boundary, hence all are
-refused. The client checks replies in the same way.
+Flow: the server validates each head before h11 parses it. h11 is lenient where RFC 9112 allows
+it: it unfolds obs-fold, accepts a bare LF as line end, and merges equal Content-Length headers. In
+each of these cases a load balancer in front may have read another boundary, so all are rejected.
+The client validates replies in the same way.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 HEAD_END: Final = b"\r\n\r\n"
 
-_ILLEGAL: Final = re.compile(
-    rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]"  # Control characters, NUL among them.
+_ILLEGAL_BYTES: Final = re.compile(
+    rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]"  # Control characters, including NUL.
     rb"|(?<!\r)\n"  # A bare LF.
-    rb"|\r(?!\n|\Z)"  # A bare CR; one at the very end may still get its LF.
+    rb"|\r(?!\n|\Z)"  # A bare CR; the LF of one at the very end may still follow.
     rb"|\n[ \t]"  # An obs-fold.
 )
-_SINGLE: Final = (b"\r\nhost:", b"\r\ncontent-length:", b"\r\ntransfer-encoding:")
-_LENGTH: Final = re.compile(rb"\r\ncontent-length:[ \t]*([^\r]*?)[ \t]*\r")
+_SINGLETON_HEADERS: Final = (b"\r\nhost:", b"\r\ncontent-length:", b"\r\ntransfer-encoding:")
+_CONTENT_LENGTH: Final = re.compile(rb"\r\ncontent-length:[ \t]*([^\r]*?)[ \t]*\r")
 _BAD_ESCAPE: Final = re.compile(r"%(?![0-9A-Fa-f]{2})")
 
 
 class RequestFault(Exception):  # noqa: N818
-    """Carry the refusal of a request that could not be read."""
+    """A request that could not be read, with its refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -45,29 +45,29 @@
 
 
 def bad_request(detail: str) -> RequestFault:
-    """Return the fault of a malformed request."""
+    """Return the exception for a malformed request."""
     return RequestFault(Refusal(ErrorKind.BAD_REQUEST, detail))
 
 
 def illegal_bytes(head: bytes | bytearray) -> bool:
-    """Tell whether a head, or the part of it received so far, can no longer become a legal one."""
-    return _ILLEGAL.search(head) is not None
+    """Return whether a head, or the part of it received so far, contains illegal bytes."""
+    return _ILLEGAL_BYTES.search(head) is not None
 
 
 def framing_fault(head: bytes) -> str | None:
-    """Return what makes the message's boundary ambiguous in a whole head, or None."""
+    """Return what makes the message boundary ambiguous in a complete head, or None."""
     if illegal_bytes(head):
         return "illegal character, bare line end or folded header"
-    lowered = head.lower()
-    for name in _SINGLE:
-        if lowered.count(name) > 1:
+    lowercase_head = head.lower()
+    for name in _SINGLETON_HEADERS:
+        if lowercase_head.count(name) > 1:
             return f"more than one {name[2:-1].decode()} header"
-    length = _LENGTH.search(lowered)
-    if length is None:
+    content_length = _CONTENT_LENGTH.search(lowercase_head)
+    if content_length is None:
         return None
-    if not length[1].isdigit():
-        return "content-length is no number"
-    if _SINGLE[2] in lowered:
+    if not content_length[1].isdigit():
+        return "content-length is not a number"
+    if _SINGLETON_HEADERS[2] in lowercase_head:
         return "both content-length and transfer-encoding"
     return None
 
@@ -75,17 +75,17 @@
 def read_head(event: h11.Request) -> HttpRequest:
     """Return the typed request, without its body, for a parsed head.
 
-    Headers that come several times are joined by a comma. Raises RequestFault where the target
-    doesn't decode to one meaning, as with a query parameter given twice.
+    Repeated headers are joined by a comma. Raise RequestFault if the target is invalid or
+    ambiguous, such as a duplicate query parameter.
     """
     if event.http_version not in (b"1.0", b"1.1"):
-        raise bad_request("unknown version of HTTP")
+        raise bad_request("unsupported HTTP version")
     headers: dict[str, str] = {}
     for raw_name, raw_value in event.headers:
         name, value = raw_name.decode("latin-1"), raw_value.decode("latin-1")
         headers[name] = f"{headers[name]}, {value}" if name in headers else value
     if event.http_version == b"1.0" and "transfer-encoding" in headers:
-        raise bad_request("transfer-encoding in HTTP/1.0")
+        raise bad_request("transfer-encoding in an HTTP/1.0 request")
     target = event.target.decode("latin-1")
     if not target.startswith("/"):
         target = _origin_form(target, headers.get("host", ""))
@@ -99,7 +99,7 @@
 
 
 def read_raw_head(event: h11.Request) -> HttpRequest:
-    """Return a request that is to be passed on: nothing of it is decoded, joined or refused."""
+    """Return a request to forward: nothing in it is decoded, joined or rejected."""
     return HttpRequest(
         method=event.method.decode("latin-1"),
         path="",
@@ -109,12 +109,12 @@
 
 
 def _origin_form(target: str, host: str) -> str:
-    """Return path and query of a target that isn't in origin form ("*" or a whole URL)."""
+    """Return the path and query of a target not in origin form ("*" or an absolute URL)."""
     if target == "*":
         return target
     parts = urlsplit(target)
     if parts.scheme not in ("http", "https") or parts.netloc != host:
-        raise bad_request("the target is neither a path nor a URL of this host")
+        raise bad_request("target is neither a path nor a URL of this host")
     return f"{parts.path or '/'}?{parts.query}" if parts.query else parts.path or "/"
 
 
@@ -122,24 +122,24 @@
     if "%" not in text:
         return text
     if _BAD_ESCAPE.search(text):
-        raise bad_request("bad percent escape")
+        raise bad_request("invalid percent escape")
     try:
         decoded = unquote(text, errors="strict")
     except UnicodeDecodeError as error:
-        raise bad_request("the target is no UTF-8") from error
+        raise bad_request("target is not valid UTF-8") from error
     if "\0" in decoded:
-        raise bad_request("NUL in the target")
+        raise bad_request("NUL in target")
     return decoded
 
 
 def _read_query(query: str) -> dict[str, str]:
     if _BAD_ESCAPE.search(query):
-        raise bad_request("bad percent escape")
+        raise bad_request("invalid percent escape")
     try:
         pairs = parse_qsl(query, keep_blank_values=True, errors="strict")
     except ValueError as error:
-        raise bad_request("the query does not decode") from error
+        raise bad_request("query cannot be decoded") from error
     parameters = dict(pairs)
     if len(parameters) != len(pairs):
-        raise bad_request("a query parameter is given twice")
+        raise bad_request("duplicate query parameter")
     return parameters
--- a/libs/wire/berylspindle_wire/http_pool.py
+++ b/libs/wire/berylspindle_wire/http_pool.py
@@ -1,22 +1,23 @@
-"""Keep connections to one backend server: bounded, ready before they are needed, and trusted.
+"""Connection pool for one backend server, with spare connections and probes of idle ones.
 
 Terms:
-  spare      idle connections kept ready, so that no request pays for a connect (about 6 ms)
-  silent     a connection on which nothing is reset and nothing is ever answered, because
-             something between the two ends has lost track of it
-  trusted    an idle connection that has carried a reply not longer ago than `idle_probe_after`
-
-Flow: `request` takes the most recently used idle connection, else joins a first-in first-out queue
-that returned and newly opened connections serve. All connects are tasks of the pool, so that a
-cancelled request wastes none. The keeper task opens spares and looks after idle connections.
-
-Silent connections are weighed thus. A probe (GET /health) of an untrusted idle connection costs the
-backend server one cheap request and refreshes what middleboxes know of it; a new connection costs
-the server and the pool a connect. Hence up to `spare` untrusted connections are probed, in the
-background and out of the pool meanwhile, and the rest are closed: those were opened for a
-burst that is over. No request ever waits for a probe. A connection that goes silent within its
-trusted time is caught by `progress_timeout`: then all idle connections whose last success is not
-younger are dropped too, since whatever forgot the one has probably forgotten them.
+  spare      idle connections kept open in advance, so that no request waits for a connect (about
+             6 ms)
+  silent     a connection on which nothing is reset and nothing is answered, because a middlebox
+             between the two ends has dropped its state
+  trusted    an idle connection whose last reply is at most `idle_probe_after` seconds old
+
+Flow: `request` takes the most recently used idle connection, else joins a FIFO queue that returned
+and newly opened connections serve. All connects are tasks of the pool, so that a cancelled request
+wastes none. The maintenance task opens spares and checks idle connections.
+
+A probe (GET /health) of an idle connection costs the backend server one cheap request and refreshes
+the state of middleboxes; a new connection costs the server and the pool a connect. Hence up to
+`spare` connections are probed before they stop being trusted, in the background and outside the
+pool; the rest, opened for an earlier burst, are closed. No request waits for a probe. A trusted
+connection that goes silent is detected by `progress_timeout`. All idle connections whose last
+success is not more recent are then closed too, since the middlebox has probably dropped their state
+as well.
 """
 
 from __future__ import annotations
@@ -31,25 +32,25 @@
 from berylspindle_wire.http_client import FailurePhase, HttpConnection, HttpFailure, connect
 
 PROBE_PATH: Final = "/health"
-MAX_IDLE_AGE: Final = 45.0
+MAX_IDLE_AGE_S: Final = 45.0
 """Seconds after which an idle connection is closed: below the 60 s after which common servers close
-theirs, so that a request seldom meets a connection that its server is just closing."""
+theirs, so that a request rarely uses a connection that its server is closing."""
 
-_NEW_FOR: Final = 1.0
-"""Seconds for which a connection without a request yet counts as new rather than as reused."""
+_NEW_CONNECTION_S: Final = 1.0
+"""Seconds for which a connection that has carried no request counts as new, not reused."""
 
-_FIRST_BACKOFF: Final = 0.1
-_LAST_BACKOFF: Final = 5.0
+_INITIAL_BACKOFF_S: Final = 0.1
+_MAX_BACKOFF_S: Final = 5.0
 
 OnEvent = Callable[[str], None]
 
 
 def _ignore(_: str) -> None:
-    """Drop an event; the default where no hook is given."""
+    """Ignore an event; the default hook."""
 
 
 class ConnectionPool:
-    """Connections to one backend server, never more than `limit`, those being opened included.
+    """Connections to one backend server, at most `limit` including those being opened.
 
     `on_event` is called with one of: "opened", "connect_failed", "silent", "dropped", "probed",
     "probe_failed", "expired". Times are in seconds. `close` ends the pool's tasks.
@@ -65,7 +66,7 @@
         connect_timeout: float,
         idle_probe_after: float,
         on_event: OnEvent = _ignore,
-        max_idle_age: float = MAX_IDLE_AGE,
+        max_idle_age: float = MAX_IDLE_AGE_S,
         limits: HttpLimits = HttpLimits(),  # noqa: B008
         tls: ssl.SSLContext | None = None,
     ) -> None:
@@ -85,19 +86,19 @@
         self._opening = 0
         self._waiters: deque[asyncio.Future[HttpConnection]] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._failures = 0
-        self._connect_not_before = 0.0
+        self._connect_failures = 0
+        self._next_spare_connect = 0.0
         self._closed = False
-        self._keeper = self._loop.create_task(self._keep())
+        self._maintenance_task = self._loop.create_task(self._maintain())
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections are open or being opened."""
+        """Return the number of connections open or being opened."""
         return len(self._idle) + len(self._busy) + len(self._probing) + self._opening
 
     @property
     def idle_connections(self) -> int:
-        """Return how many connections are ready for a request."""
+        """Return the number of idle connections."""
         return len(self._idle)
 
     async def request(
@@ -108,16 +109,15 @@
         progress_timeout: float | None = None,
         cancel_wait: float = 0.0,
     ) -> HttpResponse:
-        """Send one request and return the reply; retry nothing.
+        """Send one request and return the reply; raise HttpFailure. Nothing is retried.
 
-        `progress_timeout` applies to a reused connection only: on a new one, silence is the
-        backend server's own. `cancel_wait` is that of `HttpConnection.request`. Raises
-        HttpFailure; it is for the caller to decide on a retry.
+        `progress_timeout` applies to a reused connection only: on a new one, the backend server
+        itself must be slow. `cancel_wait` is as in `HttpConnection.request`.
         """
         deadline = self._loop.time() + timeout
-        connection = await self._take(timeout)
+        connection = await self._acquire(timeout)
         age = self._loop.time() - connection.last_success
-        reused = connection.requests > 0 or age > _NEW_FOR
+        reused = connection.requests > 0 or age > _NEW_CONNECTION_S
         try:
             return await connection.request(
                 request,
@@ -127,16 +127,16 @@
             )
         except HttpFailure as failure:
             if failure.silent:
-                self._drop_older(connection)
+                self._drop_stale(connection)
             raise
         finally:
             self._busy.discard(connection)
-            self._give(connection)
+            self._release(connection)
 
     async def close(self) -> None:
-        """Close all connections; requests in flight and waiting fail."""
+        """Close all connections; requests in flight or waiting fail."""
         self._closed = True
-        tasks = [self._keeper, *self._tasks]
+        tasks = [self._maintenance_task, *self._tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -144,11 +144,11 @@
             connection.close()
         self._idle.clear()
         while self._waiters:
-            _fail(self._waiters.popleft(), "the pool is closed")
+            _fail(self._waiters.popleft(), "pool is closed")
 
-    async def _take(self, timeout: float) -> HttpConnection:
+    async def _acquire(self, timeout: float) -> HttpConnection:
         if self._closed:
-            raise HttpFailure(FailurePhase.NOT_SENT, "the pool is closed")
+            raise HttpFailure(FailurePhase.NOT_SENT, "pool is closed")
         oldest_trusted = self._loop.time() - self._idle_probe_after
         while self._idle and not self._waiters:
             if self._idle[-1].last_success < oldest_trusted:
@@ -160,36 +160,38 @@
                 connection.close()
                 continue
             self._busy.add(connection)
-            self._open_needed()
+            self._open_missing()
             return connection
         return await self._wait_for_connection(timeout)
 
     async def _wait_for_connection(self, timeout: float) -> HttpConnection:
         waiter: asyncio.Future[HttpConnection] = self._loop.create_future()
         self._waiters.append(waiter)
-        self._look_after_idle()
-        self._open_needed()
-        timer = self._loop.call_later(timeout, _fail, waiter, "no connection in time")
+        self._check_idle()
+        self._open_missing()
+        timer = self._loop.call_later(
+            timeout, _fail, waiter, "no pooled connection within the timeout"
+        )
         try:
             return await waiter
         except asyncio.CancelledError:
-            # A connection may have been handed over in the same turn of the loop; it goes back.
+            # A connection may have been assigned in the same loop iteration; return it.
             if waiter.done() and not waiter.cancelled() and waiter.exception() is None:
                 self._busy.discard(waiter.result())
-                self._give(waiter.result())
+                self._release(waiter.result())
             raise
         finally:
             timer.cancel()
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def _give(self, connection: HttpConnection) -> None:
-        """Hand a connection to the first in the queue, or keep it as the most recent idle one."""
+    def _release(self, connection: HttpConnection) -> None:
+        """Assign a connection to the first waiting request, or add it to the idle ones."""
         if self._closed:
             connection.close()
             return
         if not connection.is_reusable:
-            self._open_needed()
+            self._open_missing()
             return
         while self._waiters:
             waiter = self._waiters.popleft()
@@ -199,22 +201,22 @@
                 return
         self._idle.append(connection)
 
-    def _open_needed(self) -> None:
-        """Start as many connects as waiting requests and spares ask for, within the limit."""
+    def _open_missing(self) -> None:
+        """Start the connects needed for waiting requests and spares, within the limit."""
         if self._closed:
             return
-        wanted = len(self._waiters) - self._opening
-        if wanted > 0 and self._probing and self.open_connections >= self._limit:
-            # A request must not wait for a probe: its connection makes room for a new one.
+        needed = len(self._waiters) - self._opening
+        if needed > 0 and self._probing and self.open_connections >= self._limit:
+            # A request must not wait for a probe: close the probed connection to make room.
             next(iter(self._probing)).close()
-        if self._loop.time() >= self._connect_not_before:
-            wanted += self._spare - len(self._idle) - len(self._probing)
-        for _ in range(min(wanted, self._limit - self.open_connections)):
+        if self._loop.time() >= self._next_spare_connect:
+            needed += self._spare - len(self._idle) - len(self._probing)
+        for _ in range(min(needed, self._limit - self.open_connections)):
             self._opening += 1
-            self._start(self._open())
+            self._start_task(self._open())
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self._loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -225,32 +227,32 @@
             )
         except HttpFailure as failure:
             self._opening -= 1
-            self._on_connect_failed(failure)
+            self._handle_connect_failure(failure)
         except BaseException:
             self._opening -= 1
             raise
         else:
             self._opening -= 1
-            self._failures = 0
-            self._connect_not_before = 0.0
+            self._connect_failures = 0
+            self._next_spare_connect = 0.0
             self._on_event("opened")
-            self._give(connection)
+            self._release(connection)
 
-    def _on_connect_failed(self, failure: HttpFailure) -> None:
-        """Fail the first waiting request; put spare connects off for a growing while."""
+    def _handle_connect_failure(self, failure: HttpFailure) -> None:
+        """Fail the first waiting request; delay spare connects with exponential backoff."""
         self._on_event("connect_failed")
-        backoff = min(_LAST_BACKOFF, _FIRST_BACKOFF * 2.0**self._failures)
-        self._failures = min(self._failures + 1, 16)
-        self._connect_not_before = self._loop.time() + backoff
+        backoff = min(_MAX_BACKOFF_S, _INITIAL_BACKOFF_S * 2.0**self._connect_failures)
+        self._connect_failures = min(self._connect_failures + 1, 16)
+        self._next_spare_connect = self._loop.time() + backoff
         while self._waiters:
             waiter = self._waiters.popleft()
             if not waiter.done():
                 _fail(waiter, failure.detail)
                 break
-        self._open_needed()
+        self._open_missing()
 
-    def _drop_older(self, silent: HttpConnection) -> None:
-        """Close the idle connections that probably went silent with this one."""
+    def _drop_stale(self, silent: HttpConnection) -> None:
+        """Close the idle connections that have probably gone silent too."""
         self._on_event("silent")
         for connection in tuple(self._idle):
             if connection.last_success <= silent.last_success:
@@ -258,14 +260,14 @@
                 connection.close()
                 self._on_event("dropped")
 
-    async def _keep(self) -> None:
-        pause = min(1.0, self._idle_probe_after / 4, self._max_idle_age / 4)
+    async def _maintain(self) -> None:
+        interval = min(1.0, self._idle_probe_after / 4, self._max_idle_age / 4)
         while True:
-            self._look_after_idle()
-            self._open_needed()
-            await asyncio.sleep(pause)
+            self._check_idle()
+            self._open_missing()
+            await asyncio.sleep(interval)
 
-    def _look_after_idle(self) -> None:
+    def _check_idle(self) -> None:
         now = self._loop.time()
         kept: list[HttpConnection] = []
         for connection in self._idle:
@@ -276,7 +278,7 @@
                 kept.append(connection)
             elif len(self._probing) < self._spare:
                 self._probing.add(connection)
-                self._start(self._probe(connection))
+                self._start_task(self._probe(connection))
             else:
                 self._on_event("expired")
                 connection.close()
@@ -291,7 +293,7 @@
             self._on_event("probe_failed")
         finally:
             self._probing.discard(connection)
-        self._give(connection)
+        self._release(connection)
 
 
 def _fail(waiter: asyncio.Future[HttpConnection], detail: str) -> None:
--- a/libs/wire/berylspindle_wire/owner_link.py
+++ b/libs/wire/berylspindle_wire/owner_link.py
@@ -1,12 +1,12 @@
-"""One link as the owner serves it: frames in, batches run as tasks, replies out.
+"""The owner's end of one link: frames in, batches run as tasks, replies out.
 
 Terms:
   unanswered   an attempt whose batch is running and that was neither answered nor cancelled
 
-Flow: `serve` reads frames and starts one task a batch; a writer task sends all that became ready
-since its last frame as one frame. When the entry goes away, the batches' tasks are cancelled, since
-nobody waits for their replies. When the entry ends its side in order, all of them are answered
-first.
+Flow: `serve` reads frames and starts one task for each batch; a writer task sends everything that
+became ready since its last frame as one frame. If the link breaks, the tasks are cancelled, since
+their replies are no longer needed. If the entry ends its side of the stream in order, all batches
+are answered first.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 from berylspindle_model.messages import Attempt, AttemptBatch, AttemptReply
 from berylspindle_wire.peer_codec import FRAME_ITEMS, PeerFrame
 
-WRITE_TIMEOUT: Final = 5.0
-"""Seconds in which an entry must take a frame. Without a bound, an entry that has stopped reading
-makes its owners collect replies without end."""
+WRITE_TIMEOUT_S: Final = 5.0
+"""Seconds within which an entry must accept a frame. Without a timeout, replies for an entry that
+has stopped reading would accumulate without limit."""
 
 
 class BatchHandler(ABC):
-    """What an owner does with batches; the data plane implements it."""
+    """Interface for running batches at the owner; the data plane implements it."""
 
     @abstractmethod
     async def run(self, batch: AttemptBatch, reply: Callable[[AttemptReply], None]) -> None:
-        """Run a batch and call `reply` once for each attempt of it, in any order.
+        """Run a batch and call `reply` once for each of its attempts, in any order.
 
-        Attempts that have no reply when this returns are answered INTERNAL. Cancelled when the
-        entry goes away.
+        Attempts without a reply when this returns are answered INTERNAL. It is cancelled when the
+        entry disconnects.
         """
 
     @abstractmethod
     def cancel(self, attempts: Sequence[str]) -> None:
-        """Give up attempts; their replies are no longer sent."""
+        """Cancel attempts; their replies are no longer sent."""
 
 
 class OwnerLink:
-    """Serve one link."""
+    """The server side of one link."""
 
     def __init__(
         self,
@@ -65,12 +65,12 @@
         self._wake = asyncio.Event()
 
     def send_closing(self) -> None:
-        """Tell the entry to write no more work on this link and to end it."""
+        """Send `closing`: the entry submits no more work on this link and ends it."""
         self._closing = True
         self._wake.set()
 
     async def serve(self) -> None:
-        """Serve the link until the entry ends it; raise where it breaks or isn't read."""
+        """Serve the link until the entry ends it; raise if it breaks or a write times out."""
         await self._stream.send_initial_metadata()
         try:
             async with asyncio.TaskGroup() as group:
@@ -110,12 +110,12 @@
                 self._reply(_unanswered_reply(attempt))
 
     def _cancel(self, attempts: tuple[str, ...]) -> None:
-        known = [attempt for attempt in attempts if self._unanswered.pop(attempt, None)]
-        if known:
-            self._handler.cancel(known)
+        cancelled = [attempt for attempt in attempts if self._unanswered.pop(attempt, None)]
+        if cancelled:
+            self._handler.cancel(cancelled)
 
     def _reply(self, reply: AttemptReply) -> None:
-        """Queue a reply; a second one, or one for a cancelled attempt, is dropped."""
+        """Queue a reply; a duplicate, or one for a cancelled attempt, is dropped."""
         if self._unanswered.pop(reply.attempt, None) is None:
             return
         self._replies.append(reply)
@@ -127,13 +127,13 @@
             self._wake.clear()
             frame = self._next_frame()
             if frame is not None:
-                async with asyncio.timeout(WRITE_TIMEOUT):
+                async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await self._stream.send_message(frame)
             elif self._input_ended:
                 return
 
     def _next_frame(self) -> PeerFrame | None:
-        """Return all that is ready to be sent, or None."""
+        """Return a frame of all that is ready to send, or None."""
         closing = self._closing and not self._closing_sent
         if not (self._replies or closing or self._pong is not None):
             return None
@@ -142,7 +142,7 @@
         frame = PeerFrame(replies=replies, pong=self._pong, closing=closing)
         self._pong = None
         self._closing_sent = self._closing
-        self._wake.set()  # Comes round once more: for more replies, or for the end of the input.
+        self._wake.set()  # Check again for more replies or the end of the input.
         return frame
 
 
@@ -153,5 +153,5 @@
         shard=attempt.shard,
         error=ErrorKind.INTERNAL,
         run=RunState.MAY_HAVE_RUN,
-        detail="the owner gave no reply",
+        detail="batch handler returned without a reply",
     )
--- a/libs/wire/berylspindle_wire/peer_calls.py
+++ b/libs/wire/berylspindle_wire/peer_calls.py
@@ -1,8 +1,8 @@
-"""Control calls to peers, each one method from bytes to bytes.
+"""Control calls to peers; each is one method from bytes to bytes.
 
-Flow: one channel for each VM, apart from its link: a control call must not wait behind a large
-batch, and a call that times out closes its channel, which may have gone silent, without cutting
-searches.
+Flow: there is one channel for each VM, separate from its link: a control call must not wait behind
+a large batch, and a call that times out closes its channel, whose path may be dead, without
+aborting searches.
 """
 
 from __future__ import annotations
@@ -24,56 +24,56 @@
 
 
 @attrs.define
-class _Line:
-    """The channel to one VM, and when it was last used."""
+class _CachedChannel:
+    """The channel to one VM with its time of last use and number of calls in flight."""
 
     channel: Channel
-    used: float
-    calls: int = 0
+    last_used: float
+    in_flight: int = 0
 
 
 class PeerCalls:
-    """Make control calls; needs a running event loop when made."""
+    """Client for control calls; requires a running event loop when created."""
 
     def __init__(self, key: bytes | None, connect_timeout: float) -> None:
         self._key: Final = key
         self._connect_timeout: Final = connect_timeout
         self._loop = asyncio.get_running_loop()
-        self._lines: dict[tuple[str, int], _Line] = {}
+        self._channels: dict[tuple[str, int], _CachedChannel] = {}
 
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
-        """Make one call; see `PeerLinks.call` for what it raises."""
+        """Make one call; raise as described in `PeerLinks.call`."""
         address = (vm.host, vm.peer_port)
-        line = self._lines.get(address)
-        if line is None:
+        cached = self._channels.get(address)
+        if cached is None:
             channel = Channel(vm.host, vm.peer_port, codec=PeerCodec())
-            line = self._lines[address] = _Line(channel, 0.0)
-        line.used = self._loop.time()
-        line.calls += 1
+            cached = self._channels[address] = _CachedChannel(channel, 0.0)
+        cached.last_used = self._loop.time()
+        cached.in_flight += 1
         try:
-            return await self._call(line.channel, CONTROL_PATH + method, payload, timeout)
+            return await self._call(cached.channel, CONTROL_PATH + method, payload, timeout)
         except RefusalError as error:
             if error.refusal.kind in (ErrorKind.CONNECTION_LOST, ErrorKind.DEADLINE_EXCEEDED):
-                self._drop(address, line)
+                self._drop(address, cached)
             raise
         finally:
-            line.calls -= 1
+            cached.in_flight -= 1
 
-    def close_unused(self, now: float, bound: float) -> None:
-        """Close channels that have carried no call for `bound` seconds."""
-        for address, line in tuple(self._lines.items()):
-            if not line.calls and now - line.used > bound:
-                self._drop(address, line)
+    def close_unused(self, now: float, timeout: float) -> None:
+        """Close channels that have carried no call for `timeout` seconds."""
+        for address, cached in tuple(self._channels.items()):
+            if not cached.in_flight and now - cached.last_used > timeout:
+                self._drop(address, cached)
 
     def close(self) -> None:
-        """Close all channels; calls under way fail."""
-        for address, line in tuple(self._lines.items()):
-            self._drop(address, line)
+        """Close all channels; calls in flight fail."""
+        for address, cached in tuple(self._channels.items()):
+            self._drop(address, cached)
 
-    def _drop(self, address: tuple[str, int], line: _Line) -> None:
-        line.channel.close()
-        if self._lines.get(address) is line:
-            del self._lines[address]
+    def _drop(self, address: tuple[str, int], cached: _CachedChannel) -> None:
+        cached.channel.close()
+        if self._channels.get(address) is cached:
+            del self._channels[address]
 
     async def _call(self, channel: Channel, path: str, payload: bytes, timeout: float) -> bytes:
         unary = UnaryUnaryMethod[bytes, bytes](channel, path, bytes, bytes)
@@ -83,25 +83,27 @@
                 await channel.__connect__()
         except (OSError, TimeoutError) as error:
             raise refuse(
-                ErrorKind.CONNECTION_LOST, "the peer can't be reached", run=RunState.NOT_RUN
+                ErrorKind.CONNECTION_LOST, "peer is unreachable", run=RunState.NOT_RUN
             ) from error
         try:
             async with asyncio.timeout_at(deadline):
                 return await unary(payload, metadata=sign_call(self._key, path))
         except TimeoutError as error:
-            raise refuse(ErrorKind.DEADLINE_EXCEEDED, "the peer did not answer") from error
+            raise refuse(
+                ErrorKind.DEADLINE_EXCEEDED, "peer did not answer within the timeout"
+            ) from error
         except GRPCError as error:
             raise _refusal_of(error) from error
         except (OSError, StreamTerminatedError, ProtocolError) as error:
-            raise refuse(ErrorKind.CONNECTION_LOST, "the connection broke") from error
+            raise refuse(ErrorKind.CONNECTION_LOST, "connection lost during the call") from error
 
 
 def _refusal_of(error: GRPCError) -> RefusalError:
     if error.status is Status.UNAUTHENTICATED:
-        return refuse(ErrorKind.UNAUTHORISED, "the peer has another key")
+        return refuse(ErrorKind.UNAUTHORISED, "peer rejected the key")
     if error.status is Status.ABORTED and error.message:
         try:
             return RefusalError(from_json(error.message.encode(), Refusal))
         except msgspec.DecodeError:
             pass
-    return refuse(ErrorKind.CONNECTION_LOST, f"the peer answered {error.status.name}")
+    return refuse(ErrorKind.CONNECTION_LOST, f"peer answered {error.status.name}")
--- a/libs/wire/berylspindle_wire/peer_codec.py
+++ b/libs/wire/berylspindle_wire/peer_codec.py
@@ -1,12 +1,12 @@
-"""The frames between peers and the codec that carries them over grpclib.
+"""The frames between peers and their codec for grpclib.
 
 Terms:
   link    one long-lived bidirectional stream from an entry to an owner
-  frame   one message on a link, either way; all its members are optional
+  frame   one message on a link, in either direction; all its members are optional
 
-Flow: the entry writes batches, cancellations and pings; the owner writes replies, pongs and, when
-it is about to leave, `closing`. A frame carries all that became ready in one turn of the event
-loop, since a message over grpclib costs far more than one more reply in it.
+Flow: the entry writes batches, cancellations and pings; the owner writes replies, pongs and, before
+it shuts down, `closing`. A frame carries everything that became ready in one loop iteration, since
+a grpclib message costs far more than an additional reply in one.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 CONTROL_PATH: Final = "/berylspindle.Control/"
 
 FRAME_ITEMS: Final = 128
-"""Attempts or replies after which a frame is full. A frame is encoded and decoded in one go, during
-which its process does nothing else; one of 800 replies took 5 ms."""
+"""Maximum number of attempts or replies in a frame. Encoding and decoding a frame blocks the event
+loop; one of 800 replies takes 5 ms."""
 
 
 @attrs.frozen(kw_only=True)
@@ -33,11 +33,11 @@
 
     Attributes:
         batches: work for the owner.
-        replies: what became of attempts, at most one each.
-        cancel: ids of attempts whose replies nobody waits for any more.
-        ping: a number that the owner sends back at once.
-        pong: the number of a ping.
-        closing: the owner is leaving; the entry writes no more work on this link and ends it.
+        replies: results of attempts, at most one each.
+        cancel: ids of attempts whose replies are no longer needed.
+        ping: a number that the owner echoes at once.
+        pong: the number of the ping that is answered.
+        closing: the owner is shutting down; the entry submits no more work here and ends the link.
     """
 
     batches: tuple[AttemptBatch, ...] = ()
@@ -49,18 +49,18 @@
 
 
 class PeerCodec(CodecBase):
-    """MessagePack for typed messages; bytes pass unchanged, as the payloads of control calls do."""
+    """MessagePack for typed messages; bytes, the payloads of control calls, pass unchanged."""
 
     __content_subtype__ = "msgpack"
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the bytes of a message."""
+        """Return the encoded message."""
         if message_type is bytes:
             return bytes(message)
         return to_pack(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message; raises as `from_pack`."""
+        """Return the decoded message; raise as `from_pack` does."""
         if message_type is bytes:
             return data
         return from_pack(data, message_type)
--- a/libs/wire/berylspindle_wire/peer_link.py
+++ b/libs/wire/berylspindle_wire/peer_link.py
@@ -1,14 +1,14 @@
-"""The entry's side of the peers' protocol: links to owners, and control calls.
+"""The entry's side of the peer protocol: links to owners, and control calls.
 
 Terms:
-  link         one stream of frames to one VM, opened on demand and kept; see `entry_link`
-  outstanding  an attempt that was submitted and has neither its reply nor been cancelled
-  silent       a link on which nothing comes back, though something is outstanding
-
-Flow: `submit` hands a batch to the link of its VM and returns at once; the link's task opens the
-stream, writes, reads and settles each attempt with one reply, which it makes itself where no owner
-can. One ticker task looks over the links that have something outstanding, sends pings and breaks
-silent links; a timer for each attempt or link would cost more than the frames do.
+  link         one stream of frames to one VM, opened on demand and kept open; see `entry_link`
+  outstanding  an attempt that was submitted and neither answered nor cancelled
+  silent       a link on which nothing is received although attempts are outstanding
+
+Flow: `submit` passes a batch to the link of its VM and returns at once. The link's task opens the
+stream, writes, reads and delivers one reply for each attempt; if the owner can't answer, the link
+generates the reply. One ticker task checks the links with outstanding attempts, sends pings and
+closes silent links; a timer for each attempt or link would cost more than the frames do.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 )
 from berylspindle_wire.peer_calls import PeerCalls
 
-_TICK: Final = 0.25
-_FORGET_AFTER: Final = 60.0
+_TICK_INTERVAL_S: Final = 0.25
+_UNUSED_LINK_TIMEOUT_S: Final = 60.0
 
 
 class PeerLinks:
-    """Links from this VM to all owners that it sends to; needs a running event loop when made.
+    """Links from this VM to all owners that it uses; requires a running event loop when created.
 
-    Times are in seconds. `silence_timeout` bounds how long a link may bring neither a reply nor a
-    pong while something is outstanding. `max_queued` counts attempts not yet written on one link.
-    `on_fault` is told of exceptions of reply callbacks.
+    Times are in seconds. `silence_timeout` limits the time without any frame from the owner while
+    attempts are outstanding. `max_queued` limits the attempts not yet written on one link.
+    `on_fault` is called with exceptions of reply callbacks and with malformed frames.
     """
 
     def __init__(
@@ -64,32 +64,34 @@
         self._calls = PeerCalls(key, connect_timeout)
         self._closed = False
         self._loop = asyncio.get_running_loop()
-        self._ticker = self._loop.create_task(self._tick(min(_TICK, silence_timeout / 4)))
+        self._ticker = self._loop.create_task(
+            self._tick(min(_TICK_INTERVAL_S, silence_timeout / 4))
+        )
 
     @property
     def outstanding(self) -> int:
-        """Return how many attempts wait for a reply."""
+        """Return the number of attempts waiting for a reply."""
         return sum(link.outstanding for link in self._links.values())
 
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Send a batch to its owner and return at once.
 
         `on_reply` is called once for each attempt that isn't cancelled, never from within this
-        call. Where the queue of the link is full, the replies are OVERLOADED, NOT_RUN; where the
-        link can't be opened or the batch was never written, PEER_LOST, NOT_RUN; where the
-        link broke after it was written, PEER_LOST, MAY_HAVE_RUN; after `close`,
-        SHUTTING_DOWN, NOT_RUN. Raises ValueError for an attempt id that is outstanding already.
+        call. The replies are OVERLOADED, NOT_RUN if the queue of the link is full; PEER_LOST,
+        NOT_RUN if the link can't be opened or the batch was never written; PEER_LOST, MAY_HAVE_RUN
+        if the link broke after the write; SHUTTING_DOWN, NOT_RUN after `close` or `closing`. Raise
+        ValueError for an attempt id that is already outstanding.
         """
         if not self._closed:
             self._link(vm).submit(batch, on_reply)
             return
         for attempt in batch.attempts:
-            detail = "this VM has closed its links"
+            detail = "links of this VM are closed"
             reply = failed_reply(attempt, ErrorKind.SHUTTING_DOWN, RunState.NOT_RUN, detail)
             self._loop.call_soon(on_reply, reply)
 
     def cancel(self, vm: Vm, attempts: Sequence[str]) -> None:
-        """Give up attempts: no reply is passed on, and the owner is told to stop their work."""
+        """Cancel attempts: their replies are dropped, and the owner is told to stop their work."""
         link = self._links.get(vm.id)
         if link is not None:
             link.cancel(attempts)
@@ -97,14 +99,13 @@
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
         """Make a control call; `timeout` is in seconds.
 
-        Raises RefusalError: the peer's own refusal, UNAUTHORISED where the key differs,
-        CONNECTION_LOST where the peer can't be reached or the connection broke, and
-        DEADLINE_EXCEEDED.
+        Raise RefusalError: the peer's own refusal, UNAUTHORISED if the key differs,
+        CONNECTION_LOST if the peer is unreachable or the connection is lost, or DEADLINE_EXCEEDED.
         """
         return await self._calls.call(vm, method, payload, timeout=timeout)
 
     async def close(self) -> None:
-        """Break all links; what is outstanding is answered PEER_LOST first."""
+        """Close all links; outstanding attempts are answered PEER_LOST."""
         self._closed = True
         self._ticker.cancel()
         await asyncio.gather(self._ticker, return_exceptions=True)
@@ -118,13 +119,13 @@
             link = self._links[vm.id] = EntryLink(vm, self._settings, self.counters)
         return link
 
-    async def _tick(self, pause: float) -> None:
+    async def _tick(self, interval: float) -> None:
         while True:
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
             now = self._loop.time()
             for vm_id, link in tuple(self._links.items()):
                 link.tick(now)
-                if link.is_unused(now, _FORGET_AFTER):
+                if link.is_unused(now, _UNUSED_LINK_TIMEOUT_S):
                     del self._links[vm_id]
                     await link.close()
-            self._calls.close_unused(now, _FORGET_AFTER)
+            self._calls.close_unused(now, _UNUSED_LINK_TIMEOUT_S)
--- a/libs/wire/berylspindle_wire/peer_server.py
+++ b/libs/wire/berylspindle_wire/peer_server.py
@@ -1,13 +1,13 @@
-"""The owner's side of the peers' protocol, and the control calls of every VM.
+"""The owner's side of the peer protocol, and the control calls of every VM.
 
 Terms:
   link          one entry's stream of frames; see `peer_codec`
-  control call  one method from bytes to bytes, as membership and configuration use them
+  control call  one method from bytes to bytes, used by membership and configuration
 
 Flow: `start` listens; each link is served by an `OwnerLink`. `begin_drain` sends `closing` on every
-link: an entry then writes no more work and ends its side, so that after the last reply the stream
-closes from both ends and no batch can be lost in between. `close` waits for that up to its grace
-time, then breaks what is left.
+link: the entry then submits no more work and ends its side, so that the stream is closed from both
+ends after the last reply and no batch can be lost in between. `close` waits for that up to its
+grace period, then closes the remaining links.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 OnFault = Callable[[BaseException], None]
 
 _CONFIG: Final = Configuration(
-    # An entry that vanished without a reset is noticed within 80 s; until then its link costs
-    # nothing but memory. More frequent pings would take a large part of the control traffic.
+    # An entry lost without a reset is detected within 80 s; until then its link only occupies
+    # memory. More frequent pings would take a large share of the control traffic.
     _keepalive_time=60.0,
     _keepalive_timeout=20.0,
     _keepalive_permit_without_calls=True,
@@ -45,17 +45,17 @@
     _http2_min_sent_ping_interval_without_data=30,
 )
 
-# A peer that goes away is no fault of this program; grpclib would print a traceback for each.
+# A peer that disconnects is no error of this process; grpclib would log a traceback for each.
 logging.getLogger("grpclib").setLevel(logging.CRITICAL)
 
 
 def _ignore(_: BaseException) -> None:
-    """Drop an exception; the default where no hook is given."""
+    """Ignore an exception; the default hook."""
 
 
 class _ClosingServer(Server):
-    """A grpclib server that closes its connections too; grpclib's own leaves them open, on which
-    a peer then waits for replies that never come."""
+    """A grpclib server that also closes its connections when it stops; grpclib's own leaves them
+    open, so that a peer waits for replies that are never sent."""
 
     def __init__(self, handlers: list[PeerServer]) -> None:
         super().__init__(handlers, codec=PeerCodec(), config=_CONFIG)
@@ -63,16 +63,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is bound."""
+        """Return the bound port number."""
         assert isinstance(self._server, asyncio.Server)
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def stop(self) -> None:
-        """Stop listening, cancel what runs and close all connections."""
+        """Stop listening, cancel running calls and close all connections."""
         self.close()
-        # The library knows of a connection one turn of the loop before it is made. Without this
-        # turn a peer that connects just now ends the daemon with a fault after all work is done.
+        # grpclib creates a protocol one loop iteration before its connection is made. Without this
+        # yield, a peer that connects at this moment makes the daemon exit with an internal error.
         await asyncio.sleep(0)
         for protocol in tuple(self._protocols):
             if hasattr(protocol, "connection") and not protocol.connection.is_closing():
@@ -88,8 +88,8 @@
 class PeerServer:
     """Serve links and control calls of peers on one TCP port.
 
-    Raises KeyRequiredError where there is no key and `host` is no loopback address. `on_fault` is
-    told of exceptions of the batch handler and of control methods.
+    Raise KeyRequiredError if there is no key and `host` is no loopback address. `on_fault` is
+    called with exceptions of the batch handler and of control methods.
     """
 
     def __init__(
@@ -118,29 +118,29 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is bound."""
+        """Return the bound port number."""
         return self._port
 
     @property
     def links(self) -> int:
-        """Return how many links are open."""
+        """Return the number of open links."""
         return len(self._links)
 
     async def start(self) -> None:
-        """Listen; raises OSError where the address can't be bound."""
+        """Start listening; raise OSError if the address can't be bound."""
         server = _ClosingServer([self])
         await server.start(self._host, self._port)
         self._stack.push_async_callback(server.stop)
         self._port = server.port
 
     def begin_drain(self) -> None:
-        """Ask entries to submit no more; refuse new links."""
+        """Send `closing` to all entries and refuse new links."""
         self._draining = True
         for link in self._links:
             link.send_closing()
 
     async def close(self, grace: float = 0.0) -> None:
-        """Drain, wait up to `grace` seconds until each batch is answered, then break all links."""
+        """Drain for up to `grace` seconds until all batches are answered, then close all links."""
         self.begin_drain()
         if grace > 0:
             try:
@@ -150,7 +150,7 @@
         await self._stack.aclose()
 
     def __mapping__(self) -> dict[str, Route]:
-        """Return the routes, as grpclib asks for them."""
+        """Return the routes for grpclib."""
         routes = {LINK_PATH: Route(self._link, Cardinality.STREAM_STREAM, PeerFrame, PeerFrame)}
         for name, method in self._control.items():
             routes[CONTROL_PATH + name] = Route(
@@ -164,7 +164,7 @@
     def _check(self, path: str, stream: Stream[Any, Any]) -> None:
         if not self._verifier.accepts(path, stream.metadata or {}):
             self.unauthorised += 1
-            raise GRPCError(Status.UNAUTHENTICATED, "the peer key is missing or wrong")
+            raise GRPCError(Status.UNAUTHENTICATED, "peer key is missing or wrong")
 
     async def _link(self, stream: Stream[PeerFrame, PeerFrame]) -> None:
         self._check(LINK_PATH, stream)
@@ -189,14 +189,14 @@
             try:
                 reply = await method(payload or b"")
             except RefusalError as error:
-                raise _refused(error.refusal) from error
+                raise _to_grpc_error(error.refusal) from error
             except Exception as error:
                 self._on_fault(error)
-                raise _refused(Refusal(ErrorKind.INTERNAL)) from error
+                raise _to_grpc_error(Refusal(ErrorKind.INTERNAL)) from error
             await stream.send_message(reply)
 
         return call
 
 
-def _refused(refusal: Refusal) -> GRPCError:
+def _to_grpc_error(refusal: Refusal) -> GRPCError:
     return GRPCError(Status.ABORTED, to_json(refusal).decode())
--- a/libs/wire/berylspindle_wire/sockets.py
+++ b/libs/wire/berylspindle_wire/sockets.py
@@ -1,10 +1,11 @@
-"""What the kernel knows of a connection and does for it.
+"""Kernel state and options of connections.
 
 Terms:
-  silent   a path on which nothing is reset and nothing arrives, since something between the two
-           ends has lost track of the connection
+  dead path   a path on which nothing is reset and nothing arrives, because of a network partition
+              or a middlebox that has dropped the state of the connection
 
-Flow: `watch_path` is called once for each new connection; `has_ended` before an idle one is used.
+Flow: `enable_dead_path_detection` is called once for each new connection; `peer_has_closed` before
+an idle connection is reused.
 """
 
 from __future__ import annotations
@@ -13,62 +14,61 @@
 import socket
 from typing import Final, Protocol
 
-UNHEARD_MS: Final = 1500
-"""Milliseconds for which sent bytes may stay unacknowledged before the kernel gives the connection
-up; several retransmissions within a data centre, where a round trip takes about a millisecond."""
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 1500
+"""Milliseconds for which sent bytes may stay unacknowledged before the kernel drops the connection;
+several retransmissions within a data centre, where a round trip takes about a millisecond."""
 
 KEEPALIVE_IDLE_S: Final = 2
-KEEPALIVE_STEP_S: Final = 1
-KEEPALIVE_TRIES: Final = 2
-"""An idle connection is probed by the kernel, so that one gone silent is found before its use."""
+KEEPALIVE_INTERVAL_S: Final = 1
+KEEPALIVE_PROBES: Final = 2
+"""The kernel probes idle connections, so that a dead path is detected before the next request."""
 
-_ENDED: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+_CLOSED_EVENTS: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class AnySocket(Protocol):
-    """A socket, or what asyncio shows of one."""
+    """A socket, or asyncio's `TransportSocket`."""
 
     def fileno(self) -> int:
-        """Return the descriptor."""
+        """Return the file descriptor."""
 
     def setsockopt(self, level: int, option: int, value: int, /) -> None:
-        """Set an option of the kernel."""
+        """Set a socket option."""
 
 
-def has_ended(connected: AnySocket) -> bool:
-    """Tell whether the peer has closed or reset a connection, though the loop has not read it.
+def peer_has_closed(connected: AnySocket) -> bool:
+    """Return whether the peer has closed or reset a connection, even if the loop has not read it.
 
-    Guards against a request written into a connection whose end lies in the kernel unread, as after
-    a busy turn of the loop: it would count as "may have run", though no server could see it, and
-    what may not be repeated would be lost. Only an end that is on its way still gets by.
+    After a long loop iteration, the end of a connection may be in the kernel, unread. A request
+    written to it would count as "may have run" although no server received it, and a request that
+    must not be repeated would be lost. An end still in transit can't be detected.
     """
-    return _has(connected, _ENDED)
+    return _poll(connected, _CLOSED_EVENTS)
 
 
 def has_input(connected: AnySocket) -> bool:
-    """Tell whether bytes of the peer, or its end, lie in the kernel unread."""
-    return _has(connected, select.POLLIN)
+    """Return whether bytes of the peer, or its end of output, are in the kernel, unread."""
+    return _poll(connected, select.POLLIN)
 
 
-def _has(connected: AnySocket, events: int) -> bool:
+def _poll(connected: AnySocket, events: int) -> bool:
     poll = select.poll()
     poll.register(connected.fileno(), events)
     return bool(poll.poll(0))
 
 
-def watch_path(connected: AnySocket) -> None:
-    """Have the kernel end a connection whose path has gone silent, idle or not.
+def enable_dead_path_detection(connected: AnySocket) -> None:
+    """Have the kernel close a connection whose path is dead, whether idle or in use.
 
-    Guards against connections that something on the way has lost track of: nothing is reset, and
-    whatever is sent is never heard. Without bounds of the kernel's only a time-out of each request
-    shows it, and an idle connection not before it is used.
+    On a dead path nothing is reset and nothing that is sent arrives. Without these kernel timeouts,
+    only a timeout of each request detects it, and on an idle connection not before its next use.
     """
     for level, option, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_STEP_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_TRIES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
         connected.setsockopt(level, option, value)
--- a/libs/wire/berylspindle_wire/tls.py
+++ b/libs/wire/berylspindle_wire/tls.py
@@ -1,12 +1,12 @@
-"""TLS for the operators' interface, from certificate files that the settings name.
+"""TLS contexts for the operators' interface, from certificate files named in the settings.
 
 Terms:
-  CA file   the certificates that the other side's certificate must descend from
+  CA file   the trusted certificates that must have issued the other side's certificate
 
 Flow: the daemon and the operators' tool each read their paths from flags or environment into
-`TlsFiles`, make a context once, and hand it to `http_server.serve` or `HttpClient`. A server with
-a CA file asks each client for a certificate and accepts no connection without a good one; a client
-always checks the server's certificate and its name or IP address; there is no switch against that.
+`TlsFiles`, create a context once, and pass it to `http_server.serve` or `HttpClient`. A server with
+a CA file requires a valid certificate from each client. A client always verifies the server's
+certificate and its host name or IP address; this can't be disabled.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class TlsSettingsError(ValueError):
-    """The files that the settings name can't be used."""
+    """The configured TLS files can't be used."""
 
 
 @attrs.frozen(kw_only=True)
 class TlsFiles:
-    """Paths of PEM files; `key` may be None where the certificate's file holds the key too."""
+    """Paths of PEM files; `key` may be None if the certificate file also holds the key."""
 
     certificate: str | None = None
     key: str | None = None
@@ -30,9 +30,9 @@
 
 
 def server_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return the context of a server; it needs a certificate.
+    """Return the context for a server, which needs a certificate.
 
-    Raises TlsSettingsError where a file is missing or doesn't fit.
+    Raise TlsSettingsError if a file is missing, invalid or doesn't match the others.
     """
     if files.certificate is None:
         raise TlsSettingsError("a TLS server needs a certificate")
@@ -44,9 +44,9 @@
 
 
 def client_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return the context of a client; it needs a CA file, its certificate is optional.
+    """Return the context for a client, which needs a CA file; its certificate is optional.
 
-    Raises TlsSettingsError where a file is missing or doesn't fit.
+    Raise TlsSettingsError if a file is missing, invalid or doesn't match the others.
     """
     if files.ca is None:
         raise TlsSettingsError("a TLS client needs the CA file of the server's certificate")
@@ -59,9 +59,9 @@
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         if files.certificate is not None:
-            # Without a password callback, OpenSSL would ask on the terminal for an encrypted key.
+            # Without a password, OpenSSL would prompt for one on the terminal for an encrypted key.
             context.load_cert_chain(files.certificate, files.key, password="")
         if files.ca is not None:
             context.load_verify_locations(files.ca)
     except OSError as error:  # Includes ssl.SSLError.
-        raise TlsSettingsError(f"TLS files can't be used: {error}") from error
+        raise TlsSettingsError(f"cannot load TLS files: {error}") from error
--- a/tests/wire/test_datagrams.py
+++ b/tests/wire/test_datagrams.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from berylspindle_wire.datagrams import MAX_PAYLOAD, open_datagrams
+from berylspindle_wire.datagrams import MAX_PAYLOAD_BYTES, open_datagrams
 from berylspindle_wire.peer_auth import KeyRequiredError
 
 
@@ -13,13 +13,13 @@
     first = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *_: None)
     second = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *m: got.append(m))
     first.send(b"", ("127.0.0.1", second.port))
-    first.send(b"x" * MAX_PAYLOAD, ("127.0.0.1", second.port))
+    first.send(b"x" * MAX_PAYLOAD_BYTES, ("127.0.0.1", second.port))
     await until(lambda: len(got) == 2)
     sender = ("127.0.0.1", first.port)
-    assert got == [(b"", sender), (b"x" * MAX_PAYLOAD, sender)]
-    assert first.counters.sent_bytes == second.counters.received_bytes == MAX_PAYLOAD + 32
+    assert got == [(b"", sender), (b"x" * MAX_PAYLOAD_BYTES, sender)]
+    assert first.counters.sent_bytes == second.counters.received_bytes == MAX_PAYLOAD_BYTES + 32
     with pytest.raises(ValueError, match="1401"):
-        first.send(b"x" * (MAX_PAYLOAD + 1), ("127.0.0.1", second.port))
+        first.send(b"x" * (MAX_PAYLOAD_BYTES + 1), ("127.0.0.1", second.port))
     first.close()
     second.close()
     first.send(b"late", ("127.0.0.1", second.port))
--- a/tests/wire/test_http_server.py
+++ b/tests/wire/test_http_server.py
@@ -13,7 +13,7 @@
 from berylspindle_wire.client import HttpClient
 from berylspindle_wire.http import HttpLimits, HttpRequest, HttpResponse, json_response
 from berylspindle_wire.http_server import HttpServer, serve
-from berylspindle_wire.sockets import has_ended
+from berylspindle_wire.sockets import peer_has_closed
 
 LIMITS = HttpLimits(header_bytes=2048, body_bytes=64, read_timeout=0.3, connections=4)
 GET = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -201,9 +201,9 @@
         assert status_of(await reader.readuntil(b"\r\n")) == 200
         (session,) = server._sessions
         peer = writer.get_extra_info("socket")
-        assert not has_ended(peer)
+        assert not peer_has_closed(peer)
         session.check_time(asyncio.get_running_loop().time() + 60.0, 0.25)
-        assert has_ended(peer)
+        assert peer_has_closed(peer)
         # What crosses the end is read and dropped, and does not end in a reset.
         writer.write(GET)
         await reader.read()
--- a/tests/wire/test_peer_auth.py
+++ b/tests/wire/test_peer_auth.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from berylspindle_wire.peer_auth import WINDOW, CallVerifier, sign_call
+from berylspindle_wire.peer_auth import MAX_CLOCK_SKEW_S, CallVerifier, sign_call
 
 
 class Clock:
@@ -15,19 +15,19 @@
         return self.now
 
 
-@pytest.mark.parametrize("skew", [0.0, WINDOW - 1, 1 - WINDOW])
+@pytest.mark.parametrize("skew", [0.0, MAX_CLOCK_SKEW_S - 1, 1 - MAX_CLOCK_SKEW_S])
 def test_signed_call_is_accepted_once(skew):
     """Someone records the call that opens a link and sends it again."""
     clock = Clock()
     verifier = CallVerifier(b"k", clock)
     call = sign_call(b"k", "/m", clock.now + skew)
     assert verifier.accepts("/m", call)
-    for step in (0.0, WINDOW, WINDOW, WINDOW):
+    for step in (0.0, MAX_CLOCK_SKEW_S, MAX_CLOCK_SKEW_S, MAX_CLOCK_SKEW_S):
         clock.now += step
         assert not verifier.accepts("/m", call)
 
 
-@pytest.mark.parametrize("skew", [WINDOW + 1, -WINDOW - 1])
+@pytest.mark.parametrize("skew", [MAX_CLOCK_SKEW_S + 1, -MAX_CLOCK_SKEW_S - 1])
 def test_call_outside_the_window_is_refused(skew):
     clock = Clock()
     assert not CallVerifier(b"k", clock).accepts("/m", sign_call(b"k", "/m", clock.now + skew))
@@ -51,5 +51,5 @@
     verifier = CallVerifier(b"k", clock)
     for _ in range(50):
         assert verifier.accepts("/m", sign_call(b"k", "/m", clock.now))
-        clock.now += WINDOW
-    assert len(verifier._known) <= 3
+        clock.now += MAX_CLOCK_SKEW_S
+    assert len(verifier._seen_nonces) <= 3
