--- a/libs/wire/berylspindle_wire/entry_link.py
+++ b/libs/wire/berylspindle_wire/entry_link.py
@@ -35,7 +35,7 @@
 MAX_BACKOFF_S: Final = 2.0
 
 _PINGS_PER_SILENCE_TIMEOUT: Final = 4
-"""A link is pinged once it has received nothing for this fraction of the silence timeout."""
+"""Divisor of the silence timeout; a link that has received nothing for that long is pinged."""
 
 OnReply = Callable[[AttemptReply], None]
 _LinkStream = Stream[PeerFrame, PeerFrame]
--- a/libs/wire/berylspindle_wire/peer_auth.py
+++ b/libs/wire/berylspindle_wire/peer_auth.py
@@ -36,7 +36,7 @@
 
 
 class KeyRequiredError(ValueError):
-    """A port reachable from other machines requires a shared key."""
+    """Binding a port reachable from other machines requires a shared key."""
 
 
 def require_key(host: str, key: bytes | None) -> None:
--- a/libs/wire/berylspindle_wire/peer_codec.py
+++ b/libs/wire/berylspindle_wire/peer_codec.py
@@ -23,8 +23,8 @@
 CONTROL_PATH: Final = "/berylspindle.Control/"
 
 FRAME_ITEMS: Final = 128
-"""Maximum number of attempts or replies in a frame. Encoding and decoding a frame blocks the event
-loop; one of 800 replies takes 5 ms."""
+"""Number of attempts or replies after which a frame is full. Encoding and decoding a frame blocks
+the event loop; one of 800 replies takes 5 ms."""
 
 
 @attrs.frozen(kw_only=True)
--- a/tests/wire/conftest.py
+++ b/tests/wire/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests over sockets of the loopback interface."""
+"""Fixtures for tests over loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def until() -> Until:
-    """Return a function that waits until a condition holds, and fails if it never does."""
+    """Return a function that waits until a condition holds and fails after a timeout."""
 
     async def wait(condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
@@ -36,7 +36,7 @@
 
 
 class FakeOwner(BatchHandler):
-    """Answer the attempts whose server is "fast"; keep the others until `release` is set."""
+    """Answer attempts for the server "fast"; hold those for "slow" until `release` is set."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -84,7 +84,7 @@
 
 @attrs.define
 class Replies:
-    """What an entry was told, by attempt."""
+    """The replies that an entry received, by attempt."""
 
     all: list[AttemptReply] = attrs.field(factory=list)
 
@@ -92,7 +92,7 @@
         self.all.append(reply)
 
     @property
-    def told(self) -> dict[str, tuple[ErrorKind | None, RunState | None]]:
+    def outcomes(self) -> dict[str, tuple[ErrorKind | None, RunState | None]]:
         counts = Counter(reply.attempt for reply in self.all)
         assert set(counts.values()) <= {1}, "an attempt was answered twice"
         return {reply.attempt: (reply.error, reply.run) for reply in self.all}
@@ -149,7 +149,7 @@
 
 @attrs.define
 class Relay:
-    """Pass bytes on between an entry and an owner; drop them all while `silent`."""
+    """Forward bytes between an entry and an owner; drop all of them while `silent`."""
 
     port: int = 0
     target: int = 0
@@ -174,14 +174,14 @@
 
 
 @asynccontextmanager
-async def open_silenceable() -> AsyncIterator[tuple[Relay, Pair]]:
-    async with open_pair(silence_timeout=0.3) as it:
-        relay = Relay(target=it.server.port)
+async def open_relayed_pair() -> AsyncIterator[tuple[Relay, Pair]]:
+    async with open_pair(silence_timeout=0.3) as peers:
+        relay = Relay(target=peers.server.port)
         listener = await asyncio.start_server(relay.accept, "127.0.0.1", 0)
         relay.port = listener.sockets[0].getsockname()[1]
-        it.vm = attrs.evolve(it.vm, peer_port=relay.port)
+        peers.vm = attrs.evolve(peers.vm, peer_port=relay.port)
         try:
-            yield relay, it
+            yield relay, peers
         finally:
             listener.close()
             for task in relay.tasks:
@@ -191,11 +191,11 @@
 
 @pytest.fixture
 def pair() -> Callable[..., object]:
-    """Return a context manager of an entry and an owner that are linked."""
+    """Return a context manager for a linked entry and owner."""
     return open_pair
 
 
 @pytest.fixture
-def silenceable() -> Callable[..., object]:
-    """Return a context manager of such a pair with a relay between that can be silenced."""
-    return open_silenceable
+def relayed_pair() -> Callable[..., object]:
+    """Return a context manager for such a pair, connected by a relay that can drop all bytes."""
+    return open_relayed_pair
--- a/tests/wire/test_datagrams.py
+++ b/tests/wire/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over the loopback interface."""
+"""Tests of datagrams over the loopback interface."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 
 async def test_messages_arrive_and_are_counted(until):
-    got = []
+    messages = []
     first = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *_: None)
-    second = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *m: got.append(m))
+    second = await open_datagrams(
+        "127.0.0.1", 0, key=b"k", on_message=lambda *m: messages.append(m)
+    )
     first.send(b"", ("127.0.0.1", second.port))
     first.send(b"x" * MAX_PAYLOAD_BYTES, ("127.0.0.1", second.port))
-    await until(lambda: len(got) == 2)
+    await until(lambda: len(messages) == 2)
     sender = ("127.0.0.1", first.port)
-    assert got == [(b"", sender), (b"x" * MAX_PAYLOAD_BYTES, sender)]
+    assert messages == [(b"", sender), (b"x" * MAX_PAYLOAD_BYTES, sender)]
     assert first.counters.sent_bytes == second.counters.received_bytes == MAX_PAYLOAD_BYTES + 32
     with pytest.raises(ValueError, match="1401"):
         first.send(b"x" * (MAX_PAYLOAD_BYTES + 1), ("127.0.0.1", second.port))
@@ -27,19 +29,19 @@
 
 
 async def test_forged_and_damaged_messages_are_dropped(until):
-    """A VM of another deployment, or a stranger, tells the members that a data centre has gone."""
-    got = []
-    port = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *m: got.append(m))
-    stranger = await open_datagrams("127.0.0.1", 0, key=b"other", on_message=lambda *_: None)
-    stranger.send(b"leave", ("127.0.0.1", port.port))
-    stranger._transport.sendto(b"short", ("127.0.0.1", port.port))
+    """Without a MAC, another deployment or an attacker could forge membership messages."""
+    messages = []
+    port = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *m: messages.append(m))
+    other_sender = await open_datagrams("127.0.0.1", 0, key=b"other", on_message=lambda *_: None)
+    other_sender.send(b"leave", ("127.0.0.1", port.port))
+    other_sender._transport.sendto(b"short", ("127.0.0.1", port.port))
     await until(lambda: port.counters.refused == 2)
-    assert got == []
+    assert messages == []
     assert port.counters.received == 0
-    stranger.close()
+    other_sender.close()
     port.close()
 
 
-async def test_port_for_others_needs_a_key():
+async def test_non_loopback_port_requires_a_key():
     with pytest.raises(KeyRequiredError):
         await open_datagrams("0.0.0.0", 0, key=None, on_message=lambda *_: None)
--- a/tests/wire/test_http_client.py
+++ b/tests/wire/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client connection against a server that does what a script says."""
+"""Tests of the HTTP client connection against a scripted server."""
 
 from __future__ import annotations
 
@@ -95,18 +95,17 @@
     ],
 )
 async def test_truncated_or_malformed_reply(reply, phase):
-    """A buyer's agent reads half a harvest log as the whole, since the connection broke under it.
+    """A reply truncated by a crash of the backend server must not be taken as complete.
 
-    The backend server crashed after the headers. Anything that isn't a whole, unambiguous reply
-    must be a failure, and its connection must never carry another request.
+    Anything but a complete, unambiguous reply is a failure, and its connection is not reused.
     """
     async with connected(replying(reply)) as connection:
         failure = await failure_of(connection)
     assert failure.phase is phase
 
 
-async def test_reply_cut_anywhere_is_no_reply():
-    """As above, with the crash after each byte of a reply of either framing."""
+async def test_reply_truncated_at_any_byte_is_a_failure():
+    """The connection ends after each possible byte of a reply, for both kinds of framing."""
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     for whole in (OK, chunked):
         for cut in range(len(whole)):
@@ -145,7 +144,7 @@
 
 
 async def test_unsolicited_bytes_close_an_idle_connection(until):
-    """A reply comes late, after its request was given up; the next would read it as its own."""
+    """A late reply to an abandoned request must not be read as the reply to the next one."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(OK)
@@ -157,7 +156,7 @@
 
 
 async def test_cancelled_request_closes_the_socket():
-    """A caller goes away; the backend server works on for nobody until its connection closes."""
+    """The close cancels the work at the backend server after its caller has disconnected."""
     asked, ended = asyncio.Event(), asyncio.Event()
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -194,7 +193,7 @@
     assert (failure.phase, failure.timed_out, failure.silent) == (FailurePhase.SENT, True, True)
 
 
-async def test_connection_close_of_the_peer_is_kept():
+async def test_connection_close_of_the_peer_is_honoured():
     closing = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     async with connected(replying(closing)) as connection:
         reply = await connection.request(GET, timeout=5)
--- a/tests/wire/test_http_noise.py
+++ b/tests/wire/test_http_noise.py
@@ -1,4 +1,4 @@
-"""Damaged requests: whatever comes in, the server answers in order or closes."""
+"""Property test of the HTTP server with damaged requests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Keep what is written."""
+    """Record what is written."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,7 +60,7 @@
 
 
 @st.composite
-def noise(draw) -> list[bytes]:
+def damaged_requests(draw) -> list[bytes]:
     data = bytearray(b"".join(draw(st.lists(st.sampled_from(PIECES), min_size=1, max_size=5))))
     for _ in range(draw(st.integers(0, 3))):
         place = draw(st.integers(0, max(0, len(data) - 1)))
@@ -94,12 +94,12 @@
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=400)
-@given(noise())
+@given(damaged_requests())
 def test_noise_is_answered_in_order_or_closed(pieces):
-    """One strange request takes a connection's task down, and its caller waits for ever.
+    """A damaged request must not crash the connection's task, which would leave its caller waiting.
 
-    Each request that the handler saw has one answer, at most one error follows, after which
-    nothing is served; how the bytes were cut makes no difference; and no exception gets out.
+    Each handled request gets one answer, followed by at most one error, after which nothing is
+    served. The result doesn't depend on the segmentation of the bytes, and no exception escapes.
     """
     transport, served, faults = asyncio.run(feed(pieces))
     assert faults == []
@@ -113,6 +113,6 @@
 
 
 def statuses_of(transport: FakeTransport) -> list[int]:
-    """Return the final statuses that were written; 100 is none."""
+    """Return the final statuses that were written, without informational 100."""
     answers = transport.written.split(b"HTTP/1.1 ")[1:]
     return [int(answer[:3]) for answer in answers if answer[:3] != b"100"]
--- a/tests/wire/test_http_pool.py
+++ b/tests/wire/test_http_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool against a server whose connections can be silenced one by one."""
+"""Tests of the connection pool against a server whose connections can be made silent."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.define
 class FakeServer:
-    """Answer each request with the number of its connection, unless that one is silent.
+    """Answer each request with the number of its connection, unless that connection is silent.
 
     While `gate` is not set, requests for /work wait; `silent` connections never answer.
     """
@@ -88,12 +88,12 @@
 async def test_limit_holds_and_waiting_requests_are_served_in_order():
     async with pooled(limit=2) as (fake, pool, _):
         fake.gate.clear()
-        asking = [asyncio.create_task(ask(pool)) for _ in range(7)]
+        pending = [asyncio.create_task(ask(pool)) for _ in range(7)]
         while len(fake.seen) < 2:  # noqa: ASYNC110
             await asyncio.sleep(0)
         assert pool.open_connections == 2
         fake.gate.set()
-        replies = await asyncio.gather(*asking)
+        replies = await asyncio.gather(*pending)
     assert set(replies) == {1, 2}
     assert fake.accepted == 2
 
@@ -112,14 +112,14 @@
         assert len(fake.seen) == 1
 
 
-async def test_most_recently_used_connection_goes_first():
+async def test_most_recently_used_connection_is_used_first():
     async with pooled() as (fake, pool, _):
         fake.gate.clear()
-        asking = [asyncio.create_task(ask(pool)) for _ in range(2)]
+        pending = [asyncio.create_task(ask(pool)) for _ in range(2)]
         while len(fake.seen) < 2:  # noqa: ASYNC110
             await asyncio.sleep(0)
         fake.gate.set()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         assert len({await ask(pool) for _ in range(5)}) == 1
 
 
@@ -134,19 +134,18 @@
         assert events["opened"] == 3
 
 
-async def test_silent_reused_connection_is_dropped_with_those_as_old(until):
-    """Searches hang, one after the other, though the backend server is well.
+async def test_silent_reused_connection_is_closed_with_those_of_its_age(until):
+    """Requests must not hang on one dead connection after another.
 
-    A middlebox forgot the pool's connections over a quiet hour: nothing is reset and nothing is
-    answered. The first request on one of them must give up soon, take the others that are as old
-    with it, and leave the next request to a new connection.
+    A middlebox has dropped the state of all idle connections, without a reset. The first request to
+    fail by `progress_timeout` closes the others of the same age; the next uses a new connection.
     """
     async with pooled() as (fake, pool, events):
         fake.gate.clear()
-        asking = [asyncio.create_task(ask(pool)) for _ in range(3)]
+        pending = [asyncio.create_task(ask(pool)) for _ in range(3)]
         await until(lambda: len(fake.seen) == 3)
         fake.gate.set()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         fake.silent = {1, 2, 3}
         with pytest.raises(HttpFailure) as caught:
             await ask(pool, progress_timeout=0.05)
@@ -159,18 +158,15 @@
 async def test_slow_first_request_of_a_new_connection_is_not_silent():
     async with pooled() as (fake, pool, events):
         fake.gate.clear()
-        asking = asyncio.create_task(ask(pool, progress_timeout=0.01))
+        pending = asyncio.create_task(ask(pool, progress_timeout=0.01))
         await asyncio.sleep(0.05)
         fake.gate.set()
-        assert await asking == 1
+        assert await pending == 1
         assert events["silent"] == 0
 
 
-async def test_idle_connections_are_probed_off_the_path(until):
-    """The first search after a quiet time waits for a connection that has gone silent.
-
-    Probes while idle must find it, so that no request is the first to learn of it.
-    """
+async def test_idle_connections_are_probed_in_the_background(until):
+    """A dead connection must be detected by a probe while idle, not by the next request."""
     async with pooled(spare=1, connect_timeout=0.1, idle_probe_after=0.1) as (fake, pool, events):
         assert await ask(pool) == 1
         await until(lambda: events["probed"] >= 1)
@@ -183,18 +179,18 @@
 async def test_idle_connections_beyond_the_spares_expire(until):
     async with pooled(spare=1, idle_probe_after=0.1) as (fake, pool, events):
         fake.gate.clear()
-        asking = [asyncio.create_task(ask(pool)) for _ in range(4)]
+        pending = [asyncio.create_task(ask(pool)) for _ in range(4)]
         await until(lambda: len(fake.seen) == 4)
         fake.gate.set()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         await until(lambda: events["expired"] == 3)
         await until(lambda: pool.open_connections == 1)
 
 
-async def test_refused_connect_is_not_sent_and_costs_one_request():
+async def test_refused_connect_is_not_sent_and_fails_one_request():
     async with pooled() as (fake, _pool, events):
         pass
-    gone = ConnectionPool(
+    unreachable = ConnectionPool(
         "127.0.0.1",
         fake.port,
         limit=4,
@@ -204,23 +200,23 @@
         on_event=lambda event: events.update([event]),
     )
     with pytest.raises(HttpFailure) as caught:
-        await ask(gone)
+        await ask(unreachable)
     assert caught.value.phase is FailurePhase.NOT_SENT
-    assert gone.open_connections == 0
-    await gone.close()
+    assert unreachable.open_connections == 0
+    await unreachable.close()
 
 
-async def test_cancelled_waiter_loses_no_connection(until):
-    """Callers that hang up while they wait leave the pool short of connections, one each time."""
+async def test_cancelled_waiter_leaks_no_connection(until):
+    """A request cancelled while it waits must not leak the connection assigned to it."""
     async with pooled(limit=1) as (fake, pool, _):
         fake.gate.clear()
 
-        async def ask_then_cancel_the_next() -> int:
+        async def request_then_cancel_the_next() -> int:
             number = await ask(pool)
-            second.cancel()  # Its connection was handed over in this very turn of the loop.
+            second.cancel()  # Its connection was assigned in this loop iteration.
             return number
 
-        first = asyncio.create_task(ask_then_cancel_the_next())
+        first = asyncio.create_task(request_then_cancel_the_next())
         await until(lambda: len(fake.seen) == 1)
         second, third = (asyncio.create_task(ask(pool)) for _ in range(2))
         await asyncio.sleep(0)
@@ -231,11 +227,11 @@
 
 
 class PoolHistory(RuleBasedStateMachine):
-    """Ask, cancel, reset, silence and wait in any order.
+    """Send, cancel, reset, silence and wait in any order.
 
-    Users see a pool that slowly loses its connections: each of some rare turns of events leaves one
-    counted that is no longer there, until nothing is served. Hence, however it goes: the server
-    never sees more connections than the limit, and in the end all of the limit can be used.
+    Guards against leaked connections: a rare sequence of events leaves a closed connection counted,
+    until the pool can serve nothing. After any sequence, the number of connections never exceeds
+    the limit, and finally the whole limit can be used.
     """
 
     LIMIT = 3
@@ -244,35 +240,35 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.stack = AsyncExitStack()
-        self.asking: list[asyncio.Task[int]] = []
+        self.pending: list[asyncio.Task[int]] = []
         options = {"limit": self.LIMIT, "spare": 1, "idle_probe_after": 0.04}
         entered = self.stack.enter_async_context(pooled(connect_timeout=0.05, **options))
-        self.fake, self.pool, _ = self.do(entered)
+        self.fake, self.pool, _ = self.run_in_loop(entered)
 
-    def do(self, work):
-        return self.loop.run_until_complete(work)
+    def run_in_loop(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
     @rule(count=st.integers(1, 5), timeout=st.sampled_from([0.01, 0.1]))
     def ask(self, count: int, timeout: float) -> None:
         for _ in range(count):
-            work = ask(self.pool, timeout=timeout, progress_timeout=0.02)
-            self.asking.append(self.loop.create_task(work))
+            coroutine = ask(self.pool, timeout=timeout, progress_timeout=0.02)
+            self.pending.append(self.loop.create_task(coroutine))
 
     @rule(turns=st.integers(0, 4))
     def turn(self, turns: int) -> None:
         for _ in range(turns):
-            self.do(asyncio.sleep(0))
+            self.run_in_loop(asyncio.sleep(0))
 
     @rule(seconds=st.sampled_from([0.002, 0.03]))
     def wait(self, seconds: float) -> None:
-        self.do(asyncio.sleep(seconds))
+        self.run_in_loop(asyncio.sleep(seconds))
 
-    # What is there to choose from depends on sockets and so on time; a draw must not, or Hypothesis
-    # takes a busy machine for a strategy that is flaky.
+    # The available choices depend on sockets and thus on timing. The draw must not, or Hypothesis
+    # reports a flaky strategy on a busy machine.
     @rule(pick=st.integers(0, 999))
     def cancel(self, pick: int) -> None:
-        if self.asking:
-            self.asking[pick % len(self.asking)].cancel()
+        if self.pending:
+            self.pending[pick % len(self.pending)].cancel()
 
     @rule(is_open=st.booleans())
     def gate(self, is_open: bool) -> None:
@@ -294,14 +290,14 @@
 
     def teardown(self) -> None:
         try:
-            self.do(self._end())
+            self.run_in_loop(self._end())
         finally:
             self.loop.close()
 
     async def _end(self) -> None:
         async with self.stack:
             self.fake.gate.set()
-            await asyncio.gather(*self.asking, return_exceptions=True)
+            await asyncio.gather(*self.pending, return_exceptions=True)
             self.fake.silent = set(range(self.fake.accepted + 1))
             await asyncio.sleep(0.1)
             self.fake.gate.clear()
@@ -310,24 +306,24 @@
                 asyncio.create_task(ask_until_sent(self.pool, tries=100)) for _ in range(self.LIMIT)
             ]
             async with asyncio.timeout(60):
-                while working(self.fake, before) < self.LIMIT:
+                while count_work_requests(self.fake, before) < self.LIMIT:
                     assert not any(task.done() for task in last), last
                     await asyncio.sleep(0.001)
-            assert working(self.fake, before) == self.LIMIT
+            assert count_work_requests(self.fake, before) == self.LIMIT
             self.fake.gate.set()
             replies = await asyncio.gather(*last, return_exceptions=True)
             assert all(isinstance(reply, int) for reply in replies), replies
 
 
-def working(fake: FakeServer, start: int) -> int:
+def count_work_requests(fake: FakeServer, start: int) -> int:
     return sum(path == b"/work" for _, path in fake.seen[start:])
 
 
 async def ask_until_sent(pool: ConnectionPool, *, tries: int) -> int:
-    """Ask again where the connect that a request waited for timed out, as the pool's users do.
+    """Retry while the connect for a request times out, as users of the pool do.
 
-    On a machine that stands still for longer than `connect_timeout`, that is what the pool answers;
-    any other failure is one of the pool.
+    A machine that stalls for longer than `connect_timeout` causes such failures; any other failure
+    is an error of the pool.
     """
     for _ in range(tries):
         try:
@@ -335,39 +331,38 @@
         except HttpFailure as failure:
             if failure.phase is not FailurePhase.NOT_SENT or "connect" not in failure.detail:
                 raise
-    raise AssertionError(f"no connect in {tries} tries")
+    raise AssertionError(f"no connect succeeded in {tries} tries")
 
 
-async def test_connects_that_time_out_cost_one_request_each_and_no_place(until, monkeypatch):
-    """Requests fail as not sent on a machine that stood still, and the pool must not stay short.
+async def test_connect_timeouts_fail_one_request_each_and_free_their_slots(until, monkeypatch):
+    """Connect timeouts, as on a machine that stalls, must not reduce the usable limit of the pool.
 
-    A stop of 70 ms outlasts the connect time-out of 50 ms: each connect that was under way ends one
-    waiting request, which never reaches the server. Whoever asks again gets a connection, and all
-    of the limit can be used.
+    A stall of 70 ms exceeds the connect timeout of 50 ms: each pending connect fails one waiting
+    request as not sent. Retries then get connections, up to the whole limit.
     """
-    stuck = 3
+    timeouts_left = 3
 
-    async def connect_or_stand_still(*args, **options):
-        nonlocal stuck
-        if stuck:
-            stuck -= 1
+    async def connect_after_timeouts(*args, **options):
+        nonlocal timeouts_left
+        if timeouts_left:
+            timeouts_left -= 1
             await asyncio.sleep(0)
             raise HttpFailure(FailurePhase.NOT_SENT, "the connect timed out")
         return await connect(*args, **options)
 
-    monkeypatch.setattr(http_pool, "connect", connect_or_stand_still)
+    monkeypatch.setattr(http_pool, "connect", connect_after_timeouts)
     async with pooled(limit=3) as (fake, pool, events):
         fake.gate.clear()
-        asking = [asyncio.create_task(ask(pool)) for _ in range(3)]
-        failures = await asyncio.gather(*asking, return_exceptions=True)
+        pending = [asyncio.create_task(ask(pool)) for _ in range(3)]
+        failures = await asyncio.gather(*pending, return_exceptions=True)
         assert [getattr(failure, "phase", None) for failure in failures] == [
             FailurePhase.NOT_SENT
         ] * 3
         assert (events["connect_failed"], fake.seen, pool.open_connections) == (3, [], 0)
-        asking = [asyncio.create_task(ask_until_sent(pool, tries=1)) for _ in range(3)]
-        await until(lambda: working(fake, 0) == 3)
+        pending = [asyncio.create_task(ask_until_sent(pool, tries=1)) for _ in range(3)]
+        await until(lambda: count_work_requests(fake, 0) == 3)
         fake.gate.set()
-        assert len(set(await asyncio.gather(*asking))) == 3
+        assert len(set(await asyncio.gather(*pending))) == 3
 
 
 TestPoolHistory = PoolHistory.TestCase
--- a/tests/wire/test_http_server.py
+++ b/tests/wire/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server over real sockets of the loopback interface."""
+"""Tests of the HTTP server over loopback sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def exchange(port: int, data: bytes) -> bytes:
-    """Send bytes and return all that comes back until the server closes."""
+    """Send bytes and return everything received until the server closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -42,7 +42,7 @@
     return int(reply.split(b" ", 2)[1])
 
 
-def malformed_cases() -> list[tuple[str, int, bytes]]:
+def load_malformed_cases() -> list[tuple[str, int, bytes]]:
     lines = (Path(__file__).parent / "data" / "malformed_requests.txt").read_text().splitlines()
     cases = []
     for line in lines:
@@ -54,15 +54,14 @@
 
 @pytest.mark.parametrize(
     ("status", "data"),
-    [case[1:] for case in malformed_cases()],
-    ids=[case[0] for case in malformed_cases()],
+    [case[1:] for case in load_malformed_cases()],
+    ids=[case[0] for case in load_malformed_cases()],
 )
 async def test_malformed_request_is_refused_and_nothing_after_it_is_served(status, data):
-    """A caller gets the answer to another caller's request.
+    """Guards against request smuggling, which gives a caller the answer to another's request.
 
-    A balancer in front and this server read different ends of one request; the bytes between them
-    are then served as a request that nobody sent. So each ambiguous request must be refused, and
-    the connection closed with what follows unread.
+    If a load balancer and this server read different ends of a request, the bytes between are
+    served as another request. Each ambiguous request is rejected and its connection closed.
     """
     served = []
 
@@ -91,8 +90,8 @@
     assert reply.count(b"HTTP/1.1 200") == 4
 
 
-async def test_smuggled_head_behind_a_chunked_body_is_checked_too():
-    """The first request is fine, so its connection lives on; the second hides in its tail."""
+async def test_head_after_a_chunked_body_is_validated_too():
+    """The first request is valid, so the connection stays open; the second one follows its body."""
     chunked = b"POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     hidden = b"GET /x HTTP/1.1\r\nHost: a\r\nX: y\r\n folded\r\n\r\n"
     async with await start() as server:
@@ -129,7 +128,7 @@
     "sent", [b"GET / HT", b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na"]
 )
 async def test_slow_sender_is_408(sent):
-    """A few callers on bad lines send half a request each and hold all connections for hours."""
+    """Callers with incomplete requests must not occupy all connections."""
     async with await start() as server:
         reply = await exchange(server.port, sent)
     assert status_of(reply) == 408
@@ -146,8 +145,8 @@
             writer.close()
 
 
-async def test_flood_of_connections_is_dropped_beyond_the_refusals(until):
-    """Thousands of connections come at once, and the answers that refuse them use up the memory."""
+async def test_connections_beyond_the_refusal_limit_are_dropped(until):
+    """The answers to thousands of excess connections must not exhaust the memory."""
     async with await start(limits=HttpLimits(connections=0)) as server:
         opened = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(110)]
         await until(lambda: server.connections == 100)
@@ -157,8 +156,8 @@
             writer.close()
 
 
-async def test_peer_that_does_not_read_is_cut_off(until):
-    """Callers that ask for large answers and never read them hold memory for good."""
+async def test_peer_that_does_not_read_is_disconnected(until):
+    """A caller that never reads a large answer must not occupy memory indefinitely."""
 
     async def handler(request: HttpRequest) -> HttpResponse:
         return HttpResponse(status=200, body=b"x" * 20_000_000)
@@ -173,10 +172,10 @@
 
 
 async def test_request_behind_a_last_response_does_not_destroy_it():
-    """A caller gets a reset instead of the answer to a request that was served.
+    """The close after the last response must not reset the connection.
 
-    The server drains and closes after the answer, while the caller's next request is on its way;
-    the kernel answers those bytes with a reset, which throws away what the caller had not read.
+    If the caller's next request is in transit when a draining server closes, the kernel sends a
+    reset, which discards the part of the response that the caller has not read.
     """
 
     async def handler(request: HttpRequest) -> HttpResponse:
@@ -193,8 +192,8 @@
         writer.close()
 
 
-async def test_a_peer_sees_the_end_of_an_idle_connection_as_soon_as_it_is_decided():
-    """Guards against a reset of what a peer sends in the same turn of the server's loop."""
+async def test_close_of_an_idle_connection_is_visible_to_the_peer_at_once():
+    """Guards against a reset of a request that a peer sends in the same loop iteration."""
     async with await start() as server:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.write(GET)
@@ -204,7 +203,7 @@
         assert not peer_has_closed(peer)
         session.check_time(asyncio.get_running_loop().time() + 60.0, 0.25)
         assert peer_has_closed(peer)
-        # What crosses the end is read and dropped, and does not end in a reset.
+        # A request that crosses the close is read and discarded, without a reset.
         writer.write(GET)
         await reader.read()
         writer.close()
@@ -216,10 +215,10 @@
         assert await exchange(server.port, b"") == b""
 
 
-async def test_caller_gone_cancels_the_handler():
-    """A caller hangs up while its search runs; the search holds slots of backend servers.
+async def test_disconnect_of_the_caller_cancels_the_handler():
+    """An abandoned request must not occupy slots of backend servers.
 
-    The server must see the end of input while the handler runs and cancel it.
+    The server detects the end of input while the handler runs and cancels it.
     """
     started, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -241,7 +240,7 @@
         await asyncio.wait_for(cancelled.wait(), 5)
 
 
-async def test_refusals_and_faults_become_answers():
+async def test_refusals_and_exceptions_become_error_responses():
     faults = []
 
     async def handler(request: HttpRequest) -> HttpResponse:
@@ -288,11 +287,11 @@
     assert reply.count(b"hello") == 1
 
 
-async def test_drain_cuts_no_request(until):
-    """A VM leaves while callers keep sending; one of them gets a reset instead of an answer.
+async def test_drain_aborts_no_request(until):
+    """A VM that shuts down while callers keep sending must not reset any request.
 
-    Order: requests in flight, drain begins, more requests come on open and new connections, then
-    the close. Each request must get its answer, and each answer must send its caller elsewhere.
+    Order: requests in flight, start of the drain, more requests on open and new connections, close.
+    Each request gets its answer, and each answer has `Connection: close`.
     """
     release = asyncio.Event()
 
@@ -318,26 +317,26 @@
     assert server.connections == 0
 
 
-async def test_request_cut_by_the_end_of_the_grace_time_is_told_that_it_may_have_run(until):
+async def test_request_cancelled_at_the_end_of_the_grace_period_may_have_run(until):
     async def handler(request: HttpRequest) -> HttpResponse:
         await asyncio.sleep(60)
         return HttpResponse(status=200)
 
     server = await start(handler)
-    asking = asyncio.create_task(exchange(server.port, GET))
+    pending = asyncio.create_task(exchange(server.port, GET))
     await until(lambda: server.in_flight == 1)
     await server.close(grace=0.05)
-    reply = await asking
+    reply = await pending
     assert status_of(reply) == 503
     assert b'"run":"may_have_run"' in reply
 
 
-async def test_request_half_read_at_the_end_of_the_grace_time_has_not_run(until):
+async def test_request_half_read_at_the_end_of_the_grace_period_has_not_run(until):
     server = await start(limits=HttpLimits())
-    asking = asyncio.create_task(exchange(server.port, GET[:-2]))
+    pending = asyncio.create_task(exchange(server.port, GET[:-2]))
     await until(lambda: server.connections == 1)
     await server.close(grace=0.05)
-    reply = await asking
+    reply = await pending
     assert status_of(reply) == 503
     assert b'"run":"not_run"' in reply
 
--- a/tests/wire/test_link_history.py
+++ b/tests/wire/test_link_history.py
@@ -1,4 +1,4 @@
-"""Random histories of links, checked for what an entry may tell of its attempts."""
+"""Property test of links: random histories, checked for consistent replies to an entry."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class HeldOwner(BatchHandler):
-    """Keep every attempt until the test answers it."""
+    """Hold every attempt until the test answers it."""
 
     def __init__(self) -> None:
         self.seen: set[str] = set()
@@ -39,11 +39,11 @@
 
 
 class LinkHistory(RuleBasedStateMachine):
-    """Submit, cancel, answer, answer wrongly, break and drain in any order.
+    """Submit, cancel, answer, misroute replies, restart and drain in any order.
 
-    What must hold however it goes: no attempt is answered twice or after it was cancelled, NOT_RUN
-    is told only of attempts that no owner has seen, success only of those that one answered, and in
-    the end each attempt is answered or cancelled.
+    After any sequence: no attempt is answered twice or after its cancellation, NOT_RUN is reported
+    only for attempts that no owner has received, success only for those that an owner answered, and
+    finally each attempt is answered or cancelled.
     """
 
     def __init__(self) -> None:
@@ -56,12 +56,12 @@
         self.answered: set[str] = set()
         self.faults: list[str] = []
 
-    def do(self, work: Coroutine[Any, Any, None]) -> None:
-        self.loop.run_until_complete(work)
+    def run_in_loop(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self.loop.run_until_complete(coroutine)
 
     @initialize()
     def start(self) -> None:
-        self.do(self._start())
+        self.run_in_loop(self._start())
 
     async def _start(self) -> None:
         self.owner = HeldOwner()
@@ -90,20 +90,20 @@
             entry="e", caller="c", deadline_ms=60_000, revision=1, attempts=attempts
         )
         self.submitted += [attempt.id for attempt in attempts]
-        self.do(self._submit(batch, turns))
+        self.run_in_loop(self._submit(batch, turns))
 
     async def _submit(self, batch: AttemptBatch, turns: int) -> None:
         self.links.submit(self.vm, batch, self._on_reply)
         for _ in range(turns):
             await asyncio.sleep(0)
 
-    # What is there to choose from depends on sockets and so on time; a draw must not, or Hypothesis
-    # takes a busy machine for a strategy that is flaky.
+    # The available choices depend on sockets and thus on timing. The draw must not, or Hypothesis
+    # reports a flaky strategy on a busy machine.
     @rule(pick=st.integers(0, 999))
     def cancel(self, pick: int) -> None:
         waiting = [name for name in self.submitted if name not in self.replies]
         start = pick % len(waiting) if waiting else 0
-        self.do(self._cancel((waiting[start:] + waiting[:start])[:2]))
+        self.run_in_loop(self._cancel((waiting[start:] + waiting[:start])[:2]))
 
     async def _cancel(self, chosen: list[str]) -> None:
         self.cancelled.update(chosen)
@@ -111,7 +111,7 @@
 
     @rule()
     def wait(self) -> None:
-        self.do(asyncio.sleep(0.01))
+        self.run_in_loop(asyncio.sleep(0.01))
 
     @rule(pick=st.integers(0, 999), twice=st.booleans(), shard=st.sampled_from("01"))
     def answer(self, pick: int, twice: bool, shard: str) -> None:
@@ -122,12 +122,12 @@
         message = AttemptReply(attempt=attempt.id, server="s", shard=shard)
         if shard == attempt.shard:
             self.answered.add(attempt.id)
-        self.do(self._answer(reply, message, 2 if twice else 1))
+        self.run_in_loop(self._answer(reply, message, 2 if twice else 1))
         if shard != attempt.shard:
-            # Time for the crossed reply to arrive and be dropped; a deadline ends the attempt.
+            # Let the misrouted reply arrive and be dropped; cancel the attempt as a deadline does.
             self.wait()
             if attempt.id not in self.replies:
-                self.do(self._cancel([attempt.id]))
+                self.run_in_loop(self._cancel([attempt.id]))
 
     async def _answer(
         self, reply: Callable[[AttemptReply], None], message: AttemptReply, times: int
@@ -137,7 +137,7 @@
 
     @rule(grace=st.sampled_from([0.0, 0.02]))
     def restart(self, grace: float) -> None:
-        self.do(self._restart(grace))
+        self.run_in_loop(self._restart(grace))
 
     async def _restart(self, grace: float) -> None:
         await self.server.close(grace)
@@ -145,7 +145,7 @@
         self.server = await self._serve(self.vm.peer_port)
 
     @invariant()
-    def no_reply_is_untrue(self) -> None:
+    def replies_are_consistent(self) -> None:
         assert self.faults == []
         for name, reply in self.replies.items():
             if reply.run is RunState.NOT_RUN:
@@ -155,8 +155,8 @@
 
     def teardown(self) -> None:
         try:
-            self.do(self._end())
-            self.no_reply_is_untrue()
+            self.run_in_loop(self._end())
+            self.replies_are_consistent()
             waiting = set(self.submitted) - self.replies.keys() - self.cancelled
             assert waiting == set()
         finally:
--- a/tests/wire/test_peer_auth.py
+++ b/tests/wire/test_peer_auth.py
@@ -1,4 +1,4 @@
-"""The proof that a caller of a peer knows the shared key."""
+"""Tests of the authentication of calls between peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("skew", [0.0, MAX_CLOCK_SKEW_S - 1, 1 - MAX_CLOCK_SKEW_S])
 def test_signed_call_is_accepted_once(skew):
-    """Someone records the call that opens a link and sends it again."""
+    """A replay of the call that opens a link must be rejected."""
     clock = Clock()
     verifier = CallVerifier(b"k", clock)
     call = sign_call(b"k", "/m", clock.now + skew)
@@ -28,12 +28,12 @@
 
 
 @pytest.mark.parametrize("skew", [MAX_CLOCK_SKEW_S + 1, -MAX_CLOCK_SKEW_S - 1])
-def test_call_outside_the_window_is_refused(skew):
+def test_call_with_excessive_clock_skew_is_rejected(skew):
     clock = Clock()
     assert not CallVerifier(b"k", clock).accepts("/m", sign_call(b"k", "/m", clock.now + skew))
 
 
-def test_call_for_another_method_or_with_altered_entries_is_refused():
+def test_call_for_another_method_or_with_altered_entries_is_rejected():
     clock = Clock()
     verifier = CallVerifier(b"k", clock)
     call = sign_call(b"k", "/m", clock.now)
@@ -46,7 +46,7 @@
     assert verifier.accepts("/m", call)
 
 
-def test_nonces_are_forgotten_when_they_can_no_longer_be_used():
+def test_expired_nonces_are_discarded():
     clock = Clock()
     verifier = CallVerifier(b"k", clock)
     for _ in range(50):
--- a/tests/wire/test_peer_calls.py
+++ b/tests/wire/test_peer_calls.py
@@ -1,4 +1,4 @@
-"""Control calls between peers over sockets of the loopback interface."""
+"""Tests of control calls between peers over loopback sockets."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 async def test_control_calls(pair):
-    async with pair() as it:
-        assert await it.links.call(it.vm, "add", b"4", timeout=2) == b"41"
+    async with pair() as peers:
+        assert await peers.links.call(peers.vm, "add", b"4", timeout=2) == b"41"
         expected = {
             "refuse": ErrorKind.STALE_PLAN,
             "break": ErrorKind.INTERNAL,
@@ -22,19 +22,19 @@
         }
         for method, kind in expected.items():
             with pytest.raises(RefusalError) as caught:
-                await it.links.call(it.vm, method, b"", timeout=2)
+                await peers.links.call(peers.vm, method, b"", timeout=2)
             assert caught.value.refusal.kind is kind
         with pytest.raises(RefusalError) as caught:
-            await it.links.call(it.vm, "hang", b"", timeout=0.05)
+            await peers.links.call(peers.vm, "hang", b"", timeout=0.05)
         assert caught.value.refusal.kind is ErrorKind.DEADLINE_EXCEEDED
-        assert await it.links.call(it.vm, "add", b"", timeout=2) == b"1"
-        await it.server.close()
+        assert await peers.links.call(peers.vm, "add", b"", timeout=2) == b"1"
+        await peers.server.close()
         with pytest.raises(RefusalError) as caught:
-            await it.links.call(it.vm, "add", b"", timeout=2)
+            await peers.links.call(peers.vm, "add", b"", timeout=2)
         assert caught.value.refusal.kind is ErrorKind.CONNECTION_LOST
 
 
-def test_port_that_others_reach_needs_a_key():
+def test_non_loopback_port_requires_a_key():
     owner = Mock(spec=BatchHandler)
     PeerServer("127.0.0.1", 0, batch_handler=owner, control={}, key=None)
     with pytest.raises(KeyRequiredError):
--- a/tests/wire/test_peer_links.py
+++ b/tests/wire/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Links between entry and owner over sockets of the loopback interface."""
+"""Tests of links between entry and owner over loopback sockets."""
 
 from __future__ import annotations
 
@@ -15,228 +15,232 @@
 
 
 async def test_each_attempt_is_answered_once(until, pair):
-    async with pair() as it:
+    async with pair() as peers:
         for number in range(5):
-            it.submit(f"{number}a", f"{number}b")
-        await until(lambda: len(it.replies.all) == 10)
-        assert set(it.replies.told.values()) == {(None, None)}
-        assert it.links.counters.opened == 1
-        assert it.links.counters.frames_sent < 5
-        assert it.links.outstanding == 0
+            peers.submit(f"{number}a", f"{number}b")
+        await until(lambda: len(peers.replies.all) == 10)
+        assert set(peers.replies.outcomes.values()) == {(None, None)}
+        assert peers.links.counters.opened == 1
+        assert peers.links.counters.frames_sent < 5
+        assert peers.links.outstanding == 0
 
 
-async def test_much_at_once_goes_in_several_frames(until, pair):
-    """One large search stops a VM for tens of milliseconds, and all other searches with it."""
-    async with pair() as it:
+async def test_many_attempts_are_split_into_several_frames(until, pair):
+    """A single frame for a large search would block the event loop for tens of milliseconds."""
+    async with pair() as peers:
         for number in range(40):
-            it.submit(*(f"{number}.{index}" for index in range(10)))
-        await until(lambda: len(it.replies.all) == 400)
-        assert set(it.replies.told.values()) == {(None, None)}
-        assert 4 <= it.links.counters.frames_sent <= 8
-        assert it.links.counters.frames_received >= 4
+            peers.submit(*(f"{number}.{index}" for index in range(10)))
+        await until(lambda: len(peers.replies.all) == 400)
+        assert set(peers.replies.outcomes.values()) == {(None, None)}
+        assert 4 <= peers.links.counters.frames_sent <= 8
+        assert peers.links.counters.frames_received >= 4
 
 
 async def test_link_broken_mid_batch(until, pair):
-    """A page of lots comes back with some shards missing, or a hold is placed twice.
+    """Guards against lost answers and against a repeated write after an owner crashes.
 
-    The owner crashes when it has answered some attempts of a batch. Those that it answered keep
-    their answers; each other one is told, once, that it may have run, as it was written.
+    The owner closes after it has answered some attempts of a batch. Those keep their answers; each
+    other attempt is reported once as MAY_HAVE_RUN, since it was written.
     """
-    async with pair() as it:
-        it.submit("a", "b", "c:slow", "d")
-        await until(lambda: len(it.replies.all) == 2)
-        await it.server.close()
-        await until(lambda: len(it.replies.all) == 4)
-        assert it.replies.told == {"a": (None, None), "b": (None, None), "c": LOST, "d": LOST}
+    async with pair() as peers:
+        peers.submit("a", "b", "c:slow", "d")
+        await until(lambda: len(peers.replies.all) == 2)
+        await peers.server.close()
+        await until(lambda: len(peers.replies.all) == 4)
+        assert peers.replies.outcomes == {
+            "a": (None, None),
+            "b": (None, None),
+            "c": LOST,
+            "d": LOST,
+        }
 
 
-async def test_owner_that_cannot_be_reached_has_not_run(until, pair):
-    async with pair() as it:
-        await it.server.close()
-        it.submit("a", "b")
-        await until(lambda: len(it.replies.all) == 2)
-        it.submit("c")
-        await until(lambda: len(it.replies.all) == 3)
-        assert set(it.replies.told.values()) == {NOT_SENT}
+async def test_attempts_for_an_unreachable_owner_have_not_run(until, pair):
+    async with pair() as peers:
+        await peers.server.close()
+        peers.submit("a", "b")
+        await until(lambda: len(peers.replies.all) == 2)
+        peers.submit("c")
+        await until(lambda: len(peers.replies.all) == 3)
+        assert set(peers.replies.outcomes.values()) == {NOT_SENT}
 
 
-async def test_retry_from_the_callback_does_not_stop_the_loop(until, pair):
-    """A VM answers nothing any more when one of its owners is gone.
+async def test_retry_from_the_callback_does_not_starve_the_loop(until, pair):
+    """An unreachable owner must not stall the whole VM.
 
-    Each refusal is submitted again from within its callback, and while the link must not be
-    opened yet, each is refused at once. Other work must go on meanwhile.
+    During the link's backoff each attempt is refused at once, and the callback submits it again.
+    The event loop must still run other work.
     """
-    async with pair() as it:
-        await it.server.close()
+    async with pair() as peers:
+        await peers.server.close()
         names = iter(range(1_000_000))
-        until_when = asyncio.get_running_loop().time() + 0.2
+        retry_until = asyncio.get_running_loop().time() + 0.2
 
         def retry(reply: AttemptReply) -> None:
-            if asyncio.get_running_loop().time() < until_when:
-                it.links.submit(it.vm, it.batch_of(f"x{next(names)}"), retry)
+            if asyncio.get_running_loop().time() < retry_until:
+                peers.links.submit(peers.vm, peers.batch_of(f"x{next(names)}"), retry)
             else:
-                it.replies.take(reply)
+                peers.replies.take(reply)
 
         turns = 0
-        it.links.submit(it.vm, it.batch_of("first"), retry)
-        while not it.replies.all:
+        peers.links.submit(peers.vm, peers.batch_of("first"), retry)
+        while not peers.replies.all:
             await asyncio.sleep(0)
             turns += 1
         assert turns > 100
 
 
-async def test_wrong_key_has_not_run(until, pair):
-    async with pair(key=b"other") as it:
-        it.submit("a")
-        await until(lambda: len(it.replies.all) == 1)
-        assert it.replies.told == {"a": NOT_SENT}
-        assert it.server.unauthorised == 1
-        assert it.owner.seen == []
+async def test_attempts_with_a_wrong_key_have_not_run(until, pair):
+    async with pair(key=b"other") as peers:
+        peers.submit("a")
+        await until(lambda: len(peers.replies.all) == 1)
+        assert peers.replies.outcomes == {"a": NOT_SENT}
+        assert peers.server.unauthorised == 1
+        assert peers.owner.seen == []
         with pytest.raises(RefusalError) as caught:
-            await it.links.call(it.vm, "add", b"", timeout=2)
+            await peers.links.call(peers.vm, "add", b"", timeout=2)
         assert caught.value.refusal.kind is ErrorKind.UNAUTHORISED
 
 
 async def test_full_queue_is_refused_at_once(until, pair):
-    async with pair(max_queued=2) as it:
-        it.submit("a", "b")
-        it.submit("c")
-        assert it.replies.all == []
-        await until(lambda: len(it.replies.all) == 3)
-        assert it.replies.told["c"] == (ErrorKind.OVERLOADED, RunState.NOT_RUN)
-        assert it.owner.seen == ["a", "b"]
+    async with pair(max_queued=2) as peers:
+        peers.submit("a", "b")
+        peers.submit("c")
+        assert peers.replies.all == []
+        await until(lambda: len(peers.replies.all) == 3)
+        assert peers.replies.outcomes["c"] == (ErrorKind.OVERLOADED, RunState.NOT_RUN)
+        assert peers.owner.seen == ["a", "b"]
 
 
-async def test_crossed_and_late_replies_are_dropped(until, pair):
-    """A buyer reads another buyer's allocation.
+async def test_misrouted_and_late_replies_are_dropped(until, pair):
+    """A misrouted reply would give one caller the result of another.
 
-    An owner answers under the wrong id, for another server or shard, or a second time. None of
-    these may reach a caller, and each is counted.
+    An owner answers with the wrong id, server or shard, or twice. Such replies are dropped and
+    counted.
     """
-    async with pair() as it:
-        it.owner.make = lambda attempt: [
-            attrs.evolve(it.ok(attempt), attempt="z"),
-            attrs.evolve(it.ok(attempt), server="other"),
+    async with pair() as peers:
+        peers.owner.make = lambda attempt: [
+            attrs.evolve(peers.ok(attempt), attempt="z"),
+            attrs.evolve(peers.ok(attempt), server="other"),
         ]
-        it.submit("a")
-        await until(lambda: it.links.counters.dropped_replies == 1)
-        it.owner.make = lambda attempt: [attrs.evolve(it.ok(attempt), shard="9")]
-        it.submit("b")
-        await until(lambda: it.links.counters.dropped_replies == 2)
-        it.owner.make = lambda attempt: [it.ok(attempt), it.ok(attempt)]
-        it.submit("c")
-        await until(lambda: len(it.replies.all) == 1)
-        assert it.replies.told == {"c": (None, None)}
+        peers.submit("a")
+        await until(lambda: peers.links.counters.dropped_replies == 1)
+        peers.owner.make = lambda attempt: [attrs.evolve(peers.ok(attempt), shard="9")]
+        peers.submit("b")
+        await until(lambda: peers.links.counters.dropped_replies == 2)
+        peers.owner.make = lambda attempt: [peers.ok(attempt), peers.ok(attempt)]
+        peers.submit("c")
+        await until(lambda: len(peers.replies.all) == 1)
+        assert peers.replies.outcomes == {"c": (None, None)}
 
 
-async def test_owner_that_forgets_an_attempt_is_answered_for(until, pair):
-    async with pair() as it:
-        it.owner.make = lambda attempt: [] if attempt.id == "a" else [it.ok(attempt)]
-        it.submit("a", "b")
-        await until(lambda: len(it.replies.all) == 2)
-        assert it.replies.told["a"] == (ErrorKind.INTERNAL, RunState.MAY_HAVE_RUN)
+async def test_attempt_without_a_reply_from_the_handler_is_answered_internal(until, pair):
+    async with pair() as peers:
+        peers.owner.make = lambda attempt: [] if attempt.id == "a" else [peers.ok(attempt)]
+        peers.submit("a", "b")
+        await until(lambda: len(peers.replies.all) == 2)
+        assert peers.replies.outcomes["a"] == (ErrorKind.INTERNAL, RunState.MAY_HAVE_RUN)
 
 
 async def test_cancelled_attempts_get_no_reply_and_the_owner_is_told(until, pair):
-    async with pair() as it:
-        it.submit("a:slow", "b:slow")
-        it.submit("c")
-        it.links.cancel(it.vm, ["c"])
-        await until(lambda: it.owner.seen == ["a", "b"])
-        it.links.cancel(it.vm, ["a", "unknown"])
-        await until(lambda: it.owner.cancelled == ["a"])
-        it.owner.release.set()
-        await until(lambda: len(it.replies.all) == 1)
-        assert it.replies.told == {"b": (None, None)}
-
-
-async def test_entry_that_goes_away_stops_its_work(until, pair):
-    """A VM is replaced while its searches run, and its owners work on for nobody."""
-    async with pair() as it:
-        it.submit("a:slow")
-        await until(lambda: it.owner.seen == ["a"])
-        await it.links.close()
-        await until(lambda: it.owner.cancelled == ["a"])
-        assert it.replies.told == {"a": LOST}
+    async with pair() as peers:
+        peers.submit("a:slow", "b:slow")
+        peers.submit("c")
+        peers.links.cancel(peers.vm, ["c"])
+        await until(lambda: peers.owner.seen == ["a", "b"])
+        peers.links.cancel(peers.vm, ["a", "unknown"])
+        await until(lambda: peers.owner.cancelled == ["a"])
+        peers.owner.release.set()
+        await until(lambda: len(peers.replies.all) == 1)
+        assert peers.replies.outcomes == {"b": (None, None)}
+
+
+async def test_close_of_the_entry_cancels_its_work(until, pair):
+    """After an entry closes, its owners must cancel the work that it has submitted."""
+    async with pair() as peers:
+        peers.submit("a:slow")
+        await until(lambda: peers.owner.seen == ["a"])
+        await peers.links.close()
+        await until(lambda: peers.owner.cancelled == ["a"])
+        assert peers.replies.outcomes == {"a": LOST}
 
 
 async def test_submit_after_the_close_is_refused(until, pair):
-    async with pair() as it:
-        await it.links.close()
-        it.submit("a", "b")
-        await until(lambda: len(it.replies.all) == 2)
+    async with pair() as peers:
+        await peers.links.close()
+        peers.submit("a", "b")
+        await until(lambda: len(peers.replies.all) == 2)
         refused = (ErrorKind.SHUTTING_DOWN, RunState.NOT_RUN)
-        assert it.replies.told == {"a": refused, "b": refused}
+        assert peers.replies.outcomes == {"a": refused, "b": refused}
 
 
-async def test_silent_link_is_broken(until, silenceable):
-    """Searches through one owner hang until their deadlines, though that VM is well.
+async def test_silent_link_is_broken(until, relayed_pair):
+    """Searches must not wait for their deadlines on a link whose path is dead.
 
-    Something between the two has lost the link: bytes go in, none come out, nothing resets. Pings
-    without a pong must break it; what was written may have run, and the next batch goes over a new
-    link.
+    All bytes are dropped without a reset. Pings without a pong close the link; written attempts may
+    have run, and the next batch uses a new link.
     """
-    async with silenceable() as (relay, it):
-        it.submit("a")
-        await until(lambda: len(it.replies.all) == 1)
+    async with relayed_pair() as (relay, peers):
+        peers.submit("a")
+        await until(lambda: len(peers.replies.all) == 1)
         relay.silent = True
-        it.submit("b")
-        await until(lambda: len(it.replies.all) == 2)
-        assert it.replies.told["b"] == LOST
-        assert it.links.counters.silent == 1
+        peers.submit("b")
+        await until(lambda: len(peers.replies.all) == 2)
+        assert peers.replies.outcomes["b"] == LOST
+        assert peers.links.counters.silent == 1
         relay.silent = False
-        it.submit("c")
-        await until(lambda: len(it.replies.all) == 3)
-        assert it.replies.told["c"] == (None, None)
+        peers.submit("c")
+        await until(lambda: len(peers.replies.all) == 3)
+        assert peers.replies.outcomes["c"] == (None, None)
 
 
-async def test_long_work_on_a_healthy_link_is_not_taken_for_silence(until, pair):
-    async with pair(silence_timeout=0.2) as it:
-        it.submit("a:slow")
-        await until(lambda: it.links.counters.frames_received >= 6)
-        it.owner.release.set()
-        await until(lambda: len(it.replies.all) == 1)
-        assert it.replies.told == {"a": (None, None)}
-        assert it.links.counters.silent == 0
+async def test_slow_work_on_a_healthy_link_is_not_silence(until, pair):
+    async with pair(silence_timeout=0.2) as peers:
+        peers.submit("a:slow")
+        await until(lambda: peers.links.counters.frames_received >= 6)
+        peers.owner.release.set()
+        await until(lambda: len(peers.replies.all) == 1)
+        assert peers.replies.outcomes == {"a": (None, None)}
+        assert peers.links.counters.silent == 0
 
 
-async def test_drain_cuts_no_batch(until, pair):
-    """A VM leaves; a search that it has taken on comes back without its shards.
+async def test_drain_loses_no_batch(until, pair):
+    """A VM that shuts down must answer all batches that it has received.
 
-    The owner says closing, the entry stops writing and ends its side, and the owner closes only
-    when all that was written before is answered.
+    The owner sends `closing`, the entry stops writing and ends its side of the stream, and the
+    owner closes only after it has answered everything written before.
     """
-    async with pair() as it:
-        it.submit("a:slow", "b")
-        await until(lambda: it.owner.seen == ["a", "b"])
-        closing = asyncio.create_task(it.server.close(grace=10))
-        await until(lambda: it.links.counters.frames_received >= 1)
-        it.submit("c")
-        it.owner.release.set()
+    async with pair() as peers:
+        peers.submit("a:slow", "b")
+        await until(lambda: peers.owner.seen == ["a", "b"])
+        closing = asyncio.create_task(peers.server.close(grace=10))
+        await until(lambda: peers.links.counters.frames_received >= 1)
+        peers.submit("c")
+        peers.owner.release.set()
         await closing
-        await until(lambda: len(it.replies.all) == 3)
-        assert it.replies.told == {
+        await until(lambda: len(peers.replies.all) == 3)
+        assert peers.replies.outcomes == {
             "a": (None, None),
             "b": (None, None),
             "c": (ErrorKind.SHUTTING_DOWN, RunState.NOT_RUN),
         }
-        assert it.links.counters.broken == 0
+        assert peers.links.counters.broken == 0
 
 
-async def test_deadline_shrinks_by_the_wait_for_the_link(until, pair):
-    async with pair() as it:
-        it.submit("a", deadline_ms=10_000)
-        it.submit("b", deadline_ms=0)
-        await until(lambda: len(it.replies.all) == 2)
-        assert it.replies.told["b"] == (ErrorKind.DEADLINE_EXCEEDED, RunState.NOT_RUN)
-        assert 0 < it.owner.deadlines[0] <= 10_000
-        assert it.owner.seen == ["a"]
+async def test_wait_for_the_link_reduces_the_deadline(until, pair):
+    async with pair() as peers:
+        peers.submit("a", deadline_ms=10_000)
+        peers.submit("b", deadline_ms=0)
+        await until(lambda: len(peers.replies.all) == 2)
+        assert peers.replies.outcomes["b"] == (ErrorKind.DEADLINE_EXCEEDED, RunState.NOT_RUN)
+        assert 0 < peers.owner.deadlines[0] <= 10_000
+        assert peers.owner.seen == ["a"]
 
 
-async def test_fault_in_a_reply_callback_breaks_no_link(until, pair):
+async def test_exception_in_a_reply_callback_closes_no_link(until, pair):
     faults: list[BaseException] = []
-    async with pair(on_fault=faults.append) as it:
-        it.links.submit(it.vm, it.batch_of("a"), lambda _: 1 // 0)
-        it.submit("b")
-        await until(lambda: len(it.replies.all) == 1)
+    async with pair(on_fault=faults.append) as peers:
+        peers.links.submit(peers.vm, peers.batch_of("a"), lambda _: 1 // 0)
+        peers.submit("b")
+        await until(lambda: len(peers.replies.all) == 1)
         assert [type(fault) for fault in faults] == [ZeroDivisionError]
--- a/tests/wire/test_peer_stop.py
+++ b/tests/wire/test_peer_stop.py
@@ -1,4 +1,4 @@
-"""A peer server stops at any moment of a connection's making."""
+"""Tests of stopping a peer server while a connection is being established."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from berylspindle_wire.owner_link import BatchHandler
 from berylspindle_wire.peer_server import PeerServer
 
-# The loop turns from a pending connection to one that is made.
-TURNS = 6
+# Loop iterations from a pending connection to an established one.
+LOOP_ITERATIONS = 6
 
 
-class NoWork(BatchHandler):
-    """A handler that is never asked."""
+class UnusedHandler(BatchHandler):
+    """A handler that must not be called."""
 
     async def run(self, batch: AttemptBatch, reply: Callable[[AttemptReply], None]) -> None:
         raise AssertionError
@@ -26,14 +26,14 @@
         raise AssertionError
 
 
-@pytest.mark.parametrize("turns", range(TURNS))
-async def test_a_peer_that_connects_while_the_server_stops_is_no_fault(turns: int) -> None:
-    """A daemon ends with an internal fault and code 1 though it has finished all its work.
+@pytest.mark.parametrize("turns", range(LOOP_ITERATIONS))
+async def test_a_peer_that_connects_while_the_server_stops_causes_no_error(turns: int) -> None:
+    """A daemon must not exit with an internal error and code 1 because a peer connects late.
 
-    All VMs are replaced at once. A peer connects in the very turn of the loop in which this VM
-    closes its connections; the library knows of that connection before it is made.
+    When all VMs are replaced at once, a peer may connect in the loop iteration in which this VM
+    closes its connections; grpclib has created the protocol but not yet its connection.
     """
-    server = PeerServer("127.0.0.1", 0, batch_handler=NoWork(), control={}, key=None)
+    server = PeerServer("127.0.0.1", 0, batch_handler=UnusedHandler(), control={}, key=None)
     await server.start()
     with socket.create_connection(("127.0.0.1", server.port)):
         for _ in range(turns):
--- a/tests/wire/test_server_end.py
+++ b/tests/wire/test_server_end.py
@@ -1,4 +1,4 @@
-"""Connections that end while a request for them lies in the kernel, unread or not yet accepted."""
+"""Tests of closing connections whose request is in the kernel, unread or not yet accepted."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 async def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
-    """A caller's search ends with a reset while a VM is replaced.
+    """The replacement of a VM must not reset a request that has already been written.
 
-    The VM closes connections that have been idle. Its loop is busy, and a request that a caller has
-    written meanwhile lies in the kernel: a close would drop it and send a reset.
+    While the loop is busy, a request arrives in the kernel on an idle connection. Closing that
+    connection would drop the request and send a reset.
     """
     loop = asyncio.get_running_loop()
     async with await start() as server:
@@ -31,7 +31,7 @@
             caller.setblocking(False)
             await loop.sock_sendall(caller, GET)
             assert (await loop.sock_recv(caller, 1000)).startswith(b"HTTP/1.1 200")
-            # From here on the loop reads nothing until the sessions have been looked over.
+            # From here on the loop reads nothing until all sessions have been checked.
             caller.send(GET)
             for session in server._sessions:
                 session.check_time(loop.time() + 3600, 60.0)
@@ -40,10 +40,10 @@
 
 
 async def test_a_connection_made_just_before_the_port_closes_is_served() -> None:
-    """A caller's search ends with a reset while a VM is replaced.
+    """The replacement of a VM must not reset connections in the queue of its port.
 
-    The kernel has taken the caller's connection, the VM has not yet; closing the port resets what
-    waits there. The connection is made in the same turn of the loop that closes the port.
+    The kernel has established the connection and the VM has not accepted it; closing the port
+    resets such connections. It is made in the same loop iteration that closes the port.
     """
     loop = asyncio.get_running_loop()
     server = await start()
@@ -53,7 +53,7 @@
         try:
             made.append(socket.create_connection(("127.0.0.1", server.port)))
         except ConnectionRefusedError:
-            # Closed already, which tells the caller that nothing was taken.
+            # The port is closed: the caller knows that its request was not accepted.
             return
         made[-1].sendall(GET)
 
--- a/tests/wire/test_silent_paths.py
+++ b/tests/wire/test_silent_paths.py
@@ -1,4 +1,4 @@
-"""Connections whose path goes silent are ended by the kernel, idle or waiting for a reply."""
+"""Tests that the kernel closes connections whose path is dead, idle or waiting for a reply."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from berylspindle_wire.http_client import connect
 
 
-async def test_every_client_connection_has_the_kernel_watch_its_path() -> None:
-    """A VM serves by an old configuration for ten seconds after a cut has healed.
+async def test_every_client_connection_enables_dead_path_detection() -> None:
+    """A VM must not use an old configuration for ten seconds after a network partition has healed.
 
-    Its watch of the store waits on a connection that the cut has silenced: the store has long
-    dropped it, nothing was reset, and the wait of the watch is half a minute. Only probes of the
-    kernel find that out in time. Packets can't be dropped on loopback, so the test asks the kernel.
+    Its store watch, which waits for half a minute, uses a connection that the store has dropped
+    without a reset. Only kernel keepalive probes detect that in time. Packets can't be dropped on
+    loopback, so the test checks the socket options.
     """
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
@@ -28,7 +28,7 @@
         step = watched.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
         tries = watched.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
         assert watched.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
-        # A cut VM counts as in touch four seconds after the cut has healed.
+        # A VM counts as connected four seconds after a network partition has healed.
         assert idle + step * tries <= 4
         assert 0 < watched.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) <= 2000
         connection.close()
--- a/tests/wire/test_stale_connection.py
+++ b/tests/wire/test_stale_connection.py
@@ -1,4 +1,4 @@
-"""Idle connections that the peer has ended before this process could look."""
+"""Tests of idle connections whose close by the peer this process has not yet read."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def reset(connection: socket.socket) -> None:
-    """Close with a reset instead of an orderly end."""
+    """Close with a reset instead of an orderly shutdown."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
 
 
 class EndingServer:
-    """Answer one request on each connection, then end it when told; count requests."""
+    """Answer the first request and close its connection when `end` is set; count requests."""
 
     def __init__(self, end: Callable[[socket.socket], None]) -> None:
         self.requests = 0
@@ -58,13 +58,13 @@
 
 
 @pytest.mark.parametrize("end", [reset, socket.socket.close])
-async def test_a_connection_that_ended_unseen_carries_no_request(
+async def test_a_connection_with_an_unread_close_carries_no_request(
     end: Callable[[socket.socket], None],
 ) -> None:
-    """A hold is told as "may have run", though no server ever saw it.
+    """A hold must not be reported as "may have run" although no server received it.
 
-    The backend server ends an idle connection while this process is busy; the loop takes up the
-    hold before it has read the end off the socket, and writes the hold into nothing.
+    The backend server closes an idle connection while this process is busy; the loop then sends the
+    hold before it has read the end from the socket.
     """
     server = EndingServer(end)
     pool = ConnectionPool(
@@ -73,7 +73,7 @@
     try:
         await pool.request(HOLD, timeout=5)
         server.end.set()
-        # Blocking the loop is the point: the end is in the kernel and nobody has looked.
+        # Block the loop on purpose, so that the close stays unread in the kernel.
         assert server.ended.wait(5)
         answer = await asyncio.wait_for(pool.request(HOLD, timeout=5), 5)
     finally:
--- a/tests/wire/test_tls.py
+++ b/tests/wire/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS between HTTP server and client, with certificates of a test CA that last until 2123."""
+"""Tests of TLS between HTTP server and client; the test CA's certificates expire in 2123."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 MUTUAL = TlsFiles(certificate=path("server"), key=path("server_key"), ca=path("ca"))
 ANONYMOUS = TlsFiles(ca=path("ca"))
 OPERATOR = TlsFiles(certificate=path("client"), key=path("client_key"), ca=path("ca"))
-STRANGER = TlsFiles(ca=path("other_ca"))
+OTHER_CA = TlsFiles(ca=path("other_ca"))
 
 
 async def echo(request: HttpRequest) -> HttpResponse:
     return HttpResponse(status=200, body=request.body)
 
 
-async def ask(server_files: TlsFiles, client_files: TlsFiles) -> bytes:
+async def post_twice(server_files: TlsFiles, client_files: TlsFiles) -> bytes:
     async with (
         await serve(echo, host="127.0.0.1", port=0, tls=server_context(server_files)) as server,
         HttpClient("127.0.0.1", server.port, tls=client_context(client_files)) as client,
@@ -45,17 +45,17 @@
     ("server_files", "client_files"), [(SERVER, ANONYMOUS), (SERVER, OPERATOR), (MUTUAL, OPERATOR)]
 )
 async def test_requests_over_tls(server_files, client_files):
-    assert await ask(server_files, client_files) == b"x" * 100_000
+    assert await post_twice(server_files, client_files) == b"x" * 100_000
 
 
-async def test_server_of_another_ca_is_not_spoken_to():
-    """An operator confirms a plan to a program that only pretends to be the system."""
+async def test_server_certificate_of_another_ca_is_rejected():
+    """An operator must not confirm a plan to a server with an untrusted certificate."""
     with pytest.raises(HttpFailure) as caught:
-        await ask(SERVER, STRANGER)
+        await post_twice(SERVER, OTHER_CA)
     assert caught.value.phase is FailurePhase.NOT_SENT
 
 
-async def test_client_without_a_certificate_is_not_served():
+async def test_client_without_a_certificate_is_rejected():
     served = []
 
     async def handler(request: HttpRequest) -> HttpResponse:
@@ -71,7 +71,7 @@
     assert served == []
 
 
-async def test_last_response_over_tls_is_whole():
+async def test_last_response_over_tls_is_complete():
     async def handler(request: HttpRequest) -> HttpResponse:
         return HttpResponse(status=200, body=b"y" * 300_000, close=True)
 
@@ -83,8 +83,8 @@
     assert {len(reply.body) for reply in replies} == {300_000}
 
 
-async def test_handshake_that_never_ends_holds_no_connection(until):
-    """Connections that speak no TLS pile up until operators can no longer reach the system."""
+async def test_unfinished_tls_handshake_is_closed(until):
+    """Connections without a TLS handshake must not accumulate and lock out operators."""
     limits = HttpLimits(read_timeout=0.2)
     tls = server_context(SERVER)
     async with await serve(echo, host="127.0.0.1", port=0, tls=tls, limits=limits) as server:
@@ -93,7 +93,7 @@
         writer.close()
 
 
-def test_files_that_do_not_fit_are_a_clear_error():
+def test_invalid_tls_files_raise_settings_errors():
     with pytest.raises(TlsSettingsError, match="needs a certificate"):
         server_context(ANONYMOUS)
     with pytest.raises(TlsSettingsError, match="needs the CA"):
