--- a/libs/model/berylspindle_model/__init__.py
+++ b/libs/model/berylspindle_model/__init__.py
@@ -1,1 +1,1 @@
-"""Messages, configuration types and the closed list of error kinds."""
+"""Messages, configuration types and error kinds shared by all components."""
--- a/libs/model/berylspindle_model/backend_protocol.py
+++ b/libs/model/berylspindle_model/backend_protocol.py
@@ -1,14 +1,13 @@
-"""The protocol of the backend servers: every route, header, field and error word in one place.
+"""Define the protocol of the backend servers: routes, headers, bodies and error codes.
 
 Terms:
-  call     what is sent to a backend server: a search of its shard, or an execute that may not be
-           repeated
-  reply    the body of a 200
-  refusal  the body of any other status; its `error` word says whether the call ran
+  call     a request to a backend server: a search of its shard or a non-idempotent execute
+  reply    the body of a 200 response
+  refusal  the body of any other response; its `error` code says whether the call ran
 
 Flow: the data plane's adapter encodes a call and decodes the reply or the refusal; a backend
-server does the reverse. A change of the backend servers' protocol touches this module alone.
-A peer that closes its connection cancels the calls in flight on it.
+server does the reverse. All details of the protocol are confined to this module. A peer that
+closes its connection cancels the calls in flight on it.
 """
 
 from __future__ import annotations
@@ -27,12 +26,12 @@
 HEALTH_PATH: Final = "/health"
 LOAD_PATH: Final = "/load"
 
-# Milliseconds that are left until nobody waits for the reply any more, as a decimal integer.
+# Remaining time until the reply is no longer needed: a decimal integer, in milliseconds.
 DEADLINE_HEADER: Final = "x-deadline-ms"
 
 
 class BackendError(enum.StrEnum):
-    """The closed list of words in a refusal."""
+    """Error codes of a refusal; no others are valid."""
 
     SHED = "shed"
     DRAINING = "draining"
@@ -45,8 +44,8 @@
     FAILED = "failed"
 
 
-# Status and run state of each word. EXPIRED is a deadline that passed while the call still waited
-# for a slot; DEADLINE is one that passed while it ran.
+# HTTP status and run state of each error code. EXPIRED: the deadline passed while the call was
+# queued for a slot. DEADLINE: it passed while the call ran.
 REFUSALS: Final[dict[BackendError, tuple[int, RunState]]] = {
     BackendError.SHED: (503, RunState.NOT_RUN),
     BackendError.DRAINING: (503, RunState.NOT_RUN),
@@ -61,7 +60,7 @@
 
 
 class BackendState(enum.StrEnum):
-    """What a backend server says of itself; it may lag behind the truth."""
+    """State that a backend server reports of itself; it may be out of date."""
 
     COLD = "cold"
     WARM = "warm"
@@ -70,7 +69,7 @@
 
 @attrs.frozen(kw_only=True)
 class SearchCall:
-    """Ask one shard; without a pin the server computes on its newest snapshot."""
+    """Search one shard, on the pinned snapshot or else on the server's newest."""
 
     attempt: str
     service: str
@@ -82,12 +81,12 @@
 
 @attrs.frozen(kw_only=True)
 class SearchReply:
-    """The hits of one shard, best first, all computed on `snapshot`.
+    """Hits of one shard, best first, all computed on `snapshot`.
 
     Attributes:
-        versions: the snapshots that the server holds, newest last.
-        partial: whether the server itself searched only a part of its shard.
-        total: how many documents of the shard match, of which `hits` holds the first `limit`.
+        versions: snapshots that the server holds, newest last.
+        partial: whether the server searched only a part of its shard.
+        total: number of matching documents in the shard; `hits` holds the first `limit` of them.
     """
 
     attempt: str
@@ -103,7 +102,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteCall:
-    """Run a request that may not be repeated. The server does not look for an earlier one."""
+    """Run a non-idempotent request. The server does not detect duplicates of `key`."""
 
     attempt: str
     key: str
@@ -114,7 +113,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteReply:
-    """The outcome of an execute that ran."""
+    """Outcome of an execute that ran."""
 
     attempt: str
     key: str
@@ -124,7 +123,7 @@
 
 @attrs.frozen(kw_only=True)
 class BackendRefusal:
-    """Why there is no reply. `attempt` is empty where the call could not be read."""
+    """Reason for the missing reply. `attempt` is empty if the call could not be parsed."""
 
     error: BackendError
     attempt: str = ""
@@ -135,7 +134,7 @@
 
 @attrs.frozen(kw_only=True)
 class HealthReport:
-    """The body of GET /health."""
+    """Body of GET /health."""
 
     server: str
     state: BackendState
@@ -144,7 +143,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """The body of GET /load; a report may mislead."""
+    """Body of GET /load; the report may be inaccurate."""
 
     server: str
     in_flight: int
--- a/libs/model/berylspindle_model/causes.py
+++ b/libs/model/berylspindle_model/causes.py
@@ -1,10 +1,10 @@
-"""The closed list of causes for which a forwarded request is refused, fails or is late.
+"""Define the causes for which a forwarded request is refused, fails or is late.
 
 Terms:
-  cause   what has to be otherwise for the request to be answered in time
+  cause   the condition that prevented the request from being answered in time
 
-Flow: the daemon finds the cause of each such request and writes it into the request's line of the
-log and into a counter; the operators' tool prints it with what `CAUSES` says of it.
+Flow: the daemon determines the cause of each such request, writes it to the request's log line and
+counts it; the operators' tool prints it with the explanation in `CAUSES`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Cause(enum.StrEnum):
-    """The closed list of causes; a new one needs a row in `CAUSES`."""
+    """Cause of a refused, failed or late request; each needs an entry in `CAUSES`."""
 
     NO_TABLE = "no_table"
     NO_ROUTE = "no_route"
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class CauseText:
-    """What a cause means, and what an operator looks at."""
+    """Explanation of a cause, and what an operator should check."""
 
     meaning: str
     look_at: str
--- a/libs/model/berylspindle_model/checked.py
+++ b/libs/model/berylspindle_model/checked.py
@@ -1,14 +1,13 @@
-"""Read a configuration from outside and report every fault of it at once.
+"""Parse and encode configurations, and report all faults of a document at once.
 
 Terms:
-  fault       one thing that is wrong, with the path to it and words for an operator
-  canonical   the one text form of a configuration: sorted, indented, so that two can be compared
-              line by line
-  stored      the form in the configuration store: compact and compressed, since a value there may
-              have a megabyte and 5,200 backend servers take more than that as plain text
-
-Flow: text -> `parse_configuration` -> types by cattrs with all errors collected -> own checks over
-the whole document in `faults_of` -> a `Configuration`, or `ConfigurationFaults` with all of them.
+  fault       a problem in a configuration: the path to it and a description for operators
+  canonical   the sorted, indented JSON text of a configuration, which can be compared line by line
+  stored      the form in the configuration store: compact, compressed JSON. A value there is
+              limited to 1 MB, which the plain text of 5,200 backend servers exceeds
+
+Flow: text -> `parse_configuration` -> cattrs structures the types and collects all errors ->
+`faults_of` checks the contents -> a `Configuration`, or `ConfigurationFaults` with all faults.
 """
 
 from __future__ import annotations
@@ -30,13 +29,13 @@
 )
 from berylspindle_model.faults import Fault, faults_of
 
-# A longer text is refused unread; the store's megabyte holds about this much compressed.
+# Longer documents are rejected unparsed. Compressed, about this much fits into the store's 1 MB.
 MAX_TEXT: Final = 16 * 1024 * 1024
 _ROOT: Final = "$"
 
 
-class ConfigurationFaults(Exception):  # noqa: N818 - the faults are the point, not an error
-    """Carry every fault that was found in one document."""
+class ConfigurationFaults(Exception):  # noqa: N818 - named after what it carries
+    """Raised for an invalid configuration, with all faults that were found in it."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
         super().__init__("; ".join(f"{fault.path}: {fault.text}" for fault in faults))
@@ -44,25 +43,28 @@
 
 
 def parse_configuration(data: bytes) -> Configuration:
-    """Return the configuration that a JSON document holds.
+    """Return the configuration in a JSON document.
 
-    Raises ConfigurationFaults with all faults: those of types together, else those of content.
+    Raises ConfigurationFaults with all type errors, or else with all faults of the content.
     """
-    configuration = _structured(_document(data))
+    configuration = _structure_document(_load_document(data))
     faults = faults_of(configuration)
     if faults:
         raise ConfigurationFaults(faults)
-    return normal(configuration)
+    return normalise(configuration)
 
 
 def canonical(configuration: Configuration) -> bytes:
-    """Return the sorted, indented JSON text of a configuration; equal ones give equal bytes."""
-    document = _CONVERTER.unstructure(normal(configuration))
+    """Return the sorted, indented JSON text of a configuration.
+
+    Equal configurations give equal bytes.
+    """
+    document = _CONVERTER.unstructure(normalise(configuration))
     return (json.dumps(document, indent=2, sort_keys=True, ensure_ascii=False) + "\n").encode()
 
 
-def normal(configuration: Configuration) -> Configuration:
-    """Return the same configuration with its entities in order of their ids."""
+def normalise(configuration: Configuration) -> Configuration:
+    """Return the configuration with its data centres, services and servers sorted by id."""
     return attrs.evolve(
         configuration,
         data_centres=tuple(sorted(configuration.data_centres, key=lambda dc: dc.name)),
@@ -72,75 +74,79 @@
 
 
 def to_stored(configuration: Configuration) -> bytes:
-    """Return the compact form that the configuration store holds."""
-    document = _CONVERTER.unstructure(normal(configuration))
+    """Return the compressed form for the configuration store."""
+    document = _CONVERTER.unstructure(normalise(configuration))
     return zlib.compress(json.dumps(document, separators=(",", ":"), sort_keys=True).encode())
 
 
 def from_stored(data: bytes) -> Configuration:
-    """Return the configuration that a value of the store holds, compressed or as plain JSON.
+    """Return the configuration in a value of the store, compressed or plain JSON.
 
-    Raises ConfigurationFaults where it is neither.
+    Raises ConfigurationFaults for any other value.
     """
     if data[:1].isspace() or data[:1] == b"{":
         return parse_configuration(data)
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        text = reader.decompress(data, MAX_TEXT)
+        text = decompressor.decompress(data, MAX_TEXT)
     except zlib.error as error:
-        raise ConfigurationFaults((Fault(_ROOT, f"is not compressed JSON: {error}"),)) from error
-    if reader.unconsumed_tail or not reader.eof:
-        raise ConfigurationFaults((Fault(_ROOT, "is too long or was cut short"),))
+        raise ConfigurationFaults(
+            (Fault(_ROOT, f"is neither JSON nor compressed JSON: {error}"),)
+        ) from error
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise ConfigurationFaults(
+            (Fault(_ROOT, "decompresses to too many bytes, or is truncated"),)
+        )
     return parse_configuration(text)
 
 
-def _document(data: bytes) -> object:
+def _load_document(data: bytes) -> object:
     if len(data) > MAX_TEXT:
-        raise ConfigurationFaults((Fault(_ROOT, f"is longer than {MAX_TEXT} bytes"),))
+        raise ConfigurationFaults((Fault(_ROOT, f"is larger than {MAX_TEXT} bytes"),))
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise ConfigurationFaults((Fault(_ROOT, f"is not JSON: {error}"),)) from error
+        raise ConfigurationFaults((Fault(_ROOT, f"is not valid JSON: {error}"),)) from error
 
 
-def _structured(document: object) -> Configuration:
+def _structure_document(document: object) -> Configuration:
     try:
         return _CONVERTER.structure(document, Configuration)
     except Exception as error:
-        # cattrs raises groups of any exception a hook may raise; all become faults with paths.
-        lines = transform_error(error, path=_ROOT, format_exception=_words)
+        # cattrs groups whatever exceptions the hooks raise; each becomes a fault with its path.
+        lines = transform_error(error, path=_ROOT, format_exception=_describe_error)
         parts = (line.rpartition(" @ ") for line in lines)
         raise ConfigurationFaults(tuple(Fault(path, text) for text, _, path in parts)) from error
 
 
-def _words(error: BaseException, kind: type | None) -> str:
+def _describe_error(error: BaseException, kind: type | None) -> str:
     if isinstance(error, KeyError):
-        return f"lacks the field {error.args[0]!r}"
+        return f"missing field {error.args[0]!r}"
     return str(error) or type(error).__name__
 
 
-def _exact(value: Any, kind: type) -> Any:
-    # Without this 3.7 slots would silently become 3, and the text "3" a number.
+def _structure_exact(value: Any, kind: type) -> Any:
+    # By default cattrs would convert 3.7 to 3, and the string "3" to a number, without an error.
     if type(value) is not kind:
-        raise TypeError(f"must be {_NAMES[kind]}, not {value!r:.40}")
+        raise TypeError(f"must be {_TYPE_NAMES[kind]}, not {value!r:.40}")
     return value
 
 
-def _number(value: Any, kind: type) -> float:
+def _structure_float(value: Any, kind: type) -> float:
     if type(value) not in (int, float):
         raise TypeError(f"must be a number, not {value!r:.40}")
     return float(value)
 
 
-def _choice(value: Any, kind: type[enum.StrEnum]) -> enum.StrEnum:
+def _structure_enum(value: Any, kind: type[enum.StrEnum]) -> enum.StrEnum:
     choices = [member.value for member in kind]
     if value not in choices:
         raise TypeError(f"must be one of {', '.join(choices)}, not {value!r:.40}")
     return kind(value)
 
 
-def _tuple(value: Any, kind: Any) -> tuple[Any, ...]:
-    # A bare string would pass as a list of its letters.
+def _structure_tuple(value: Any, kind: Any) -> tuple[Any, ...]:
+    # A string would be accepted as a list of its characters.
     if not isinstance(value, list):
         raise TypeError(f"must be a list, not {value!r:.40}")
     item = get_args(kind)[0]
@@ -153,28 +159,28 @@
             error.add_note(IterableValidationNote(f"element {index}", index, item))
             errors.append(error)
     if errors:
-        raise IterableValidationError("faults in a list", errors, kind)
+        raise IterableValidationError("invalid list elements", errors, kind)
     return tuple(items)
 
 
-def _is_tuple(kind: Any) -> bool:
+def _is_tuple_type(kind: Any) -> bool:
     origin: Any = get_origin(kind)
     return origin is tuple
 
 
-_NAMES: Final[dict[type, str]] = {int: "a whole number", str: "a text", bool: "true or false"}
+_TYPE_NAMES: Final[dict[type, str]] = {int: "an integer", str: "a string", bool: "true or false"}
 
 
-def _converter() -> Converter:
+def _make_converter() -> Converter:
     converter = Converter(forbid_extra_keys=True, detailed_validation=True)
-    converter.register_structure_hook_func(_is_tuple, _tuple)
+    converter.register_structure_hook_func(_is_tuple_type, _structure_tuple)
     for choice in (DataCentreState, Preference, ServerState):
-        converter.register_structure_hook(choice, _choice)
-    converter.register_structure_hook(int, _exact)
-    converter.register_structure_hook(str, _exact)
-    converter.register_structure_hook(bool, _exact)
-    converter.register_structure_hook(float, _number)
+        converter.register_structure_hook(choice, _structure_enum)
+    converter.register_structure_hook(int, _structure_exact)
+    converter.register_structure_hook(str, _structure_exact)
+    converter.register_structure_hook(bool, _structure_exact)
+    converter.register_structure_hook(float, _structure_float)
     return converter
 
 
-_CONVERTER: Final = _converter()
+_CONVERTER: Final = _make_converter()
--- a/libs/model/berylspindle_model/codec.py
+++ b/libs/model/berylspindle_model/codec.py
@@ -1,8 +1,8 @@
-"""Encode and decode the typed messages, as JSON at the edges and as MessagePack between peers.
+"""Encode and decode typed messages: JSON at the edges, MessagePack between peers.
 
-Both forms come from one library and one set of attrs classes, so that a message has one shape
-everywhere. Decoding checks every type and raises `DecodeError` with the path of the first fault;
-the edges turn it into BAD_REQUEST or BAD_REPLY.
+Both forms use msgspec and the same attrs classes, so that a message has one definition. Decoding
+checks all types and raises `DecodeError` with the path of the first mismatch; the edges report it
+as BAD_REQUEST or BAD_REPLY.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 _JSON: Final = msgspec.json.Encoder()
 _SORTED_JSON: Final = msgspec.json.Encoder(order="sorted")
-_PACK: Final = msgspec.msgpack.Encoder()
+_MSGPACK: Final = msgspec.msgpack.Encoder()
 
 
 _JSON_DECODERS: Final[dict[object, msgspec.json.Decoder[Any]]] = {}
-_PACK_DECODERS: Final[dict[object, msgspec.msgpack.Decoder[Any]]] = {}
+_MSGPACK_DECODERS: Final[dict[object, msgspec.msgpack.Decoder[Any]]] = {}
 
 
 def to_json(message: object) -> bytes:
-    """Return the JSON form of a message."""
+    """Return the JSON encoding of a message."""
     return _JSON.encode(message)
 
 
 def from_json(data: bytes, kind: type[T]) -> T:
-    """Return the message of type `kind` that the JSON text holds.
+    """Return the message of type `kind` that is encoded in JSON.
 
-    Raises MalformedError where it is no JSON, and its subclass DecodeError where a field is missing
-    or of another type.
+    Raises MalformedError if the data is not valid JSON, and its subclass DecodeError if a field is
+    missing or has the wrong type.
     """
     decoder = _JSON_DECODERS.get(kind)
     if decoder is None:
@@ -44,19 +44,22 @@
 
 
 def to_pack(message: object) -> bytes:
-    """Return the MessagePack form of a message."""
-    return _PACK.encode(message)
+    """Return the MessagePack encoding of a message."""
+    return _MSGPACK.encode(message)
 
 
 def from_pack(data: bytes, kind: type[T]) -> T:
-    """Return the message of type `kind` that the MessagePack bytes hold; raises as `from_json`."""
-    decoder = _PACK_DECODERS.get(kind)
+    """Return the message of type `kind` that is encoded in MessagePack.
+
+    Raises the same errors as `from_json`.
+    """
+    decoder = _MSGPACK_DECODERS.get(kind)
     if decoder is None:
-        decoder = _PACK_DECODERS[kind] = msgspec.msgpack.Decoder(kind)
+        decoder = _MSGPACK_DECODERS[kind] = msgspec.msgpack.Decoder(kind)
     message: T = decoder.decode(data)
     return message
 
 
 def to_sorted_json(message: object) -> bytes:
-    """Return the JSON form with the keys of all objects sorted, equal for equal contents."""
+    """Return the JSON encoding with sorted object keys; equal contents give equal bytes."""
     return _SORTED_JSON.encode(message)
--- a/libs/model/berylspindle_model/configuration.py
+++ b/libs/model/berylspindle_model/configuration.py
@@ -1,17 +1,17 @@
-"""The configuration: one document with one revision that only grows.
+"""Define the configuration: a single document whose revision increases with each change.
 
 Terms:
-  service          a search service; a search of it asks every one of its shards
-  shard            one part of a service's index, held by several replicas
-  backend server   one replica of one shard, reached by host and port
-  data centre      where backend servers and VMs of the system stand
-  policy           what one service wants weighed when it cannot have everything
-  intent record    an operators' intent that was confirmed, by its own id
-
-Flow: `checked.parse_configuration` reads a document and reports every fault at once; only a
+  service          a search service; a search of it queries all of its shards
+  shard            a part of a service's index, held by several replicas
+  backend server   a replica of one shard, reached by host and port
+  data centre      a site with backend servers and VMs of the system
+  policy           a service's trade-off between latency and coverage, and its limits
+  intent record    a confirmed operator intent, by its own id
+
+Flow: `checked.parse_configuration` reads a document and reports all its faults at once; only a
 document without faults becomes a `Configuration`. A change makes a new one with the next revision.
-The default reading of the users' sizes: a desk of ten services with three replicas is one service
-here with ten shards. Ten services of one shard each is the other reading, by configuration alone.
+A desk of ten services with three replicas each is by default configured as one service with ten
+shards. The configuration can also express it as ten services of one shard each.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class DataCentreState(enum.StrEnum):
-    """Whether a data centre takes new work."""
+    """Whether a data centre accepts new requests."""
 
     IN = "in"
     OUT = "out"
 
 
 class ServerState(enum.StrEnum):
-    """Whether operators want a backend server to take new work."""
+    """Whether operators let a backend server accept new requests."""
 
     ACTIVE = "active"
     RETIRED = "retired"
 
 
 class Preference(enum.StrEnum):
-    """What a service gives up last: its latency or its coverage."""
+    """What a service favours if it cannot have both: latency or coverage."""
 
     LATENCY = "latency"
     COVERAGE = "coverage"
@@ -53,16 +53,16 @@
 
 @attrs.frozen(kw_only=True)
 class Policy:
-    """What one service wants weighed.
+    """Limits of one service, and its trade-off between latency and coverage.
 
     Attributes:
-        prefer: LATENCY answers once `patience_ms` has passed with what is there; COVERAGE waits
-            for every shard until the deadline.
-        min_coverage: share of shards, 0 to 1, below which no partial answer goes out.
-        patience_ms: how long a LATENCY service waits for stragglers before a partial answer.
-        deadline_ms: deadline of a request whose caller names none.
-        hedge_share: extra sub-requests allowed for hedging, as a share of the first attempts.
-        retry_share: extra sub-requests allowed for retries, as a share of the first attempts.
+        prefer: LATENCY returns a partial result after `patience_ms`; COVERAGE waits for all shards
+            until the deadline.
+        min_coverage: fraction of the shards, 0 to 1, that a partial result needs.
+        patience_ms: time for which a LATENCY service waits for stragglers.
+        deadline_ms: default deadline of requests without one.
+        hedge_share: budget for hedged sub-requests, as a fraction of the first attempts.
+        retry_share: budget for retried sub-requests, as a fraction of the first attempts.
     """
 
     prefer: Preference = Preference.LATENCY
@@ -75,9 +75,9 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """One search service and the shards that a search of it asks.
+    """One search service and the shards that a search of it queries.
 
-    `epoch` counts repartitionings; `shards` are those of that epoch.
+    `epoch` is incremented by each repartitioning; `shards` are those of that epoch.
     """
 
     name: str
@@ -91,9 +91,9 @@
     """One backend server: a replica of one shard.
 
     Attributes:
-        slots: requests it works on at once when warm.
-        cold_slots: requests it bears at once in a cold start.
-        connections: connections it accepts over all callers.
+        slots: maximum concurrent requests when warm.
+        cold_slots: maximum concurrent requests when cold.
+        connections: maximum connections from all callers together.
     """
 
     id: str
@@ -110,7 +110,7 @@
 
 @attrs.frozen(kw_only=True)
 class IntentRecord:
-    """A confirmed intent; confirming it again finds it here and changes nothing."""
+    """A confirmed intent; its record makes confirming it again a no-op."""
 
     id: str
     kind: str
@@ -121,7 +121,7 @@
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """The whole configuration at one revision."""
+    """Complete configuration at one revision."""
 
     revision: int
     deployment: str
@@ -143,10 +143,10 @@
         return next((dc for dc in self.data_centres if dc.name == name), None)
 
     def is_in(self, data_centre: str) -> bool:
-        """Tell whether operators let this data centre take new work."""
+        """Return whether a data centre is known and accepts new requests."""
         found = self.data_centre(data_centre)
         return found is not None and found.state is DataCentreState.IN
 
     def replicas(self, service: str, shard: str) -> tuple[Server, ...]:
-        """Return all backend servers of one shard, retired ones and those out included."""
+        """Return all backend servers of a shard, including those that are retired or out."""
         return tuple(s for s in self.servers if s.service == service and s.shard == shard)
--- a/libs/model/berylspindle_model/control_messages.py
+++ b/libs/model/berylspindle_model/control_messages.py
@@ -1,15 +1,16 @@
-"""Messages between VMs of the system about membership, views and the configuration.
+"""Define the messages between VMs about membership, views and the configuration.
 
 Terms:
-  digest      what a VM knows, as few numbers: enough to see who must ask whom
-  suspicion   the statement that guardians cannot reach a VM; a higher incarnation refutes it, and
-              a higher beat shows that it still stands
-  changes     what one VM lacks of another's knowledge, as deltas where they reach back far enough
+  digest      compact summary of a VM's state, which shows whether the receiver or the sender lacks
+              changes
+  suspicion   a statement that guardians cannot reach a VM; a higher incarnation refutes it, and a
+              higher beat shows that it still holds
+  changes     the state that a VM lacks, as deltas from its state if the sender still has them
 
 Flow: Ping -> Ack between a guardian and its ward, once a second; PingRequest -> Reached or Missed
-through a helper; News on every change to a few random VMs; PullRequest -> Changes by a call where
-a digest shows a gap. Datagrams are one byte of kind and the fields in order, without their names,
-since a node has 4 KB a second for all control.
+for an indirect probe; News to a few random VMs after each change; a call with PullRequest ->
+Changes if a digest shows missing changes. A datagram is a byte for its kind and the field values
+in order without names, since all control traffic of a node is limited to 4 KB a second.
 """
 
 from __future__ import annotations
@@ -22,16 +23,17 @@
 
 from berylspindle_model import codec
 
-# A datagram stays in one Ethernet frame with the headers and the tag; fragments get lost together.
+# With its headers and tag a datagram must fit into one Ethernet frame: if it were fragmented, the
+# loss of any fragment would lose all of it.
 MAX_DATAGRAM: Final = 1200
 NOT_CONFIRMED: Final = -1
 
 
 @attrs.frozen
 class Suspicion:
-    """One suspected VM.
+    """Suspicion of one VM.
 
-    `beat` counts the seconds for which its guardians have not heard it.
+    `beat` is the number of seconds since its guardians last received a message from it.
     """
 
     vm: str
@@ -41,15 +43,15 @@
 
 @attrs.frozen
 class Digest:
-    """What the sender knows.
+    """Summary of the sender's state.
 
     Attributes:
-        revision: of the configuration; 0 where none is known.
-        epochs: sum of the epochs of all views, which only grows.
-        mark: hash of all epochs, which differs where the sums are equal by chance.
-        ages: tenths of a second since anybody in the sender's data centre heard each data centre,
-            in the order of their names in the configuration of that revision.
-        suspicions: some of the suspected VMs, the least often told first.
+        revision: of the configuration; 0 if none is known.
+        epochs: sum of the epochs of all views; it never decreases.
+        mark: hash of all epochs; it differs if different epochs have the same sum.
+        ages: for each data centre, tenths of a second since any VM of the sender's data centre
+            received a message from it, sorted by name as in the configuration of that revision.
+        suspicions: some of the suspected VMs, those sent least often first.
     """
 
     revision: int
@@ -61,13 +63,13 @@
 
 @attrs.frozen
 class Ping:
-    """A probe.
+    """Probe of the receiver.
 
     Attributes:
-        epoch: of the view of the receiver's data centre as the sender knows it.
-        confirms: number of the receiver's last Ack that arrived, if the sender is its guardian and
-            confirms its rights; else NOT_CONFIRMED.
-        resigns: the sender leaves; it will never propose to remove the receiver.
+        epoch: of the sender's view of the receiver's data centre.
+        confirms: number of the last Ack that the sender received from the receiver, if the sender
+            is its guardian and renews its lease; else NOT_CONFIRMED.
+        resigns: whether the sender is leaving and will never propose to remove the receiver.
     """
 
     KIND: ClassVar[int] = 1
@@ -82,11 +84,11 @@
 
 @attrs.frozen
 class Ack:
-    """The answer to the Ping with the same number.
+    """Response to the Ping with the same number.
 
     Attributes:
         epoch: of the view of the sender's own data centre.
-        settling_ms: how long the sender waits for the rights of removed members to lapse.
+        settling_ms: time for which the sender still waits for leases of removed members to expire.
     """
 
     KIND: ClassVar[int] = 2
@@ -100,7 +102,7 @@
 
 @attrs.frozen
 class PingRequest:
-    """Ask the receiver to probe another VM, which the sender does not hear."""
+    """Request an indirect probe of a VM that does not answer the sender."""
 
     KIND: ClassVar[int] = 3
     sender: str
@@ -110,7 +112,7 @@
 
 @attrs.frozen
 class Reached:
-    """Tell who asked that a target answered, with what it said."""
+    """Report to the requester that the target of an indirect probe answered, with its answer."""
 
     KIND: ClassVar[int] = 4
     sender: str
@@ -122,7 +124,7 @@
 
 @attrs.frozen
 class Missed:
-    """Tell who asked that a target did not answer."""
+    """Report to the requester that an indirect probe timed out."""
 
     KIND: ClassVar[int] = 5
     sender: str
@@ -131,7 +133,7 @@
 
 @attrs.frozen
 class News:
-    """Spread a change: the digest, and the packed Changes themselves where they are small."""
+    """Gossip a change: the digest, and the packed Changes if they are small."""
 
     KIND: ClassVar[int] = 6
     sender: str
@@ -141,80 +143,80 @@
 
 
 Datagram = Ping | Ack | PingRequest | Reached | Missed | News
-_KINDS: Final[dict[int, type[Any]]] = {
+_TYPES_BY_KIND: Final[dict[int, type[Any]]] = {
     kind.KIND: kind for kind in (Ping, Ack, PingRequest, Reached, Missed, News)
 }
 
 
-_FIELDS: Final[dict[type[Any], Any]] = {
+_FIELD_GETTERS: Final[dict[type[Any], Any]] = {
     kind: operator.attrgetter(*(field.name for field in attrs.fields(kind)))
-    for kind in _KINDS.values()
+    for kind in _TYPES_BY_KIND.values()
 }
 
 
 def to_datagram(message: Datagram) -> bytes:
-    """Return the bytes of a message: its kind and its fields in order."""
-    values = _FIELDS[type(message)](message)
-    # Only a digest is a message in a message; `attrs.astuple` looks into everything and took a
-    # third of what the control plane costs.
-    row = [_digest_row(value) if type(value) is Digest else value for value in values]
+    """Return the encoding of a message: its kind and its field values in order."""
+    values = _FIELD_GETTERS[type(message)](message)
+    # Only digests are nested, so that `attrs.astuple` is not needed; its recursion took a third
+    # of the processor time of the control plane.
+    row = [_digest_values(value) if type(value) is Digest else value for value in values]
     return bytes((message.KIND,)) + codec.to_pack(row)
 
 
 def from_datagram(data: bytes) -> Datagram:
-    """Return the message that a datagram holds; raises codec.MalformedError for any other bytes."""
-    kind = _KINDS.get(data[0]) if data else None
+    """Return the message in a datagram; raise codec.MalformedError if it is invalid."""
+    kind = _TYPES_BY_KIND.get(data[0]) if data else None
     if kind is None:
-        raise codec.MalformedError("no message of a known kind")
+        raise codec.MalformedError("datagram is empty or has an unknown kind")
     values = codec.from_pack(data[1:], list[Any])
-    message: Datagram = _build(kind, values)
+    message: Datagram = _from_values(kind, values)
     return message
 
 
-def _digest_row(digest: Digest) -> tuple[Any, ...]:
+def _digest_values(digest: Digest) -> tuple[Any, ...]:
     suspicions = [(s.vm, s.incarnation, s.beat) for s in digest.suspicions]
     return (digest.revision, digest.epochs, digest.mark, digest.ages, suspicions)
 
 
-def _build(kind: type[Any], values: object) -> Any:
-    hints = _HINTS[kind]
-    if not isinstance(values, list) or len(values) != len(hints):
-        raise codec.DecodeError(f"{kind.__name__} has {len(hints)} fields")
-    return kind(*(read(value) for read, value in zip(hints, values, strict=True)))
+def _from_values(kind: type[Any], values: object) -> Any:
+    readers = _FIELD_READERS[kind]
+    if not isinstance(values, list) or len(values) != len(readers):
+        raise codec.DecodeError(f"{kind.__name__} requires {len(readers)} fields")
+    return kind(*(read(value) for read, value in zip(readers, values, strict=True)))
 
 
-def _suspicions(value: object) -> tuple[Suspicion, ...]:
+def _read_suspicions(value: object) -> tuple[Suspicion, ...]:
     rows = msgspec.convert(value, tuple[tuple[str, int, int], ...])
     return tuple(Suspicion(*row) for row in rows)
 
 
-def _reader(kind: Any) -> Any:
+def _make_reader(kind: Any) -> Any:
     return lambda value: msgspec.convert(value, kind)
 
 
-def _digest(value: object) -> Digest:
-    digest: Digest = _build(Digest, value)
+def _read_digest(value: object) -> Digest:
+    digest: Digest = _from_values(Digest, value)
     return digest
 
 
-_INT: Final = _reader(int)
-_STR: Final = _reader(str)
-_BOOL: Final = _reader(bool)
-_BYTES: Final = _reader(bytes)
-_HINTS: Final[dict[type[Any], tuple[Any, ...]]] = {
-    Digest: (_INT, _INT, _INT, _reader(tuple[int, ...]), _suspicions),
-    Ping: (_STR, _INT, _INT, _INT, _INT, _BOOL, _digest),
-    Ack: (_STR, _INT, _INT, _INT, _INT, _digest),
+_INT: Final = _make_reader(int)
+_STR: Final = _make_reader(str)
+_BOOL: Final = _make_reader(bool)
+_BYTES: Final = _make_reader(bytes)
+_FIELD_READERS: Final[dict[type[Any], tuple[Any, ...]]] = {
+    Digest: (_INT, _INT, _INT, _make_reader(tuple[int, ...]), _read_suspicions),
+    Ping: (_STR, _INT, _INT, _INT, _INT, _BOOL, _read_digest),
+    Ack: (_STR, _INT, _INT, _INT, _INT, _read_digest),
     PingRequest: (_STR, _STR, _INT),
     Reached: (_STR, _STR, _INT, _INT, _INT),
     Missed: (_STR, _STR),
-    News: (_STR, _INT, _digest, _BYTES),
+    News: (_STR, _INT, _read_digest, _BYTES),
 }
 
 
 @attrs.frozen(kw_only=True)
 class PullRequest:
-    """Ask for what the receiver knows beyond this; `epochs` by the name of the data centre."""
+    """Request all changes after these versions; `epochs` by the name of the data centre."""
 
     sender: str
     revision: int
--- a/libs/model/berylspindle_model/delta.py
+++ b/libs/model/berylspindle_model/delta.py
@@ -1,12 +1,13 @@
-"""What one VM lacks of another's configuration and views, as small as it can be told.
+"""Compute and apply the changes between versions of the configuration and of views.
 
 Terms:
-  delta      the entities that differ between two revisions: those to set and those to delete
-  changes    all that one message brings: deltas or whole documents
+  delta      the entities to set and those to delete to get from one version to another
+  changes    the content of one message: deltas or complete documents
 
-Flow: `configuration_delta` makes a delta when a revision is adopted; `apply_configuration` takes it
-where the receiver stands on exactly its base. The same holds for views by their epochs. At 5,200
-backend servers the whole document has 140 KB compressed and a usual delta under a kilobyte.
+Flow: `configuration_delta` computes a delta when a revision is adopted; `apply_configuration`
+applies it if the receiver has exactly its base revision. Views use the same scheme with epochs.
+With 5,200 backend servers a complete document takes 140 KB compressed, and a typical delta less
+than 1 KB.
 """
 
 from __future__ import annotations
@@ -29,13 +30,13 @@
 
 T = TypeVar("T")
 
-# A longer text inside one message is refused; see checked.MAX_TEXT.
-_MAX_UNPACKED: Final = 32 * 1024 * 1024
+# Limit of the decompressed size of a message; twice `checked.MAX_TEXT`.
+_MAX_UNPACKED_BYTES: Final = 32 * 1024 * 1024
 
 
 @attrs.frozen(kw_only=True)
 class Deleted:
-    """The ids of entities that are gone, by kind."""
+    """Ids of deleted entities, by kind."""
 
     data_centres: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
@@ -45,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationDelta:
-    """The way from the configuration at `base` to the one at `revision`."""
+    """Changes from the configuration at revision `base` to the one at `revision`."""
 
     base: int
     revision: int
@@ -59,7 +60,7 @@
 
 @attrs.frozen(kw_only=True)
 class ViewDelta:
-    """The way from the view at epoch `base` to the one at `epoch`; `joined` as in View."""
+    """Changes from the view at epoch `base` to the one at `epoch`; `joined` as in View."""
 
     data_centre: str
     base: int
@@ -73,7 +74,7 @@
 
 @attrs.frozen(kw_only=True)
 class Changes:
-    """What the receiver lacks; a whole document where no delta reaches back to what it has."""
+    """State that the receiver lacks; complete documents if no deltas from its state exist."""
 
     configuration: Configuration | None = None
     configuration_deltas: tuple[ConfigurationDelta, ...] = ()
@@ -82,19 +83,19 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is nothing that the receiver lacks."""
-        return self == _NOTHING
+        """Return whether the receiver lacks nothing."""
+        return self == _NO_CHANGES
 
 
-_NOTHING: Final = Changes()
+_NO_CHANGES: Final = Changes()
 
 
 def configuration_delta(old: Configuration, new: Configuration) -> ConfigurationDelta:
-    """Return the way from one configuration to another."""
-    services, gone_services = _difference(old.services, new.services, _name)
-    servers, gone_servers = _difference(old.servers, new.servers, _id)
-    centres, gone_centres = _difference(old.data_centres, new.data_centres, _name)
-    intents, gone_intents = _difference(old.intents, new.intents, _id)
+    """Return the changes from one configuration to another."""
+    services, deleted_services = _diff(old.services, new.services, _name_of)
+    servers, deleted_servers = _diff(old.servers, new.servers, _id_of)
+    centres, deleted_centres = _diff(old.data_centres, new.data_centres, _name_of)
+    intents, deleted_intents = _diff(old.intents, new.intents, _id_of)
     return ConfigurationDelta(
         base=old.revision,
         revision=new.revision,
@@ -104,31 +105,31 @@
         servers=servers,
         intents=intents,
         deleted=Deleted(
-            data_centres=gone_centres,
-            services=gone_services,
-            servers=gone_servers,
-            intents=gone_intents,
+            data_centres=deleted_centres,
+            services=deleted_services,
+            servers=deleted_servers,
+            intents=deleted_intents,
         ),
     )
 
 
 def apply_configuration(old: Configuration, delta: ConfigurationDelta) -> Configuration | None:
-    """Return the configuration that a delta leads to, or None where `old` isn't its base."""
+    """Return the configuration after a delta, or None if `old` is not its base."""
     if delta.base != old.revision:
         return None
-    gone = delta.deleted
+    deleted = delta.deleted
     return Configuration(
         revision=delta.revision,
         deployment=delta.deployment,
-        data_centres=_merged(old.data_centres, delta.data_centres, gone.data_centres, _name),
-        services=_merged(old.services, delta.services, gone.services, _name),
-        servers=_merged(old.servers, delta.servers, gone.servers, _id),
-        intents=_in_order(_merged(old.intents, delta.intents, gone.intents, _id)),
+        data_centres=_apply(old.data_centres, delta.data_centres, deleted.data_centres, _name_of),
+        services=_apply(old.services, delta.services, deleted.services, _name_of),
+        servers=_apply(old.servers, delta.servers, deleted.servers, _id_of),
+        intents=_sort_by_revision(_apply(old.intents, delta.intents, deleted.intents, _id_of)),
     )
 
 
 def view_delta(old: View, new: View) -> ViewDelta:
-    """Return the way from one view of a data centre to another."""
+    """Return the changes from one view of a data centre to another."""
     before = {vm.id: (vm, old.joined_at(vm.id)) for vm in old.members}
     added = tuple(vm for vm in new.members if before.get(vm.id) != (vm, new.joined_at(vm.id)))
     return ViewDelta(
@@ -144,7 +145,7 @@
 
 
 def apply_view(old: View, delta: ViewDelta) -> View | None:
-    """Return the view that a delta leads to, or None where `old` isn't its base."""
+    """Return the view after a delta, or None if `old` is not its base."""
     if delta.base != old.epoch or delta.data_centre != old.data_centre:
         return None
     members = {vm.id: (vm, old.joined_at(vm.id) or 0) for vm in old.members}
@@ -152,48 +153,48 @@
         members.pop(name, None)
     for vm, joined in zip(delta.added, delta.joined, strict=True):
         members[vm.id] = (vm, joined)
-    ranked = [members[name] for name in sorted(members)]
+    ordered = [members[name] for name in sorted(members)]
     return View(
         data_centre=old.data_centre,
         epoch=delta.epoch,
-        members=tuple(vm for vm, _ in ranked),
+        members=tuple(vm for vm, _ in ordered),
         released=delta.released,
-        joined=tuple(joined for _, joined in ranked),
+        joined=tuple(joined for _, joined in ordered),
         unsettled=delta.unsettled,
     )
 
 
 def pack_changes(changes: Changes) -> bytes:
-    """Return the compressed form that goes between VMs."""
+    """Return the compressed encoding that VMs exchange."""
     return zlib.compress(codec.to_pack(changes), 6)
 
 
 def unpack_changes(data: bytes) -> Changes:
-    """Return the changes that the bytes hold; raises codec.MalformedError for any other bytes."""
-    reader = zlib.decompressobj()
+    """Return the changes in compressed data; raise codec.MalformedError if it is invalid."""
+    decompressor = zlib.decompressobj()
     try:
-        text = reader.decompress(data, _MAX_UNPACKED)
+        packed = decompressor.decompress(data, _MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise codec.MalformedError(str(error)) from error
-    return codec.from_pack(text, Changes)
+    return codec.from_pack(packed, Changes)
 
 
-def _in_order(records: Iterable[IntentRecord]) -> tuple[IntentRecord, ...]:
-    # Newest last, as they were confirmed: the oldest are dropped from the front.
+def _sort_by_revision(records: Iterable[IntentRecord]) -> tuple[IntentRecord, ...]:
+    # In the order of confirmation, since the oldest records are dropped from the front.
     return tuple(sorted(records, key=lambda record: (record.revision, record.id)))
 
 
-def _name(entity: Any) -> str:
+def _name_of(entity: Any) -> str:
     name: str = entity.name
     return name
 
 
-def _id(entity: Any) -> str:
+def _id_of(entity: Any) -> str:
     name: str = entity.id
     return name
 
 
-def _difference(
+def _diff(
     old: Iterable[T], new: Iterable[T], key: Callable[[T], str]
 ) -> tuple[tuple[T, ...], tuple[str, ...]]:
     before = {key(entity): entity for entity in old}
@@ -202,11 +203,11 @@
     return changed, tuple(name for name in before if name not in after)
 
 
-def _merged(
-    old: Iterable[T], changed: Iterable[T], gone: Iterable[str], key: Callable[[T], str]
+def _apply(
+    old: Iterable[T], changed: Iterable[T], deleted: Iterable[str], key: Callable[[T], str]
 ) -> tuple[T, ...]:
     entities = {key(entity): entity for entity in old}
-    for name in gone:
+    for name in deleted:
         entities.pop(name, None)
     entities.update({key(entity): entity for entity in changed})
     return tuple(entities[name] for name in sorted(entities))
--- a/libs/model/berylspindle_model/errors.py
+++ b/libs/model/berylspindle_model/errors.py
@@ -1,15 +1,15 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""Define the error kinds and the table from error kind to error response.
 
 Terms:
-  error kind   one of the finitely many ways in which a request can fail; nothing else is ever told
-  run state    what is known about whether a backend server ran the request: NOT_RUN only where no
-               byte of it could have reached a backend server or the server itself refused it,
-               MAY_HAVE_RUN where that is open, RAN where a backend server has said so
-  answer       HTTP status, run state, text and the time after which to try again
-
-Flow: the part that gives a request up makes a `Refusal` of one kind; the edge looks the kind up in
-`ANSWERS` and writes the answer. A part that knows more about the run state than the table says so
-in the refusal; the edge never guesses.
+  error kind   the reason for which a request fails; no other errors are returned to callers
+  run state    whether a backend server ran the request: NOT_RUN only if no byte of it can have
+               reached a backend server or the server itself refused it, MAY_HAVE_RUN if that is
+               unknown, RAN if a backend server has confirmed it
+  answer       HTTP status, run state, text and retry delay of an error response
+
+Flow: the component that fails a request creates a `Refusal` of one kind; the edge looks the kind up
+in `ANSWERS` and writes the response. A component that knows the run state more precisely than the
+table sets it in the refusal; the edge never infers it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class RunState(enum.StrEnum):
-    """What is known about whether a backend server ran a request."""
+    """Whether a backend server ran a request, as far as known."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -28,7 +28,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """The closed list of error kinds; a new kind needs a row in `ANSWERS`."""
+    """Reason for a failed request; each kind needs an entry in `ANSWERS`."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """What a caller is told for one kind of error.
+    """Response to the caller for one kind of error.
 
-    `retry_after_ms` is None where the same request will not fare better later.
+    `retry_after_ms` is None if retrying the same request cannot succeed.
     """
 
     status: int
@@ -83,10 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The outcome of a request that got no answer.
+    """Failure of a request.
 
-    `run` overrides the table's run state where the refusing part knows better, and
-    `retry_after_ms` its time to come back.
+    `run` and `retry_after_ms`, if set, override the run state and the retry delay in `ANSWERS`.
     """
 
     kind: ErrorKind
@@ -96,19 +95,19 @@
 
     @property
     def run_state(self) -> RunState:
-        """Return what is known about whether the request ran."""
+        """Return whether the request ran, as far as known."""
         return self.run if self.run is not None else ANSWERS[self.kind].run
 
     @property
     def retry_after(self) -> int | None:
-        """Return after how many milliseconds to try again, or None."""
+        """Return the delay before a retry, in milliseconds, or None if a retry cannot succeed."""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
         return ANSWERS[self.kind].retry_after_ms
 
 
 class RefusalError(Exception):
-    """Carry a refusal up to the edge that answers with it."""
+    """Raised to fail a request; the edge responds with the refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(f"{refusal.kind}: {refusal.detail}")
@@ -122,12 +121,12 @@
     run: RunState | None = None,
     retry_after_ms: int | None = None,
 ) -> RefusalError:
-    """Return the exception that carries a refusal of one kind."""
+    """Return an exception with a refusal of one kind."""
     return RefusalError(Refusal(kind, detail, run, retry_after_ms))
 
 
 _NOT_RUN: Final = RunState.NOT_RUN
-_MAY: Final = RunState.MAY_HAVE_RUN
+_MAY_HAVE_RUN: Final = RunState.MAY_HAVE_RUN
 _RAN: Final = RunState.RAN
 
 ANSWERS: Final[dict[ErrorKind, ErrorAnswer]] = {
@@ -149,28 +148,32 @@
     ErrorKind.SERVER_LEAVING: ErrorAnswer(503, _NOT_RUN, "the backend server is leaving", 0),
     ErrorKind.NOT_OWNER: ErrorAnswer(503, _NOT_RUN, "this VM does not own the backend server", 0),
     ErrorKind.SERVER_SHED: ErrorAnswer(503, _NOT_RUN, "the backend server refused the work", 200),
-    ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(504, _MAY, "the deadline passed", 0),
-    ErrorKind.INCOMPLETE: ErrorAnswer(504, _MAY, "too few shards answered in time", 200),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(504, _MAY_HAVE_RUN, "the deadline passed", 0),
+    ErrorKind.INCOMPLETE: ErrorAnswer(504, _MAY_HAVE_RUN, "too few shards answered in time", 200),
     ErrorKind.SNAPSHOT_GONE: ErrorAnswer(410, _NOT_RUN, "the snapshot is no longer held"),
     ErrorKind.SNAPSHOT_MISMATCH: ErrorAnswer(503, _NOT_RUN, "no common snapshot was found", 200),
     ErrorKind.QUARANTINED: ErrorAnswer(422, _NOT_RUN, "this request has crashed backend servers"),
-    ErrorKind.CONNECTION_LOST: ErrorAnswer(502, _MAY, "the connection broke under the request", 0),
-    ErrorKind.PEER_LOST: ErrorAnswer(502, _MAY, "the VM that had the request is gone", 0),
-    ErrorKind.BAD_REPLY: ErrorAnswer(502, _MAY, "the reply does not match the request", 0),
+    ErrorKind.CONNECTION_LOST: ErrorAnswer(
+        502, _MAY_HAVE_RUN, "the connection broke under the request", 0
+    ),
+    ErrorKind.PEER_LOST: ErrorAnswer(502, _MAY_HAVE_RUN, "the VM that had the request is gone", 0),
+    ErrorKind.BAD_REPLY: ErrorAnswer(502, _MAY_HAVE_RUN, "the reply does not match the request", 0),
     ErrorKind.BACKEND_FAILED: ErrorAnswer(502, _RAN, "the backend server reported a failure"),
-    ErrorKind.CANCELLED: ErrorAnswer(499, _MAY, "the caller went away"),
+    ErrorKind.CANCELLED: ErrorAnswer(499, _MAY_HAVE_RUN, "the caller went away"),
     ErrorKind.STORE_AWAY: ErrorAnswer(503, _NOT_RUN, "the configuration store is away", 2000),
     ErrorKind.KEY_REUSED: ErrorAnswer(
         409, _NOT_RUN, "the idempotency key belongs to another request"
     ),
-    ErrorKind.IN_PROGRESS: ErrorAnswer(409, _MAY, "a request with this key is under way", 500),
+    ErrorKind.IN_PROGRESS: ErrorAnswer(
+        409, _MAY_HAVE_RUN, "a request with this key is under way", 500
+    ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
-        502, _MAY, "the request may have run; its outcome is not known"
+        502, _MAY_HAVE_RUN, "the request may have run; its outcome is not known"
     ),
     ErrorKind.INVALID_CONFIGURATION: ErrorAnswer(422, _NOT_RUN, "the configuration has faults"),
     ErrorKind.STALE_PLAN: ErrorAnswer(
         409, _NOT_RUN, "the configuration has changed since the plan"
     ),
     ErrorKind.UNSAFE_PLAN: ErrorAnswer(422, _NOT_RUN, "the plan breaks a promise; override needed"),
-    ErrorKind.INTERNAL: ErrorAnswer(500, _MAY, "an internal fault"),
+    ErrorKind.INTERNAL: ErrorAnswer(500, _MAY_HAVE_RUN, "an internal fault"),
 }
--- a/libs/model/berylspindle_model/events.py
+++ b/libs/model/berylspindle_model/events.py
@@ -1,10 +1,10 @@
-"""Events of the time line as every process writes, sends and reads them.
+"""Define the events of the timeline.
 
 Terms:
   stamp   time of a hybrid logical clock (`stamps`)
-  event   one change of state at one VM
+  event   a state change on one VM
 
-Flow: a daemon records events in its bounded time line and serves them on the operators' interface;
+Flow: a daemon records events in its bounded timeline and serves them on the operators' interface;
 the operators' tool collects the events of all VMs and sorts them by `Event.order`.
 """
 
@@ -18,7 +18,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """The closed list of changes of state that a time line holds."""
+    """Kinds of state changes that a timeline records."""
 
     STARTED = "started"
     READY = "ready"
@@ -61,10 +61,10 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """One change of state at one VM.
+    """One state change on one VM.
 
-    `sequence` counts the events of that VM from 1, so that a gap shows where its buffer dropped
-    some. `service`, `server` and `request_id` are empty where the event is about none.
+    `sequence` numbers the events of a VM from 1, so that gaps show which events its buffer dropped.
+    `service`, `server` and `request_id` are empty if they do not apply.
     """
 
     vm: str
@@ -78,15 +78,15 @@
 
     @property
     def order(self) -> tuple[Stamp, str, int]:
-        """Return the key that puts the events of all VMs into one total order."""
+        """Return the sort key of a total order over the events of all VMs."""
         return (self.stamp, self.vm, self.sequence)
 
 
 @attrs.frozen(kw_only=True)
 class EventFilter:
-    """Which events a reader asks for; an empty field asks for all.
+    """Selection of events; an empty field matches all.
 
-    `until` is exclusive, `since` inclusive, so that two spans that meet share no event.
+    `since` is inclusive and `until` exclusive, so that adjacent time ranges share no event.
     """
 
     since: Stamp | None = None
@@ -96,7 +96,7 @@
     request_id: str = ""
 
     def matches(self, event: Event) -> bool:
-        """Tell whether an event is asked for."""
+        """Return whether an event is selected."""
         if self.since is not None and event.stamp < self.since:
             return False
         if self.until is not None and event.stamp >= self.until:
@@ -110,7 +110,7 @@
 
 @attrs.frozen(kw_only=True)
 class EventPage:
-    """The events of one VM; `dropped` counts those that its buffer no longer holds."""
+    """Events of one VM; `dropped` is the number of events that its buffer has overwritten."""
 
     vm: str
     data_centre: str = ""
--- a/libs/model/berylspindle_model/intents.py
+++ b/libs/model/berylspindle_model/intents.py
@@ -1,14 +1,15 @@
-"""What operators ask for, the plan that answers, and what confirming it did.
+"""Define operators' intents, the plans to carry them out, and their confirmations.
 
 Terms:
-  intent         what an operator wants to hold: a service up, a data centre out or back, a backend
-                 server retired, or a whole configuration restored from a snapshot
-  plan           what an intent changes, in which order, and what each service has left meanwhile
-  base           the revision that a plan stands on
-  confirmation   the outcome of applying a plan; applying it again finds the first one's record
-
-Flow: Intent -> Plan -> confirm -> Confirmation. Nothing changes before the confirm, and the confirm
-changes exactly what the plan says or nothing.
+  intent         a change that an operator requests: a service added, a data centre taken out or
+                 returned, a backend server retired, or a complete configuration restored from a
+                 snapshot
+  plan           what an intent changes, in which order, and the capacity of each service meanwhile
+  base           the revision that a plan applies to
+  confirmation   the result of applying a plan; applying it again returns the first one's record
+
+Flow: Intent -> Plan -> confirm -> Confirmation. Nothing changes before the confirm, which applies
+either the whole plan or none of it.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class IntentKind(enum.StrEnum):
-    """The closed list of intents."""
+    """Kinds of intents."""
 
     STAND_UP = "stand_up"
     TAKE_OUT = "take_out"
@@ -32,14 +33,14 @@
 
 @attrs.frozen(kw_only=True)
 class Intent:
-    """One intent.
+    """Change that an operator requests.
 
     Attributes:
-        subject: the service to stand up, the data centre to take out or return, the backend server
-            to retire, or the deployment whose configuration is replaced.
-        service: for STAND_UP, the service itself.
+        subject: name of the service to add, the data centre to take out or return, the backend
+            server to retire, or the deployment whose configuration is replaced.
+        service: for STAND_UP, the service to add.
         servers: for STAND_UP, its backend servers.
-        configuration: for REPLACE, the one to bring into force; its revision counts for nothing.
+        configuration: for REPLACE, the new configuration; its revision is ignored.
     """
 
     kind: IntentKind
@@ -51,13 +52,14 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceLoad:
-    """What one service has at one step of a plan.
+    """Capacity of one service at one step of a plan.
 
     Attributes:
-        slots: requests that its usable backend servers may work on at once.
-        busy: slots in use now, as far as known; 0 where not.
-        covered: shards with at least one usable replica, of `shards`.
-        fewest: usable replicas of the shard that has fewest.
+        slots: maximum concurrent requests of its usable backend servers.
+        busy: slots in use now; 0 if unknown.
+        shards: number of its shards.
+        covered: number of its shards with at least one usable replica.
+        fewest: lowest number of usable replicas of any shard.
     """
 
     service: str
@@ -70,7 +72,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlanStep:
-    """One step: what happens, and what each service it touches has left then."""
+    """One step: a description, and the remaining capacity of each affected service."""
 
     text: str
     services: tuple[ServiceLoad, ...] = ()
@@ -78,13 +80,14 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What an intent changes.
+    """Changes that carry out an intent.
 
     Attributes:
-        id: hash of the intent and the base; also the id of the intent's record, so that a lost
-            reply is settled by looking it up.
-        before: what the touched services have now.
-        breaks: promises that the plan breaks, in words; then `needs_override` is true.
+        id: hash of the intent and the base; also the id of the intent's record, which tells
+            whether the plan was applied if the reply was lost.
+        before: current capacity of the affected services.
+        breaks: descriptions of the guarantees that the plan violates; if there are any,
+            `needs_override` is true.
     """
 
     id: str
@@ -98,7 +101,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfirmRequest:
-    """Confirm a plan; `override` accepts the promises that it breaks."""
+    """Request to apply a plan; `override` accepts the guarantees that it violates."""
 
     plan: Plan
     override: bool = False
@@ -106,7 +109,7 @@
 
 @attrs.frozen(kw_only=True)
 class Confirmation:
-    """A plan that is accepted; `repeated` where an earlier confirm had already applied it."""
+    """Result of applying a plan; `repeated` if an earlier confirm had already applied it."""
 
     id: str
     revision: int
--- a/libs/model/berylspindle_model/messages.py
+++ b/libs/model/berylspindle_model/messages.py
@@ -1,15 +1,15 @@
-"""Messages between callers, entry, owners and backend servers.
+"""Define the messages between callers, entries, owners and backend servers.
 
 Terms:
-  entry         the VM that took a caller's request
-  owner         the VM that alone sends to a given backend server
-  sub-request   the part of a request that goes to one shard; an attempt is one try of it, with
-                an id of its own that every reply must carry back
-  batch         the attempts of one request that go to one owner, in one message
-
-Flow: caller -> SearchRequest -> entry -> AttemptBatch -> owner -> backend server, and back as
-AttemptReply (one an attempt) -> entry -> SearchAnswer or a Refusal. Deadlines travel as the time
-that is left, in milliseconds, since clocks of VMs differ.
+  entry         the VM that received a caller's request
+  owner         the only VM that sends to a given backend server
+  sub-request   the part of a request for one shard; an attempt is one try of it with its own id,
+                which each reply must repeat
+  batch         the attempts of one request to the same owner, in one message
+
+Flow: caller -> SearchRequest -> entry -> AttemptBatch -> owner -> backend server, and back as one
+AttemptReply per attempt -> entry -> SearchAnswer or a Refusal. Deadlines are sent as the remaining
+time in milliseconds, since the clocks of VMs differ.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 @attrs.frozen(kw_only=True)
 class SearchRequest:
-    """A caller's search as the entry has read and checked it.
+    """A caller's search, validated by the entry.
 
-    `offset` counts hits in the merged order; `pin` is set by the page token of an earlier answer.
+    `offset` is a position in the merged hits; `pin` comes from the page token of an earlier answer.
     """
 
     request_id: str
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class Hit:
-    """One result. `fields` is the backend server's own JSON object, passed on unchanged."""
+    """One search result. `fields` is a JSON object of the backend server, passed on unchanged."""
 
     id: str
     score: float
@@ -50,9 +50,10 @@
 
 @attrs.frozen(kw_only=True)
 class Coverage:
-    """How much of the service an answer speaks for.
+    """Shards that an answer covers.
 
-    `partial` names shards that answered but said themselves that they had not searched all.
+    `asked` and `answered` are numbers of shards, `missing` names shards without a reply. `partial`
+    names shards whose replies report that only a part of the shard was searched.
     """
 
     asked: int
@@ -63,7 +64,7 @@
 
 @attrs.frozen(kw_only=True)
 class SearchAnswer:
-    """One whole answer to one search, all of it computed on `snapshot`."""
+    """Merged answer to a search, all of it computed on `snapshot`."""
 
     request_id: str
     snapshot: Snapshot
@@ -77,9 +78,9 @@
     """One try of one sub-request at one backend server.
 
     Attributes:
-        pin: snapshot to compute on; None lets the server take its newest (the first of a fan-out).
-        execute_key: idempotency key of a request that may not be repeated, else None. Such an
-            attempt carries its body in `payload` and is dispatched at most once, ever.
+        pin: snapshot to search; if None, the server uses its newest (first attempt of a fan-out).
+        execute_key: idempotency key of a non-idempotent request, else None. Such an attempt has
+            its body in `payload` and is dispatched at most once.
     """
 
     id: str
@@ -96,10 +97,10 @@
 
 @attrs.frozen(kw_only=True)
 class AttemptBatch:
-    """The attempts that one entry sends to one owner in one message.
+    """Attempts that an entry sends to an owner in one message.
 
-    `is_canary` says that the entry knows of a suspicion against the request and runs it on one
-    shard first; an owner that shares the suspicion refuses any other attempt of it.
+    `is_canary` is set if the request is suspected of crashing backend servers and the entry
+    therefore runs it on one shard first; an owner with the same suspicion refuses other attempts.
     """
 
     entry: str
@@ -113,12 +114,13 @@
 
 @attrs.frozen(kw_only=True)
 class AttemptReply:
-    """What became of one attempt.
+    """Outcome of one attempt.
 
-    `error` is None for success. `versions` are the snapshots the server says it holds, newest
-    last, with success and with SNAPSHOT_GONE alike. `served_ms` is the owner's own measure from
-    dispatch to reply, `queued_ms` its wait before that. `lost_together` is how many attempts the
-    owner lost with the server's connections at once, this one included; 0 for any other end.
+    `error` is None for success. `versions` are the snapshots that the server reports, newest last,
+    for success and for SNAPSHOT_GONE. `queued_ms` is the queueing time at the owner and `served_ms`
+    the time from dispatch to reply, both measured by the owner. `lost_together` is the number of
+    attempts, including this one, that the owner lost at once with the server's connections; 0 for
+    all other outcomes.
     """
 
     attempt: str
@@ -140,9 +142,9 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteRequest:
-    """A caller's request that may not be repeated, such as an order confirmation.
+    """A caller's non-idempotent request, such as an order confirmation.
 
-    `shard` is the one that holds the lot or hold that the request changes.
+    `shard` is the shard of the lot or hold that the request changes.
     """
 
     request_id: str
@@ -156,7 +158,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteAnswer:
-    """The outcome of a request that may not be repeated, once a backend server has run it."""
+    """Result of a non-idempotent request that a backend server has run."""
 
     request_id: str
     key: str
--- a/libs/model/berylspindle_model/operator_protocol.py
+++ b/libs/model/berylspindle_model/operator_protocol.py
@@ -1,22 +1,22 @@
-"""The protocol of the operators' edge: every route, header and body in one place.
+"""Define the protocol of the operators' interface: routes, headers and bodies.
 
 Terms:
-  report   what one VM says of itself and of the others
-  lag      a VM that has not yet adopted the newest accepted revision
+  report   the state of a VM and of its peers as that VM knows it
+  lagging  a VM that has not yet adopted the newest accepted revision
 
-Flow: the daemon's admin interface serves these routes; the operators' client asks several daemons
-and merges what they say. Every refusal is an `ErrorBody` as at the callers' edge. A change of the
-protocol touches this module alone. All routes but the first two need `authorization: Bearer TOKEN`
-where the daemon has a token.
+Flow: the daemon's admin interface serves these routes; the operators' client queries several
+daemons and merges their responses. Each error response is an `ErrorBody`, as at the callers' edge.
+All details of the protocol are confined to this module. All routes except the first two require
+`authorization: Bearer TOKEN` if the daemon has a token.
 
     GET  /healthz                200 while the process runs
-    GET  /readyz                 200 while the balancer may send, else 503
+    GET  /readyz                 200 while the load balancer may send, else 503
     GET  /metrics                the text exposition of all metrics
     POST /admin/plan             Intent, 200 Plan
     POST /admin/confirm          ConfirmRequest, 200 Confirmation
     GET  /admin/status           200 StatusReport
     GET  /admin/configuration    200 the configuration in its canonical text
-    PUT  /admin/configuration    a configuration, 200 the Plan that would bring it into force
+    PUT  /admin/configuration    a configuration, 200 the Plan that would put it into effect
     GET  /admin/timeline         200 EventPage; ?since=&until=&service=&server=&request=
 """
 
@@ -42,15 +42,15 @@
 
 TOKEN_HEADER: Final = "authorization"
 TOKEN_SCHEME: Final = "Bearer "
-# Who acts, for the record of the intent; at most 128 printable characters.
+# Name of the operator for the intent record; at most 128 printable characters.
 OPERATOR_HEADER: Final = "x-operator"
 
-# A year of milliseconds by a factor of many; a longer number is no stamp.
+# Packed stamps of the present have 18 digits; longer numbers are rejected.
 _MAX_STAMP_DIGITS: Final = 19
 
 
 class VmState(enum.StrEnum):
-    """What one VM holds another to be."""
+    """State of a VM as known to a peer."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -59,7 +59,7 @@
 
 
 class ServerPhase(enum.StrEnum):
-    """What the owner holds a backend server to be."""
+    """State of a backend server as known to its owner."""
 
     WARM = "warm"
     WARMING = "warming"
@@ -71,10 +71,10 @@
 
 @attrs.frozen(kw_only=True)
 class VmReport:
-    """What one VM last heard of another.
+    """State of one VM as last received by another.
 
-    `revision` is 0 where none was heard; `since_ms` how long the VM has been lagging or has not
-    been heard, 0 where it is live and not behind.
+    `revision` is 0 if unknown. `since_ms` is the time for which the VM has been lagging or has not
+    been heard from; 0 if it is live and up to date.
     """
 
     vm: str
@@ -86,7 +86,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServerReport:
-    """One backend server as its owner sees it."""
+    """State of one backend server, reported by its owner."""
 
     server: str
     service: str
@@ -99,11 +99,11 @@
 
 @attrs.frozen(kw_only=True)
 class StatusReport:
-    """What one VM says of itself and of the others.
+    """State of one VM and of its peers as that VM knows it.
 
     Attributes:
-        reason: why it is not ready, empty where it is.
-        store_away_ms: how long the store has not answered it, 0 where it does.
+        reason: why it is not ready; empty if it is.
+        store_away_ms: time since the store stopped answering; 0 if it answers.
         intents: the latest confirmed intents, newest last.
         servers: the backend servers that it owns.
     """
@@ -121,14 +121,14 @@
     quarantined: int = 0
 
 
-def timeline_query(wanted: EventFilter) -> dict[str, str]:
-    """Return the query parameters that ask for these events; `parse_timeline_query` reads them."""
+def timeline_query(event_filter: EventFilter) -> dict[str, str]:
+    """Return the query parameters of a filter, the inverse of `parse_timeline_query`."""
     fields = {
-        "since": "" if wanted.since is None else str(wanted.since.pack()),
-        "until": "" if wanted.until is None else str(wanted.until.pack()),
-        "service": wanted.service,
-        "server": wanted.server,
-        "request": wanted.request_id,
+        "since": "" if event_filter.since is None else str(event_filter.since.pack()),
+        "until": "" if event_filter.until is None else str(event_filter.until.pack()),
+        "service": event_filter.service,
+        "server": event_filter.server,
+        "request": event_filter.request_id,
     }
     return {name: value for name, value in fields.items() if value}
 
@@ -139,18 +139,18 @@
     if unknown:
         raise ValueError(f"unknown parameter {min(unknown)!r:.80}")
     return EventFilter(
-        since=_stamp(query, "since"),
-        until=_stamp(query, "until"),
+        since=_parse_stamp(query, "since"),
+        until=_parse_stamp(query, "until"),
         service=query.get("service", ""),
         server=query.get("server", ""),
         request_id=query.get("request", ""),
     )
 
 
-def _stamp(query: dict[str, str], name: str) -> Stamp | None:
+def _parse_stamp(query: dict[str, str], name: str) -> Stamp | None:
     text = query.get(name, "")
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > _MAX_STAMP_DIGITS:
-        raise ValueError(f"{name} is not a packed stamp")
+        raise ValueError(f"{name} is not a valid packed stamp")
     return Stamp.unpack(int(text))
--- a/libs/model/berylspindle_model/rollout.py
+++ b/libs/model/berylspindle_model/rollout.py
@@ -1,13 +1,13 @@
-"""Rollouts: moving a service's requests from the replicas of one version to those of another.
+"""Define the messages about rollouts, which move a service's requests to replicas of a new version.
 
 Terms:
-  order    the operator's request to move a service to a version, within a term
-  status   what the system tells the operator of it
-  answers  counts of the replicas' answers by version and route, by which the version is judged
+  order    an operator's request to move a service to a version within a term
+  status   the state of a rollout that the system writes for the operator
+  answers  counts of replica responses by version and route, on which the version is judged
 
-Flow: an operator writes an order; new replicas start beside the old ones; the VMs try the new
-version, and one of them writes a status that all follow. The old replicas stop with `COMPLETED`,
-the new ones with `ROLLED_BACK`.
+Flow: an operator writes an order; new replicas start beside the old ones; the VMs send trial
+requests to the new version, and one VM writes a status that all VMs follow. After `COMPLETED` the
+old replicas stop, after `ROLLED_BACK` the new ones.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RolloutState(enum.StrEnum):
-    """What the operator is told of a rollout."""
+    """State of a rollout in its status."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutOrder:
-    """An operator's order; `term` is in seconds, `revision` that of its entry in the store."""
+    """Order of a rollout; `term` in seconds, `revision` of the order's store entry."""
 
     service: str
     version: str
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutStatus:
-    """What the system has written of a service's last rollout."""
+    """Status of a service's last rollout."""
 
     version: str
     state: RolloutState
@@ -46,16 +46,16 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutShift:
-    """The word that all requests go to the new version; `order` is the order's revision."""
+    """Signal to send all requests to the new version; `order` is the order's revision."""
 
     order: int
 
 
 @attrs.define
 class AnswerCounts:
-    """Answers on one route, by version: all and the bad ones.
+    """Counts of responses and of bad responses on one route, by version.
 
-    Those of the old version are counted by replica, as (all, bad).
+    Those of the old version are counted by replica, as (responses, bad responses).
     """
 
     new: int = 0
@@ -63,7 +63,7 @@
     old: dict[str, tuple[int, int]] = attrs.field(factory=dict)
 
     def add(self, replica: str, *, is_new: bool, is_bad: bool) -> None:
-        """Count one answer."""
+        """Count one response."""
         if is_new:
             self.new += 1
             self.new_bad += is_bad
@@ -76,28 +76,28 @@
         self.new += other.new
         self.new_bad += other.new_bad
         for replica, (answers, bad) in other.old.items():
-            known = self.old.get(replica, (0, 0))
-            self.old[replica] = (known[0] + answers, known[1] + bad)
+            current = self.old.get(replica, (0, 0))
+            self.old[replica] = (current[0] + answers, current[1] + bad)
 
-    def raise_to(self, least: AnswerCounts) -> None:
-        """Take each count of an earlier record that is higher."""
-        self.new = max(self.new, least.new)
-        self.new_bad = max(self.new_bad, least.new_bad)
-        for replica, (answers, bad) in least.old.items():
-            known = self.old.get(replica, (0, 0))
-            self.old[replica] = (max(known[0], answers), max(known[1], bad))
+    def raise_to(self, minimum: AnswerCounts) -> None:
+        """Raise each count to that of an earlier record if that is higher."""
+        self.new = max(self.new, minimum.new)
+        self.new_bad = max(self.new_bad, minimum.new_bad)
+        for replica, (answers, bad) in minimum.old.items():
+            current = self.old.get(replica, (0, 0))
+            self.old[replica] = (max(current[0], answers), max(current[1], bad))
 
 
 @attrs.frozen(kw_only=True)
 class RolloutAnswers:
-    """What some VMs have seen of one rollout so far.
+    """Observations of one or more VMs about one rollout so far.
 
     Attributes:
         order: revision of the order.
-        elapsed_ms: time since the order, as far as it is known.
-        requests: requests to the service, to either version.
-        routes: answers by route.
-        rate: requests a second, the highest mean so far; 0 while it isn't known.
+        elapsed_ms: time since the order, as far as known.
+        requests: number of requests to the service, of both versions.
+        routes: counts of responses by route.
+        rate: highest mean rate so far, in requests per second; 0 while unknown.
     """
 
     order: int
@@ -109,7 +109,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutReport:
-    """What one VM tells the VM that it follows, by service; `is_sum` if for other VMs too."""
+    """Report of a VM to its upstream, by service; `is_sum` if it includes other VMs' counts."""
 
     is_sum: bool
     services: dict[str, RolloutAnswers]
--- a/libs/model/berylspindle_model/routing.py
+++ b/libs/model/berylspindle_model/routing.py
@@ -1,16 +1,17 @@
-"""The routing table of forwarded requests, and the replicas that it sends them to.
+"""Define the routing table of forwarded requests, and the replicas that they are sent to.
 
 Terms:
-  route        which requests, by host and path, go to which services, and under what bounds
+  route        maps requests, by host and path, to services, with limits
   forwarding   passing a caller's request on unchanged, to one replica or to one of each shard
-  repeatable   the request may run more than once
-  aim          the time within which an answer is worth all that it can be
+  repeatable   the request is idempotent and may run more than once
+  aim          the latency target; a response within it has its full value to the caller
   shard set    the services that together hold one index; each is one shard of it
-  record       a fixed-size piece of a shard's answer; the greatest of all shards are the answer
+  record       a fixed-size piece of a shard's response; the highest records of all shards form the
+               merged response
 
-Flow: a table of one version is read and checked whole and replaced whole. The data plane looks a
-request up by `find` and keeps the route it found until the request has ended, so that no request is
-ever served by parts of two versions.
+Flow: a table of one version is parsed, validated and replaced as a whole. The data plane looks up a
+request's route with `find` and keeps it until the request ends, so that no request uses parts of
+two versions.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 import attrs
 
 RECORD_BYTES: Final = 16
-"""Size of a record of a shard's answer; a shorter rest is none."""
+"""Size of a record in a shard's response; a shorter remainder is not a record."""
 
 
 @attrs.frozen(kw_only=True)
 class WeightedService:
-    """A service and its share of a route's requests, relative to the other weights."""
+    """A service and its share of a route's requests relative to the other weights."""
 
     service: str
     weight: float = 1.0
@@ -34,12 +35,12 @@
 
 @attrs.frozen(kw_only=True)
 class ShardSet:
-    """The shards of one index and how their answers become one.
+    """Shards of one index, and how their responses are merged.
 
     Attributes:
-        shards: services, one a shard.
-        top: how many of the greatest records an answer holds.
-        least_share: share of the shards, 0 to 1, without which there is no answer.
+        shards: services, one per shard.
+        top: number of the highest records in a merged response.
+        least_share: fraction of the shards, 0 to 1, that a response requires.
     """
 
     shards: tuple[str, ...]
@@ -48,22 +49,23 @@
 
     @property
     def least(self) -> int:
-        """Return how many shards an answer needs at least; one in any case."""
+        """Return the number of shards that a response requires, at least one."""
         exact = self.least_share * len(self.shards)
-        # 0.89 * 100 is 89.00000000000001 in floating point, and must not ask for a 90th.
+        # 0.89 * 100 is 89.00000000000001 in floating point and must be rounded up to 89, not to 90.
         return max(1, -int(-(exact - 1e-9) // 1))
 
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """One route; it has either targets or a shard set.
+    """One route, with either targets or a shard set.
 
     Attributes:
-        host: the requests' host, in lower case and without a port.
-        prefix: begins and ends with a slash; the longest that begins a path wins.
-        timeout_ms: longest time that a request may be kept waiting.
-        priority: rank under pressure; 0 is the most urgent.
-        max_replicas: replicas that may run one request, of each shard.
+        host: host of the requests, in lower case and without a port.
+        prefix: path prefix that starts and ends with a slash; the longest match is used.
+        timeout_ms: maximum time until the response.
+        aim_ms: latency target.
+        priority: priority under load shedding; 0 is the highest.
+        max_replicas: maximum number of replicas, of each shard, that may run one request.
     """
 
     name: str
@@ -79,7 +81,7 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """Return the names of all services that the route sends to."""
+        """Return the names of all services of the route."""
         if self.shard_set is not None:
             return self.shard_set.shards
         return tuple(target.service for target in self.targets)
@@ -87,13 +89,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceRules:
-    """What holds for the replicas of one service.
+    """Properties of the replicas of one service.
 
     Attributes:
-        max_connections: connections that one replica takes, of all callers together.
-        cold_s: seconds for which a replica is cold after its start.
-        cold_rate: requests a second that a cold replica bears, of all callers together; None
-            where no rate is stated.
+        max_connections: maximum connections to one replica from all callers together.
+        cold_s: time for which a replica is cold after its start, in seconds.
+        cold_rate: maximum request rate of a cold replica from all callers together, in requests
+            per second; None if not specified.
     """
 
     name: str
@@ -105,7 +107,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle; times in seconds."""
+    """Size limits of a caller's requests in bytes, and time-outs in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 256 * 1024
@@ -115,14 +117,14 @@
 
 @attrs.frozen(kw_only=True)
 class Replica:
-    """One replica as it has announced itself.
+    """Announcement of one replica.
 
     Attributes:
-        id: its name, which requests to it carry.
-        born: when it started, in milliseconds of its own clock, or None where it does not say; a
-            replica that starts again under its id has another one.
-        cold_ms: how much longer it is cold, as of the announcement.
-        version: of its software, empty where it does not say.
+        id: its name, which is sent with each request to it.
+        born: start time in milliseconds of its own clock, or None if not announced; it differs
+            after a restart under the same id.
+        cold_ms: remaining time for which it is cold at the time of the announcement.
+        version: its software version; empty if not announced.
     """
 
     id: str
@@ -138,7 +140,7 @@
 
 
 class RoutingTable:
-    """All routes of one version; never changed, only replaced."""
+    """All routes of one version; immutable."""
 
     def __init__(
         self,
@@ -154,17 +156,17 @@
         by_host: dict[str, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
-        for found in by_host.values():
-            found.sort(key=lambda route: len(route.prefix), reverse=True)
+        for host_routes in by_host.values():
+            host_routes.sort(key=lambda route: len(route.prefix), reverse=True)
         self._by_host: Final = by_host
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix for a host, in lower case, and a raw path."""
+        """Return the longest-prefix match for a lower-case host and a raw path, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def rules(self, service: str) -> ServiceRules:
-        """Return the rules of a service; the defaults where the table names none."""
+        """Return the rules of a service, or the defaults if the table has none."""
         return self.services.get(service) or ServiceRules(name=service)
--- a/libs/model/berylspindle_model/snapshot.py
+++ b/libs/model/berylspindle_model/snapshot.py
@@ -1,7 +1,7 @@
-"""The identity of a snapshot of one service's index.
+"""Define the identity of a snapshot of one service's index.
 
-A snapshot is named by the epoch of the partitioning and the version of the index. Two replies may
-be merged into one answer only if both were computed on the same snapshot.
+A snapshot is identified by the epoch of the partitioning and the version of the index. Two replies
+may be merged into one answer only if both were computed on the same snapshot.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @attrs.frozen(order=True)
 class Snapshot:
-    """Name one snapshot; a greater one is newer."""
+    """Identity of one snapshot; a higher one is newer."""
 
     epoch: int
     version: int
--- a/libs/telemetry/berylspindle_telemetry/__init__.py
+++ b/libs/telemetry/berylspindle_telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics, logs, the hybrid logical clock and the time line."""
+"""Metrics, logs, the hybrid logical clock and the timeline."""
--- a/libs/telemetry/berylspindle_telemetry/clock.py
+++ b/libs/telemetry/berylspindle_telemetry/clock.py
@@ -1,19 +1,19 @@
-"""A hybrid logical clock: wall time that never puts an effect before its cause.
+"""Provide a hybrid logical clock: wall-clock time that always orders a cause before its effect.
 
 Terms:
-  stamp   wall milliseconds and a counter (`berylspindle_model.stamps.Stamp`)
-  tick    the stamp of an event of this VM or of a message that it sends
-  merge   what a VM does with the stamp of a message that it received
-
-Flow: every message between VMs carries the sender's tick; the receiver merges it before it does
-anything with the message, so that all it records later sorts after the sender's record, though
-the sender's wall clock may run ahead. A merge costs one comparison and reads the clock once.
-
-Guard: a VM whose wall clock is far off would drag every other VM's stamps to its own time, and
-they would stay there. It shows as events of today stamped next week. A stamp more than
-`MAX_AHEAD_MS` ahead of this VM's wall clock is therefore not adopted but counted; the clock of a
-VM stays within that bound of the greatest wall time it has read, whatever its peers send. The
-price: the order between this VM and the one that is far off is lost until its clock is mended.
+  stamp   wall-clock milliseconds and a counter (`berylspindle_model.stamps.Stamp`)
+  tick    create the stamp of a local event or of an outgoing message
+  merge   advance the clock beyond the stamp of a received message
+
+Flow: each message between VMs carries a tick of the sender; the receiver merges it before it
+processes the message, so that everything that it then records sorts after the sender's event even
+if the sender's wall clock is ahead. A merge costs one comparison and one reading of the clock.
+
+Guard: a VM whose wall clock is far ahead would advance the stamps of all other VMs to its own time
+for good, so that current events would carry dates in the future. A stamp more than `MAX_AHEAD_MS`
+ahead of the local wall clock is therefore not adopted but counted; whatever peers send, a VM's
+clock stays within that bound of the highest wall-clock time that it has read. Until the faulty
+clock is corrected, events of its VM are not ordered against those of others.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 from berylspindle_model.stamps import MAX_COUNT, Stamp
 
-# Well above what time synchronisation leaves between VMs (milliseconds, a second after a pause),
-# and well below what a person reading the time line would take for another incident.
+# Far above the clock differences of synchronised VMs (milliseconds, a second after a pause), and
+# small enough that events of one incident stay together in the timeline.
 MAX_AHEAD_MS: Final = 10_000
 
 
 class HybridClock:
-    """Give stamps that grow with every call and follow the wall clock."""
+    """Clock whose stamps increase with every call and follow the wall clock."""
 
     def __init__(
         self, now_wall: Callable[[], float] = time.time, *, max_ahead_ms: int = MAX_AHEAD_MS
     ) -> None:
-        """Take a function that returns the wall time in seconds since 1970."""
+        """Create a clock; `now_wall` returns the wall-clock time in seconds since 1970."""
         self._now_wall = now_wall
         self._max_ahead_ms = max_ahead_ms
         self._last = Stamp(0)
@@ -43,22 +43,22 @@
 
     @property
     def last(self) -> Stamp:
-        """Return the greatest stamp given or adopted so far."""
+        """Return the highest stamp so far."""
         return self._last
 
     @property
     def rejected(self) -> int:
-        """Return how many stamps of peers were too far ahead to adopt."""
+        """Return the number of peers' stamps that were rejected as too far ahead."""
         return self._rejected
 
     def tick(self) -> Stamp:
-        """Return a stamp greater than all given or adopted before."""
+        """Return a stamp higher than all previous ones."""
         return self._advance(self._wall_ms(), self._last)
 
     def merge(self, remote: Stamp) -> Stamp:
-        """Return a stamp greater than `remote` and than all before it.
+        """Return a stamp higher than `remote` and all previous ones.
 
-        A `remote` too far ahead of the wall clock is counted and otherwise ignored.
+        A `remote` too far ahead of the wall clock is counted as rejected and otherwise ignored.
         """
         wall = self._wall_ms()
         if remote.millis > wall + self._max_ahead_ms:
@@ -75,6 +75,6 @@
         elif floor.count < MAX_COUNT:
             self._last = Stamp(floor.millis, floor.count + 1)
         else:
-            # The counter is full: 65,536 events in one millisecond, or a wall clock set back.
+            # Counter overflow: 65,536 events in one millisecond, or a wall clock that was set back.
             self._last = Stamp(floor.millis + 1)
         return self._last
--- a/libs/telemetry/berylspindle_telemetry/logs.py
+++ b/libs/telemetry/berylspindle_telemetry/logs.py
@@ -1,17 +1,17 @@
-"""Set up the log: lines on standard error, for people or as JSON.
+"""Configure logging: text or JSON lines on standard error or to a `LineWriter`.
 
 Terms:
-  channel   the part of the program that a line comes from, such as `daemon` or `timeline`
-  level     the least severity that is written: debug, info, notice, warning, error or critical
+  channel   the component that a line comes from, such as `daemon` or `timeline`
+  level     the lowest severity that is written: debug, info, notice, warning, error or critical
 
-Flow: `logs_to` pushes one logbook handler for the whole process. What libraries say through the
-standard `logging` goes the same way. A daemon gives it a `LineWriter`, which never waits for the
-reader of the log; lines that it has no room for are counted by channel, and the next line that is
-written is preceded by one that says how many were dropped. JSON lines hold the hybrid clock's
-stamp, so that lines of several VMs can be put in order.
+Flow: `logs_to` installs one logbook handler for the whole process, which also receives the records
+of libraries that use the standard `logging`. A daemon passes a `LineWriter`, which does not block
+on the reader of the log; lines for which it has no room are counted by channel, and the next line
+that is written is preceded by one with the number of dropped lines. JSON lines contain a stamp of
+the hybrid logical clock, so that lines of several VMs can be sorted.
 
-Guard: a library's error text may quote a header, and so a token. Each line is searched for the
-secrets of the settings before it is written, and they are masked.
+Guard: the error message of a library may quote a header and thus a token. The secrets of the
+settings are masked in each line before it is written.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class LineHandler(logbook.StreamHandler):  # type: ignore[misc]  # logbook has no types
-    """Write records as lines of one form, with secrets masked, and count them."""
+    """Handler that formats records as lines, masks secrets and counts the lines."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._metrics = metrics
 
     def emit(self, record: Any) -> None:
-        """Write a record, or count it where nobody reads the log fast enough."""
+        """Write a record, or count it as dropped if the writer has no room."""
         if self._writer is None:
             super().emit(record)
             return
@@ -88,21 +88,21 @@
         return codec.to_json(fields).decode() if self._as_json else str(fields)
 
     def format(self, record: Any) -> str:
-        """Return one line for a record; a traceback is folded into it as JSON or follows it."""
+        """Return the line of a record; in text form, a traceback follows on further lines."""
         if self._metrics is not None:
             self._metrics.count(names.LOG_LINES, level=record.level_name.lower())
-        line = self._json(record) if self._as_json else self._text(record)
+        line = self._format_json(record) if self._as_json else self._format_text(record)
         for secret in self._secrets:
             line = line.replace(secret, MASK)
         return line
 
-    def _text(self, record: Any) -> str:
+    def _format_text(self, record: Any) -> str:
         stamp = record.time.strftime(_TIME_FORMAT)[:-3]
         fields = "".join(f" {key}={value}" for key, value in sorted(record.extra.items()))
         text = f"{stamp}Z {record.level_name:<8} {self._vm} {record.channel}: {record.message}"
-        return text + fields + "".join("\n" + line for line in _traceback(record))
+        return text + fields + "".join("\n" + line for line in _format_traceback(record))
 
-    def _json(self, record: Any) -> str:
+    def _format_json(self, record: Any) -> str:
         fields: dict[str, Any] = {
             "time": record.time.strftime(_TIME_FORMAT)[:-3] + "Z",
             "level": record.level_name.lower(),
@@ -113,12 +113,12 @@
         if self._clock is not None:
             fields["stamp"] = self._clock.tick().pack()
         fields.update((key, str(value)) for key, value in sorted(record.extra.items()))
-        if trace := _traceback(record):
+        if trace := _format_traceback(record):
             fields["traceback"] = "\n".join(trace)
         return codec.to_json(fields).decode()
 
 
-def _traceback(record: Any) -> list[str]:
+def _format_traceback(record: Any) -> list[str]:
     if not record.exc_info:
         return []
     return "".join(traceback.format_exception(*record.exc_info)).splitlines()
@@ -135,14 +135,14 @@
     writer: LineWriter | None = None,
     clock: HybridClock | None = None,
 ) -> AbstractContextManager[Any]:
-    """Return a context in which the whole process logs to `stream`, standard error if None.
+    """Return a context in which the whole process logs to `stream`, or standard error if None.
 
-    With a `writer` lines go there instead, and no write ever waits; it is closed at the end.
+    If there is a `writer`, lines go there instead without blocking; it is closed on exit.
 
-    Raises ValueError for a level or form that isn't in `LEVELS` or `FORMATS`.
+    Raises ValueError for a level or format that is not in `LEVELS` or `FORMATS`.
     """
     if level not in LEVELS or form not in FORMATS:
-        raise ValueError(f"no such log level or format: {level}, {form}")
+        raise ValueError(f"unknown log level or format: {level}, {form}")
     handler = LineHandler(
         stream if stream is not None else sys.stderr,
         level=level,
@@ -162,5 +162,5 @@
 
 
 def logger(channel: str) -> Any:
-    """Return the logger of one part of the program."""
+    """Return the logger of a channel."""
     return logbook.Logger(channel)
--- a/libs/telemetry/berylspindle_telemetry/metric_names.py
+++ b/libs/telemetry/berylspindle_telemetry/metric_names.py
@@ -1,13 +1,13 @@
-"""The closed list of metrics: name, kind, labels and help text of each.
+"""Define all metrics: name, kind, labels and help text of each.
 
 Terms:
-  counter   a total that only grows until the process ends
-  gauge     a value that goes up and down
-  summary   quantiles over the last minute or two, with a sum and a count since the start
-  label     a dimension of a metric, of a few values; a caller or a request id is never one
+  counter   a total that only increases while the process runs
+  gauge     a value that can increase and decrease
+  summary   quantiles over the last one to two minutes, and sum and count since the start
+  label     a dimension of a metric with few values, which excludes callers and request ids
 
-Flow: code passes one of these constants to `metrics.Metrics`. A metric that isn't here can't be
-recorded, so this page is also the documentation of what the daemon tells. Times are milliseconds.
+Flow: code passes one of these constants to `metrics.Metrics`. Other metrics cannot be recorded, so
+that this list is complete. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MetricKind(enum.StrEnum):
-    """What a metric counts or measures."""
+    """Type of a metric in the text exposition."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -30,7 +30,7 @@
 
 @attrs.frozen(eq=False)
 class Metric:
-    """One metric. Compared by identity, which keeps a look-up in the registry cheap."""
+    """One metric, compared by identity for fast look-up in the registry."""
 
     name: str
     kind: MetricKind
@@ -41,22 +41,22 @@
 METRICS: Final[list[Metric]] = []
 
 
-def _metric(kind: MetricKind, name: str, text: str, *labels: str) -> Metric:
-    metric = Metric(PREFIX + name, kind, text, labels)
+def _metric(kind: MetricKind, name: str, help_text: str, *labels: str) -> Metric:
+    metric = Metric(PREFIX + name, kind, help_text, labels)
     METRICS.append(metric)
     return metric
 
 
-def _counter(name: str, text: str, *labels: str) -> Metric:
-    return _metric(MetricKind.COUNTER, name + "_total", text, *labels)
+def _counter(name: str, help_text: str, *labels: str) -> Metric:
+    return _metric(MetricKind.COUNTER, name + "_total", help_text, *labels)
 
 
-def _gauge(name: str, text: str, *labels: str) -> Metric:
-    return _metric(MetricKind.GAUGE, name, text, *labels)
+def _gauge(name: str, help_text: str, *labels: str) -> Metric:
+    return _metric(MetricKind.GAUGE, name, help_text, *labels)
 
 
-def _summary(name: str, text: str, *labels: str) -> Metric:
-    return _metric(MetricKind.SUMMARY, name + "_ms", text, *labels)
+def _summary(name: str, help_text: str, *labels: str) -> Metric:
+    return _metric(MetricKind.SUMMARY, name + "_ms", help_text, *labels)
 
 
 # The callers' edge.
--- a/libs/telemetry/berylspindle_telemetry/secret.py
+++ b/libs/telemetry/berylspindle_telemetry/secret.py
@@ -1,7 +1,7 @@
-"""Text that must not be shown: keys and tokens.
+"""Wrap keys and tokens so that they are not printed or logged.
 
-Flow: settings read a secret from a file or the environment into a `Secret`; only the code that
-signs or compares calls `reveal`. Everything else that prints, logs or formats one gets `***`.
+Flow: settings read a secret from a file or the environment into a `Secret`; only code that signs or
+compares calls `reveal`. Printing, logging or formatting a `Secret` gives `***`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Secret:
-    """Hold a secret that no representation shows."""
+    """A secret that is masked in all its representations."""
 
     __slots__ = ("_value",)
 
@@ -21,12 +21,12 @@
         self._value = value
 
     def reveal(self) -> str:
-        """Return the secret itself; never log or format the result."""
+        """Return the secret in plain text; the result must not be logged or formatted."""
         return self._value
 
-    def matches(self, given: str) -> bool:
-        """Compare in constant time, so that the time taken tells nothing of the secret."""
-        return hmac.compare_digest(self._value.encode(), given.encode())
+    def matches(self, candidate: str) -> bool:
+        """Return whether `candidate` is the secret, in constant time against timing attacks."""
+        return hmac.compare_digest(self._value.encode(), candidate.encode())
 
     def __repr__(self) -> str:
         return MASK
@@ -38,4 +38,4 @@
         return MASK
 
     def __reduce__(self) -> str:
-        raise TypeError("a secret is not serialised")
+        raise TypeError("a Secret cannot be serialised")
--- a/libs/telemetry/berylspindle_telemetry/stamping.py
+++ b/libs/telemetry/berylspindle_telemetry/stamping.py
@@ -1,11 +1,11 @@
-"""Carry the hybrid logical clock on messages between VMs.
+"""Add stamps of the hybrid logical clock to messages between VMs.
 
 Terms:
-  sealed   a message with eight bytes before it: the sender's stamp, packed
+  stamped   a message with an 8-byte prefix: the sender's packed stamp
 
-Flow: the daemon seals each datagram, call and answer on its way out and opens each on its way in,
-before anything acts on it. Whatever the receiver records afterwards sorts after what the sender
-recorded before.
+Flow: the daemon stamps each outgoing datagram, call and response, and merges the stamp of each
+incoming one before it is processed. Everything that the receiver then records sorts after what the
+sender recorded before sending.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 Method = Callable[[bytes], Awaitable[bytes]]
 
 STAMP_BYTES: Final = 8
-_PACKED: Final = struct.Struct(">Q")
+_STAMP_STRUCT: Final = struct.Struct(">Q")
 
 
 class MessageStamper:
-    """Seal and open messages by one VM's clock."""
+    """Add and remove the stamps of messages, using the clock of one VM."""
 
     def __init__(self, clock: HybridClock) -> None:
         self._clock = clock
 
     def seal(self, data: bytes) -> bytes:
-        """Return the message with a stamp of now before it."""
-        return _PACKED.pack(self._clock.tick().pack()) + data
+        """Return the message with a new stamp as its prefix."""
+        return _STAMP_STRUCT.pack(self._clock.tick().pack()) + data
 
     def open(self, data: bytes) -> bytes:
-        """Return the message that was sealed, after merging its stamp into the clock.
+        """Merge the stamp of a message into the clock, and return the message without it.
 
-        Raises ValueError for one that is too short to hold a stamp.
+        Raises ValueError if the message is too short for a stamp.
         """
         if len(data) < STAMP_BYTES:
-            raise ValueError("the message holds no stamp")
-        self._clock.merge(Stamp.unpack(_PACKED.unpack_from(data)[0]))
+            raise ValueError("message is too short: no stamp")
+        self._clock.merge(Stamp.unpack(_STAMP_STRUCT.unpack_from(data)[0]))
         return data[STAMP_BYTES:]
 
     def sealing(self, method: Method) -> Method:
-        """Return a method that opens its request and seals its answer."""
+        """Return a method that removes the stamp of its request and adds one to its response."""
 
-        async def sealed(request: bytes) -> bytes:
+        async def wrapped(request: bytes) -> bytes:
             return self.seal(await method(self.open(request)))
 
-        return sealed
+        return wrapped
--- a/libs/telemetry/berylspindle_telemetry/timeline.py
+++ b/libs/telemetry/berylspindle_telemetry/timeline.py
@@ -1,16 +1,16 @@
-"""The time line of one VM: its latest changes of state in a bounded buffer.
+"""Record the latest state changes of one VM in a bounded buffer.
 
 Terms:
-  event     one change of state (`berylspindle_model.events`)
+  event     a state change (`berylspindle_model.events`)
   dropped   events that were overwritten because the buffer was full
 
-Flow: any part of the daemon calls `record` when a state changes, never for each request; the event
-gets a stamp of the hybrid logical clock, one log line and a count. The operators' interface answers
-from `select`. What a VM held is lost with it; peers' events about it remain.
+Flow: components of the daemon call `record` on state changes, but never for each request; the event
+gets a stamp of the hybrid logical clock, is logged and counted. The operators' interface responds
+with the result of `select`. A VM's events are lost when it stops; peers' events about it remain.
 
-Guard: a flapping state would fill the memory of the process; it shows as an endless list of equal
-events. The buffer holds `capacity` events and counts what it has dropped, and each event carries
-its sequence number, so that a reader sees the gap.
+Guard: a flapping state would fill the memory of the process with identical events. The buffer holds
+`capacity` events and counts those that it has dropped; each event has a sequence number, so that
+readers can detect the gap.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 __all__ = ["Event", "EventFilter", "EventKind", "EventPage", "Stamp", "Timeline"]
 
-# Changes of state are rare; this is hours of an ordinary day and some 2 MB.
+# Some hours of events under normal conditions, about 2 MB.
 DEFAULT_CAPACITY: Final = 5000
 
 _WARNINGS: Final = frozenset(
@@ -48,7 +48,7 @@
 
 
 class Timeline:
-    """Hold the latest events of one VM."""
+    """Bounded buffer of the latest events of one VM."""
 
     def __init__(
         self,
@@ -72,12 +72,12 @@
 
     @property
     def clock(self) -> HybridClock:
-        """Return the clock; messages to other VMs carry its stamps and merge theirs."""
+        """Return the clock that also stamps messages between VMs."""
         return self._clock
 
     @property
     def dropped(self) -> int:
-        """Return how many events the buffer no longer holds."""
+        """Return the number of events that were overwritten."""
         return self._recorded - len(self._events)
 
     def record(
@@ -89,7 +89,7 @@
         request_id: str = "",
         detail: str = "",
     ) -> Event:
-        """Record a change of state, write its log line and count it."""
+        """Record a state change, log it and count it."""
         self._recorded += 1
         event = Event(
             vm=self._vm,
@@ -104,25 +104,25 @@
         self._events.append(event)
         if self._metrics is not None:
             self._metrics.count(names.EVENTS, kind=kind.value)
-        self._write(event)
+        self._log_event(event)
         return event
 
-    def select(self, wanted: EventFilter | None = None) -> EventPage:
-        """Return the events that a filter asks for, oldest first; all of them without one."""
-        chosen = wanted if wanted is not None else EventFilter()
+    def select(self, event_filter: EventFilter | None = None) -> EventPage:
+        """Return the events that match a filter, or all events without one, oldest first."""
+        effective_filter = event_filter if event_filter is not None else EventFilter()
         return EventPage(
             vm=self._vm,
             data_centre=self._data_centre,
             dropped=self.dropped,
-            events=tuple(event for event in self._events if chosen.matches(event)),
+            events=tuple(event for event in self._events if effective_filter.matches(event)),
         )
 
     def since(self, stamp: Stamp) -> tuple[Event, ...]:
         """Return the events at or after a stamp, oldest first."""
         return self.select(EventFilter(since=stamp)).events
 
-    def _write(self, event: Event) -> None:
-        about = {
+    def _log_event(self, event: Event) -> None:
+        fields = {
             name: value
             for name, value in (
                 ("service", event.service),
@@ -132,5 +132,5 @@
             )
             if value
         }
-        write = self._log.warning if event.kind in _WARNINGS else self._log.info
-        write(event.kind.value, extra=about)
+        log = self._log.warning if event.kind in _WARNINGS else self._log.info
+        log(event.kind.value, extra=fields)
--- a/tests/model/test_checked.py
+++ b/tests/model/test_checked.py
@@ -1,4 +1,4 @@
-"""A configuration from outside: every fault at once, one canonical text."""
+"""Configurations: all faults reported at once, canonical and stored forms."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from berylspindle_model.configuration import Configuration, DataCentre, Server, Service
 
-GOOD = Configuration(
+CONFIGURATION = Configuration(
     revision=3,
     deployment="kurabito",
     data_centres=(DataCentre(name="b", region="north"), DataCentre(name="a", region="north")),
@@ -38,59 +38,59 @@
 )
 
 
-def document() -> Any:
-    return json.loads(canonical(GOOD))
+def valid_document() -> Any:
+    return json.loads(canonical(CONFIGURATION))
 
 
-def faults(changed: Any) -> dict[str, str]:
+def faults(document: Any) -> dict[str, str]:
     with pytest.raises(ConfigurationFaults) as raised:
-        parse_configuration(json.dumps(changed).encode())
+        parse_configuration(json.dumps(document).encode())
     return {fault.path: fault.text for fault in raised.value.faults}
 
 
-def test_canonical_text_is_read_back_and_ignores_order() -> None:
-    read = parse_configuration(canonical(GOOD))
-    assert canonical(read) == canonical(GOOD)
-    assert [dc.name for dc in read.data_centres] == ["a", "b"]
-    swapped = attrs.evolve(GOOD, data_centres=GOOD.data_centres[::-1])
-    assert canonical(swapped) == canonical(GOOD)
+def test_canonical_form_round_trips_and_ignores_order() -> None:
+    parsed = parse_configuration(canonical(CONFIGURATION))
+    assert canonical(parsed) == canonical(CONFIGURATION)
+    assert [dc.name for dc in parsed.data_centres] == ["a", "b"]
+    swapped = attrs.evolve(CONFIGURATION, data_centres=CONFIGURATION.data_centres[::-1])
+    assert canonical(swapped) == canonical(CONFIGURATION)
 
 
-def test_stored_form_is_read_back_compressed_or_plain() -> None:
-    assert canonical(from_stored(to_stored(GOOD))) == canonical(GOOD)
-    assert canonical(from_stored(canonical(GOOD))) == canonical(GOOD)
-    for broken in (b"", b"\x00", to_stored(GOOD)[:-9]):
+def test_stored_form_round_trips_compressed_or_plain() -> None:
+    assert canonical(from_stored(to_stored(CONFIGURATION))) == canonical(CONFIGURATION)
+    assert canonical(from_stored(canonical(CONFIGURATION))) == canonical(CONFIGURATION)
+    for invalid in (b"", b"\x00", to_stored(CONFIGURATION)[:-9]):
         with pytest.raises(ConfigurationFaults):
-            from_stored(broken)
-
-
-def test_every_fault_of_type_is_reported_with_its_path() -> None:
-    changed = document()
-    changed["servers"][0]["slots"] = "three"
-    changed["servers"][1]["port"] = 80.5
-    changed["servers"][1]["prot"] = 80
-    changed["data_centres"][0]["state"] = "away"
-    changed["services"][0]["shards"] = "01"
-    del changed["deployment"]
-    found = faults(changed)
-    assert "whole number" in found["$.servers[0].slots"]
-    assert "whole number" in found["$.servers[1].port"]
-    assert "prot" in found["$.servers[1]"]
-    assert "in, out" in found["$.data_centres[0].state"]
-    assert "list" in found["$.services[0].shards"]
-    assert "deployment" in "".join(found) + "".join(found.values())
-
-
-def test_every_contradiction_is_reported_with_its_path() -> None:
-    changed = document()
-    changed["revision"] = 0
-    changed["data_centres"][1]["name"] = "c c"
-    changed["services"][0]["shards"] = ["0", "2"]
-    changed["services"][0]["policy"].update(min_coverage=1.5, patience_ms=900)
-    changed["servers"][0].update(data_centre="x", slots=0, connections=0, cold_slots=5, host="h")
-    changed["servers"][1].update(id="bd-0", port=70_000, service="nobody")
-    found = faults(changed)
-    assert set(found) == {
+            from_stored(invalid)
+
+
+def test_all_type_errors_are_reported_with_their_paths() -> None:
+    document = valid_document()
+    document["servers"][0]["slots"] = "three"
+    document["servers"][1]["port"] = 80.5
+    document["servers"][1]["prot"] = 80
+    document["data_centres"][0]["state"] = "away"
+    document["services"][0]["shards"] = "01"
+    del document["deployment"]
+    fault_texts = faults(document)
+    assert "an integer" in fault_texts["$.servers[0].slots"]
+    assert "an integer" in fault_texts["$.servers[1].port"]
+    assert "prot" in fault_texts["$.servers[1]"]
+    assert "in, out" in fault_texts["$.data_centres[0].state"]
+    assert "list" in fault_texts["$.services[0].shards"]
+    assert "deployment" in "".join(fault_texts) + "".join(fault_texts.values())
+
+
+def test_all_content_faults_are_reported_with_their_paths() -> None:
+    document = valid_document()
+    document["revision"] = 0
+    document["data_centres"][1]["name"] = "c c"
+    document["services"][0]["shards"] = ["0", "2"]
+    document["services"][0]["policy"].update(min_coverage=1.5, patience_ms=900)
+    document["servers"][0].update(data_centre="x", slots=0, connections=0, cold_slots=5, host="h")
+    document["servers"][1].update(id="bd-0", port=70_000, service="nobody")
+    fault_texts = faults(document)
+    assert set(fault_texts) == {
         "$.revision",
         "$.data_centres[1]",
         "$.services[0].shards[0]",
@@ -108,13 +108,13 @@
     } - {"$.services[0].shards[0]"}
 
 
-def test_two_servers_at_one_address_are_a_fault() -> None:
-    changed = document()
-    changed["servers"][1]["port"] = changed["servers"][0]["port"]
-    assert "already bd-0" in faults(changed)["$.servers[1].port"]
+def test_two_servers_with_the_same_address_are_rejected() -> None:
+    document = valid_document()
+    document["servers"][1]["port"] = document["servers"][0]["port"]
+    assert "already used by bd-0" in faults(document)["$.servers[1].port"]
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b"{", b"[" * 100_000, b"null", b'{"revision": 1}'])
-def test_what_is_no_configuration_is_refused(text: bytes) -> None:
+def test_invalid_documents_are_rejected(text: bytes) -> None:
     with pytest.raises(ConfigurationFaults):
         parse_configuration(text)
--- a/tests/model/test_codec.py
+++ b/tests/model/test_codec.py
@@ -1,4 +1,4 @@
-"""Every message survives both codecs, and a wrong type is refused with its path."""
+"""Messages round-trip through both codecs; a wrong type is rejected with its path."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_messages_survive_both_codecs(message: object) -> None:
+def test_messages_round_trip_through_both_codecs(message: object) -> None:
     assert codec.from_pack(codec.to_pack(message), type(message)) == message
     assert codec.from_json(codec.to_json(message), type(message)) == message
 
 
-def test_a_wrong_type_is_refused_with_its_path() -> None:
+def test_wrong_type_is_rejected_with_its_path() -> None:
     data = codec.to_json({"entry": "vm1", "caller": "c", "deadline_ms": "soon"})
     with pytest.raises(codec.DecodeError, match="deadline_ms"):
         codec.from_json(data, AttemptBatch)
 
 
-def test_every_kind_has_one_answer() -> None:
+def test_every_error_kind_has_an_answer() -> None:
     assert set(ANSWERS) == set(ErrorKind)
--- a/tests/model/test_control_messages.py
+++ b/tests/model/test_control_messages.py
@@ -1,4 +1,4 @@
-"""Every datagram survives its bytes, and other bytes are refused."""
+"""Datagrams round-trip through their encoding; other data is rejected."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_a_datagram_survives_its_bytes(message: Datagram) -> None:
+def test_datagrams_round_trip(message: Datagram) -> None:
     assert from_datagram(to_datagram(message)) == message
     assert len(to_datagram(message)) < 80
 
 
 @settings(derandomize=True, deadline=None, database=None)
 @given(st.binary(max_size=60))
-def test_other_bytes_are_refused(data: bytes) -> None:
+def test_arbitrary_data_is_rejected_or_round_trips(data: bytes) -> None:
     try:
         message = from_datagram(data)
     except codec.MalformedError:
@@ -49,6 +49,6 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_a_cut_datagram_is_refused(message: Datagram) -> None:
+def test_truncated_datagrams_are_rejected(message: Datagram) -> None:
     with pytest.raises(codec.MalformedError):
         from_datagram(to_datagram(message)[:-1])
--- a/tests/telemetry/test_clock.py
+++ b/tests/telemetry/test_clock.py
@@ -1,4 +1,4 @@
-"""The hybrid logical clock: order, cause before effect, and its bound."""
+"""Hybrid logical clock: order of causes and effects, and the bound against wrong clocks."""
 
 from __future__ import annotations
 
@@ -21,39 +21,38 @@
 
 @given(STEPS)
 @settings(derandomize=True, deadline=None, database=None)
-def test_stamps_grow_and_stay_near_the_greatest_wall_time(
+def test_stamps_increase_and_stay_near_the_highest_wall_time(
     steps: list[tuple[int, Stamp | None]],
 ) -> None:
-    """A user sees events of today stamped next week.
+    """Guards against one VM with a wall clock far ahead advancing the stamps of all others.
 
-    One VM's wall clock is far ahead; its messages reach the others; they adopt its time and
-    keep it. Each clock must stay within its bound of the wall time that it has read itself.
+    Each clock must stay within its bound of the wall-clock time that it has read itself.
     """
     wall = [0.0]
     clock = make_clock(wall)
-    greatest = 0
+    highest = 0
     last = clock.tick()
     for wall_ms, remote in steps:
         wall[0] = wall_ms / 1000
-        greatest = max(greatest, wall_ms)
+        highest = max(highest, wall_ms)
         stamp = clock.tick() if remote is None else clock.merge(remote)
         assert stamp > last
         if remote is not None and remote.millis <= wall_ms + MAX_AHEAD_MS - 1:
             assert stamp > remote
-        # One millisecond more for each step whose counter was full.
-        assert stamp.millis <= greatest + MAX_AHEAD_MS + len(steps) + 1
+        # Each step with a counter overflow adds one millisecond.
+        assert stamp.millis <= highest + MAX_AHEAD_MS + len(steps) + 1
         last = stamp
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2)), max_size=40), st.data())
 @settings(derandomize=True, deadline=None, database=None)
-def test_a_message_s_effect_sorts_after_its_cause(
+def test_effects_of_a_message_sort_after_its_cause(
     messages: list[tuple[int, int]], data: st.DataObject
 ) -> None:
-    """A user sees a VM lose a server before the event that made it lose it.
+    """Guards against events that sort before their cause when wall clocks differ.
 
-    Three VMs' clocks differ by up to 400 ms; a message goes from one that is ahead to one that is
-    behind. What the receiver records after the message must sort after what the sender did before.
+    The clocks of three VMs differ by up to 400 ms. Events of a receiver after a message must sort
+    after the events of the sender before it.
     """
     walls = [[data.draw(st.integers(0, 400)) / 1000] for _ in range(3)]
     clocks = [make_clock(wall) for wall in walls]
@@ -65,12 +64,12 @@
 
 @given(STAMPS, STAMPS)
 @settings(derandomize=True, deadline=None, database=None)
-def test_packed_stamps_sort_alike_and_come_back(a: Stamp, b: Stamp) -> None:
+def test_packed_stamps_keep_their_order_and_round_trip(a: Stamp, b: Stamp) -> None:
     assert Stamp.unpack(a.pack()) == a
     assert (a.pack() < b.pack()) == (a < b)
 
 
-def test_a_stamp_far_ahead_is_counted_and_not_adopted() -> None:
+def test_stamp_far_ahead_is_rejected_and_counted() -> None:
     clock = make_clock([1.0])
     assert clock.merge(Stamp(1000 + MAX_AHEAD_MS + 1)) == Stamp(1000)
     assert clock.rejected == 1
@@ -78,7 +77,7 @@
     assert clock.rejected == 1
 
 
-def test_a_wall_clock_set_back_does_not_set_the_stamps_back() -> None:
+def test_stamps_increase_after_the_wall_clock_is_set_back() -> None:
     wall = [2.0]
     clock = make_clock(wall)
     first = clock.tick()
@@ -86,11 +85,11 @@
     assert clock.tick() == Stamp(first.millis, first.count + 1)
 
 
-async def test_a_sealed_call_puts_the_answer_s_effects_last() -> None:
-    """A user sees a VM adopt a revision before the VM that told it of the revision.
+async def test_effects_of_a_stamped_call_sort_after_its_cause() -> None:
+    """Guards against calls whose effects sort before their cause.
 
-    The sender's clock is 300 ms ahead. The receiver's answer, and all that the sender records on
-    it, must sort after what both recorded before.
+    The sender's clock is 300 ms ahead. Events of the receiver, and those of the sender after the
+    response, must sort after the events before the call.
     """
     ahead, behind = make_clock([0.4]), make_clock([0.1])
     sender, receiver = MessageStamper(ahead), MessageStamper(behind)
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -1,4 +1,4 @@
-"""The log's lines, and a reader that stops."""
+"""Log lines when the reader of the log is slow, stopped or gone."""
 
 from __future__ import annotations
 
@@ -29,74 +29,73 @@
 
 def read_all(descriptor: int) -> bytes:
     os.set_blocking(descriptor, False)
-    found = b""
+    data_read = b""
     try:
         while data := os.read(descriptor, 65536):
-            found += data
+            data_read += data
     except BlockingIOError:
         pass
-    return found
+    return data_read
 
 
-async def test_a_reader_that_stops_costs_no_time_and_its_lines_are_counted(
+async def test_stopped_reader_does_not_block_and_dropped_lines_are_counted(
     pipe: tuple[int, int],
 ) -> None:
-    """Callers get no answer, for the collector of the log has stopped reading.
+    """Guards against requests that stall because the log collector has stopped reading.
 
-    A pipe holds 64 KB. A write beyond that waits until the reader reads on; on the loop's own
-    thread it keeps all requests waiting with it.
+    A pipe holds 64 KB; a blocking write beyond that would block the thread of the event loop.
     """
-    reading, writing = pipe
+    read_end, write_end = pipe
     metrics = Metrics()
-    writer = LineWriter(writing, capacity=100_000)
+    writer = LineWriter(write_end, capacity=100_000)
     with logs_to(form="json", vm="vm1", metrics=metrics, writer=writer, clock=HybridClock()):
         log = logger("request")
-        began = time.monotonic()
+        started = time.monotonic()
         for number in range(1000):
             log.info("refused", extra={"request": f"id-{number}", "steps": "x" * 500})
             if number % 50 == 0:
                 await asyncio.sleep(0.005)
-        assert time.monotonic() - began < 2.0
+        assert time.monotonic() - started < 2.0
         await asyncio.sleep(0.15)
-        exposed = metrics.render().decode()
-        dropped = next(line for line in exposed.splitlines() if "log_dropped_total{" in line)
+        exposition = metrics.render().decode()
+        dropped = next(line for line in exposition.splitlines() if "log_dropped_total{" in line)
         assert 'channel="request"' in dropped
         count = int(float(dropped.split()[-1]))
         assert 600 < count < 900
-        first = read_all(reading)
-        # The backlog goes out once the reader is back; then comes what was dropped.
+        first = read_all(read_end)
+        # After the reader resumes, the backlog is written, then the number of dropped lines.
         while writer.backlog:
             await asyncio.sleep(0.1)
-            first += read_all(reading)
+            first += read_all(read_end)
         log.info("late", extra={"request": "last"})
         await asyncio.sleep(0.25)
-        rest = [json.loads(line) for line in read_all(reading).splitlines()]
-    told = [json.loads(line) for line in first.splitlines()] + rest
-    names = [line.get("request", "") for line in told]
+        rest = [json.loads(line) for line in read_all(read_end).splitlines()]
+    lines = [json.loads(line) for line in first.splitlines()] + rest
+    names = [line.get("request", "") for line in lines]
     numbers = [int(name.removeprefix("id-")) for name in names if name.startswith("id-")]
-    notices = [int(line["lines"]) for line in told if line["message"] == "lines dropped"]
+    notices = [int(line["lines"]) for line in lines if line["message"] == "lines dropped"]
     assert numbers == sorted(numbers)
     assert len(numbers) == 1000 - count
     assert sum(notices) == count
     assert rest[-1]["request"] == "last"
 
 
-async def test_a_reader_that_is_gone_ends_nothing(pipe: tuple[int, int]) -> None:
-    reading, writing = pipe
-    writer = LineWriter(writing)
-    os.close(reading)
+async def test_closed_reader_raises_no_error(pipe: tuple[int, int]) -> None:
+    read_end, write_end = pipe
+    writer = LineWriter(write_end)
+    os.close(read_end)
     with logs_to(form="json", writer=writer):
         logger("request").info("one")
         await asyncio.sleep(0.15)
         assert not writer.put("two")
 
 
-def test_the_last_lines_of_a_process_are_written_and_stamps_grow(pipe: tuple[int, int]) -> None:
-    reading, writing = pipe
-    with logs_to(form="json", vm="vm1", writer=LineWriter(writing), clock=HybridClock()):
+def test_backlog_is_written_on_exit_and_stamps_increase(pipe: tuple[int, int]) -> None:
+    read_end, write_end = pipe
+    with logs_to(form="json", vm="vm1", writer=LineWriter(write_end), clock=HybridClock()):
         for number in range(20):
             logger("daemon").info(f"line {number}")
-    lines = [json.loads(line) for line in read_all(reading).splitlines()]
+    lines = [json.loads(line) for line in read_all(read_end).splitlines()]
     assert [line["message"] for line in lines] == [f"line {n}" for n in range(20)]
     stamps = [line["stamp"] for line in lines]
     assert stamps == sorted(set(stamps))
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -1,4 +1,4 @@
-"""The registry of metrics and its text exposition."""
+"""Registry of metrics and its text exposition."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_each_metric_has_its_help_type_and_series() -> None:
+def test_exposition_has_help_type_and_series_of_each_metric() -> None:
     metrics = Metrics(lambda: 0.0)
     metrics.count(names.REQUESTS, service="a", operation="search", result="whole")
     metrics.count(names.REQUESTS, 2, service="a", operation="search", result="whole")
@@ -36,11 +36,10 @@
         assert line.startswith("# ") or LINE.match(line), line
 
 
-def test_quantiles_forget_what_is_older_than_two_windows() -> None:
-    """An operator sees a high tail long after the slow server has gone.
+def test_quantiles_exclude_values_older_than_two_windows() -> None:
+    """Guards against quantiles that still show a slow server long after it was removed.
 
-    Quantiles over the whole life of a process keep every incident. They must speak of the last
-    one to two windows, while the count goes on.
+    They must cover only the last one to two windows, while the count covers the whole run.
     """
     now = [0.0]
     metrics = Metrics(lambda: now[0])
@@ -57,7 +56,7 @@
     assert summary.count == 2
 
 
-def test_a_label_without_bound_is_folded_and_counted() -> None:
+def test_series_beyond_the_limit_are_combined_and_counted() -> None:
     metrics = Metrics(lambda: 0.0, max_series=3)
     for index in range(10):
         metrics.count(names.EJECTIONS, service=f"s{index}")
@@ -65,9 +64,9 @@
     assert metrics.value(names.SERIES_DROPPED) == 7
 
 
-def test_wrong_labels_or_kind_are_refused() -> None:
+def test_wrong_labels_or_kind_are_rejected() -> None:
     metrics = Metrics(lambda: 0.0)
-    with pytest.raises(ValueError, match="needs the label service"):
+    with pytest.raises(ValueError, match="requires the label service"):
         metrics.count(names.EJECTIONS, server="x")
     with pytest.raises(ValueError, match="is a counter"):
         metrics.observe(names.EJECTIONS, 1.0, service="x")
@@ -75,13 +74,13 @@
         metrics.count(names.EJECTIONS, service="x", server="y")
 
 
-def test_a_forgotten_series_is_no_longer_rendered() -> None:
+def test_removed_series_is_not_rendered() -> None:
     metrics = Metrics(lambda: 0.0)
     metrics.gauge(names.SERVER_CAP, 3, server="s1")
     metrics.forget(names.SERVER_CAP, server="s1")
     assert b"server_cap" not in metrics.render()
 
 
-def test_names_are_unique_and_documented() -> None:
+def test_names_are_unique_and_have_help_texts() -> None:
     assert len({metric.name for metric in names.METRICS}) == len(names.METRICS)
     assert all(metric.help for metric in names.METRICS)
--- a/tests/telemetry/test_process.py
+++ b/tests/telemetry/test_process.py
@@ -1,4 +1,4 @@
-"""The process's own metrics."""
+"""Metrics of the process."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from berylspindle_telemetry.process import watch_loop, watch_process
 
 
-async def test_processor_time_memory_and_loop_lag_are_measured() -> None:
+async def test_processor_time_memory_and_loop_lag_are_recorded() -> None:
     metrics = Metrics()
     watch_process(metrics)
-    task = asyncio.create_task(watch_loop(metrics, interval=0.0))
+    task = asyncio.create_task(watch_loop(metrics, interval_s=0.0))
     for _ in range(100):
         await asyncio.sleep(0)
     task.cancel()
--- a/tests/telemetry/test_timeline.py
+++ b/tests/telemetry/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line is bounded, ordered and counted, and its log lines show no secret."""
+"""Timeline: bounded, selectable and counted events; log lines with masked secrets."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
 from berylspindle_telemetry.timeline import EventFilter, EventKind, Timeline
 
 
-def test_a_flapping_state_does_not_grow_the_buffer() -> None:
-    """The memory of a VM grows until it is killed.
+def test_flapping_state_does_not_exceed_the_capacity() -> None:
+    """Guards against unbounded memory when a backend server is ejected and returned repeatedly.
 
-    A server flaps between ejected and back for days; each flap is an event. The buffer must
-    hold its capacity and say how many it dropped.
+    Each change is an event. The buffer must keep to its capacity and count the dropped events.
     """
     metrics = Metrics(lambda: 0.0)
     timeline = Timeline("vm1", 10, HybridClock(lambda: 5.0), metrics=metrics)
@@ -32,7 +31,7 @@
     assert metrics.value(names.EVENTS, kind="ejected") == 25
 
 
-def test_selects_by_span_service_server_and_request() -> None:
+def test_select_by_time_range_service_server_and_request() -> None:
     timeline = Timeline("vm1", 100, HybridClock(lambda: 1.0))
     first = timeline.record(EventKind.READY)
     second = timeline.record(EventKind.EJECTED, service="a", server="s1")
@@ -44,7 +43,7 @@
     assert timeline.select(EventFilter(request_id="r1")).events == (third,)
 
 
-def test_an_event_writes_one_line_of_text() -> None:
+def test_event_is_logged_as_one_text_line() -> None:
     stream = io.StringIO()
     with logs_to(stream=stream, vm="vm1"):
         Timeline("vm1").record(EventKind.EJECTED, server="s1", detail="too slow")
@@ -53,12 +52,8 @@
     assert "vm1 timeline: ejected detail=too slow server=s1" in line
 
 
-def test_json_lines_carry_fields_and_mask_secrets() -> None:
-    """A token appears in the log.
-
-    A library quotes a request's header in its error; the daemon logs the error. The line must
-    show a mask in the token's place.
-    """
+def test_json_lines_have_fields_and_mask_secrets() -> None:
+    """Guards against tokens in the log when a library quotes a header in an error message."""
     stream = io.StringIO()
     metrics = Metrics(lambda: 0.0)
     secret = Secret("s3cr3t-token")
