--- a/libs/standins/berylspindle_standins/__init__.py
+++ b/libs/standins/berylspindle_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for backend servers."""
+"""Stand-ins of the platform, backend servers and replicas for tests and emulation."""
--- a/libs/standins/berylspindle_standins/backend_faults.py
+++ b/libs/standins/berylspindle_standins/backend_faults.py
@@ -1,12 +1,12 @@
 """Options, faults and counts of one stand-in backend server.
 
 Terms:
-  option   a property for the whole run, such as the mean service time
-  fault    a misbehaviour that is switched over HTTP while the server runs
-  count    what reached the server: the truth that tests and measures read
+  option   a setting that is fixed for the whole run, such as the mean service time
+  fault    an injected fault that is set over HTTP while the server runs
+  count    a counter of calls or events at the server, as ground truth for tests and benchmarks
 
-Flow: `PUT /faults` carries a `FaultChange`; `apply_change` sets the named fields of the faults and
-the host carries out the actions. `GET /counts` returns the counts.
+Flow: `PUT /faults` carries a `FaultChange`; `apply_change` sets the given fields of the faults and
+the host performs the actions. `GET /counts` returns the counts.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 @attrs.frozen(kw_only=True)
 class BackendOptions:
-    """Properties of a stand-in backend server for the whole run.
+    """Options of a stand-in backend server for the whole run.
 
     Attributes:
-        mean_ms: mean service time; it is drawn from a lognormal distribution.
-        sigma: spread of the logarithm of the service time; 0 makes every one the mean.
-        straggler_probability: share of calls that are stragglers.
-        straggler_factor: how many times as long a straggler takes.
-        queue: calls that may wait for a slot; one more is shed.
+        mean_ms: mean of the service time, which has a lognormal distribution.
+        sigma: standard deviation of the logarithm of the service time; 0 makes it constant.
+        straggler_probability: probability that a call is a straggler.
+        straggler_factor: factor on the service time of a straggler.
+        queue: calls that may wait for a slot; further calls are shed.
         connect_ms: time for which a new connection does not read.
-        warm_after: calls that must finish before a cold server is warm; 0 starts it warm.
-        restart_ms: time for which a crashed or collapsed server is down before it is cold again.
-        crash_marker: text in a query or payload that crashes the server which runs it.
-        seed: start of the server's own random numbers, mixed with its id.
+        warm_after: finished calls after which a cold server is warm; 0 starts it warm.
+        restart_ms: time for which a crashed server is down before it serves again, cold.
+        crash_marker: text in a query or payload that crashes the server running the call.
+        seed: seed of the service times, combined with the server's id.
     """
 
     mean_ms: float = 4.0
@@ -50,22 +50,22 @@
 
 @attrs.define(kw_only=True)
 class BackendFaults:
-    """What misbehaves just now; the counters go down by one each time, -1 means always.
+    """Active faults. Counted faults decrease by one with each use; -1 means unlimited.
 
     Attributes:
-        delay_ms: added to each service time.
-        slow_factor: multiplies each service time.
-        straggler_probability: replaces that of the options; None leaves it.
-        late_reply_ms: a finished call's reply is held back so long, out of its slot.
-        load_in_flight: what /load reports in place of the truth; None reports the truth.
-        health_state: what /health reports in place of the truth; None reports the truth.
-        cold_refuses: a cold server refuses what is too much instead of falling over.
+        delay_ms: time added to each service time.
+        slow_factor: factor on each service time.
+        straggler_probability: overrides that of the options; None keeps it.
+        late_reply_ms: delay of the reply to a finished call, after its slot is released.
+        load_in_flight: value that /load reports; None reports the actual value.
+        health_state: state that /health reports; None reports the actual state.
+        cold_refuses: a cold server refuses calls beyond its capacity instead of crashing.
         refuse_connections: new connections are reset.
         crossed_replies: replies that carry the answer to another call.
         truncated_replies: replies whose body ends early.
-        partial_replies: searches of only a part of the shard.
+        partial_replies: searches that cover only a part of the shard.
         failed_replies: calls that run and then report a failure.
-        dropped_replies: calls that run and whose connection then breaks.
+        dropped_replies: calls that run and whose connection is then closed without a reply.
     """
 
     delay_ms: float = 0.0
@@ -82,16 +82,16 @@
     failed_replies: int = 0
     dropped_replies: int = 0
 
-    def take(self, counter: str) -> bool:
-        """Use up one of a counted fault; tell whether there was one."""
-        left: int = getattr(self, counter)
-        if left > 0:
-            setattr(self, counter, left - 1)
-        return left != 0
+    def consume(self, counter: str) -> bool:
+        """Use a counted fault once. Return False if none is remaining."""
+        remaining: int = getattr(self, counter)
+        if remaining > 0:
+            setattr(self, counter, remaining - 1)
+        return remaining != 0
 
 
 class BackendAction(enum.StrEnum):
-    """What a server does once when it is told to."""
+    """A one-time action of a server."""
 
     TURN_COLD = "turn_cold"
     TURN_WARM = "turn_warm"
@@ -106,10 +106,11 @@
 
 @attrs.frozen(kw_only=True)
 class FaultChange:
-    """Body of PUT /faults: which servers, which fields to set, what to do once.
+    """Body of PUT /faults: selected servers, fault fields to set and one-time actions.
 
-    An empty selection means every server. `version`, `epoch` and `shards` belong to PUBLISH and
-    REPARTITION: the new snapshot, and for REPARTITION the server's new shard by its old one.
+    An empty selection means every server. `clear` resets all faults before `set` applies.
+    `version` and `epoch` are the new snapshot of PUBLISH and REPARTITION; `shards` maps the old to
+    the new shard names of REPARTITION.
     """
 
     servers: tuple[str, ...] = ()
@@ -126,11 +127,12 @@
 
 @attrs.define(kw_only=True)
 class BackendCounts:
-    """What reached one server. In flight means running or waiting for a slot.
+    """Counts of one server. In flight means running or waiting for a slot.
 
-    `executions` counts by idempotency key how often an execute began to run, `searches_started`
-    and `executes_started` the calls that took a slot. `last_arrival_*` is when the last call came
-    that was not refused, by the loop's monotonic clock and by wall clock, in seconds.
+    `executions` is the number of executes that began to run, by idempotency key;
+    `searches_started` and `executes_started` count calls that acquired a slot. `last_arrival_*` is
+    the arrival time of the last admitted call in seconds, on the event loop's monotonic clock and
+    on the wall clock.
     """
 
     arrived: int = 0
@@ -157,9 +159,9 @@
 
 
 def apply_change(faults: BackendFaults, change: FaultChange) -> BackendFaults:
-    """Return the faults with the fields of a change set; raises DecodeError on a wrong one."""
-    start = BackendFaults() if change.clear else faults
+    """Return the faults with a change applied. Raises DecodeError for an invalid field."""
+    base = BackendFaults() if change.clear else faults
     unknown = sorted(set(change.set) - {field.name for field in attrs.fields(BackendFaults)})
     if unknown:
         raise codec.DecodeError(f"no such fault: {', '.join(unknown)}")
-    return codec.from_json(codec.to_json({**attrs.asdict(start), **change.set}), BackendFaults)
+    return codec.from_json(codec.to_json({**attrs.asdict(base), **change.set}), BackendFaults)
--- a/libs/standins/berylspindle_standins/backend_host.py
+++ b/libs/standins/berylspindle_standins/backend_host.py
@@ -1,8 +1,8 @@
-"""The sockets of one stand-in backend server: routes, connections and faults of the replies.
+"""The network side of one stand-in backend server: routes, connections and reply faults.
 
-Flow: a connection is refused beyond the server's limit; a request is decoded, given to the
-`BackendServer` and its reply or refusal encoded, after which the faults of replies are applied:
-held back, crossed, cut short or dropped.
+Flow: connections beyond the server's limit are refused. A request is decoded and passed to the
+`BackendServer`; its reply or refusal is encoded. Reply faults then delay, cross, truncate or drop
+the reply.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 )
 from berylspindle_wire.http import HttpRequest
 
-DROPPED: Final = Reply(status=500, drop=True)
+DROPPED_REPLY: Final = Reply(status=500, drop=True)
 
 
 class BackendHost(ConnectionHost):
@@ -59,28 +59,28 @@
         log: CallLog | None = None,
     ) -> None:
         self._backend: Final = BackendServer(
-            spec, options, snapshot=snapshot, on_fall=self.reset_connections, log=log
+            spec, options, snapshot=snapshot, on_crash=self.reset_connections, log=log
         )
         self._connections: set[Connection] = set()
         self._last_reply: Reply | None = None
 
     @property
     def backend(self) -> BackendServer:
-        """Return the server behind the sockets."""
+        """Return the server behind this port."""
         return self._backend
 
     @property
     def connect_delay(self) -> float:
-        """Return the seconds that a new connection costs."""
+        """Return the seconds for which a new connection does not read."""
         return self._backend.options.connect_ms / 1000
 
     @property
     def connections(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     async def start(self, stack: contextlib.AsyncExitStack) -> int:
-        """Listen until the stack closes; returns the port."""
+        """Listen until the stack closes. Return the port."""
         spec = self._backend.spec
         server = await listen(self, spec.host, spec.port)
         stack.callback(self.reset_connections)
@@ -88,7 +88,7 @@
         return bound_port(server)
 
     def accept(self, connection: Connection) -> bool:
-        """Refuse connections over the server's limit, and all while it is down."""
+        """Refuse connections beyond the server's limit, and all connections while it is down."""
         backend = self._backend
         full = len(self._connections) >= backend.spec.connections
         if full or backend.down or backend.faults.refuse_connections:
@@ -100,8 +100,8 @@
         backend.counts.connections_peak = peak
         return True
 
-    def lost(self, connection: Connection) -> None:
-        """Forget a closed connection."""
+    def on_closed(self, connection: Connection) -> None:
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def reset_connections(self) -> None:
@@ -110,7 +110,7 @@
             connection.reset()
 
     async def answer(self, request: HttpRequest) -> Reply:
-        """Answer one request with its faults."""
+        """Answer a request, with reply faults applied."""
         if request.method == "GET":
             return self._report(request.path)
         try:
@@ -118,11 +118,11 @@
         except RefusedError as error:
             return self._refusal(error.refusal)
         except ServerDownError:
-            return DROPPED
-        return await self._with_faults(attempt, reply)
+            return DROPPED_REPLY
+        return await self._apply_reply_faults(attempt, reply)
 
     def change(self, change: FaultChange) -> None:
-        """Set faults and carry out actions."""
+        """Set faults and perform the actions of a change."""
         self._backend.faults = apply_change(self._backend.faults, change)
         for action in change.actions:
             self._actions(change)[action]()
@@ -155,17 +155,17 @@
     def _refusal(self, refusal: BackendRefusal) -> Reply:
         return json_reply(REFUSALS[refusal.error][0], refusal)
 
-    async def _with_faults(self, attempt: str, reply: Reply) -> Reply:
+    async def _apply_reply_faults(self, attempt: str, reply: Reply) -> Reply:
         faults = self._backend.faults
         if faults.late_reply_ms > 0:
             await asyncio.sleep(faults.late_reply_ms / 1000)
-        if faults.take("dropped_replies"):
-            return DROPPED
-        crossed = self._last_reply
+        if faults.consume("dropped_replies"):
+            return DROPPED_REPLY
+        previous = self._last_reply
         self._last_reply = reply
-        if faults.take("crossed_replies"):
-            return crossed if crossed is not None else _of_another(attempt, reply)
-        if faults.take("truncated_replies"):
+        if faults.consume("crossed_replies"):
+            return previous if previous is not None else _with_unknown_attempt(attempt, reply)
+        if faults.consume("truncated_replies"):
             return Reply(status=200, body=reply.body, headers=reply.headers, truncate=True)
         return reply
 
@@ -174,7 +174,7 @@
         return {
             BackendAction.TURN_COLD: backend.turn_cold,
             BackendAction.TURN_WARM: backend.turn_warm,
-            BackendAction.CRASH: backend.fall_over,
+            BackendAction.CRASH: backend.crash,
             BackendAction.DRAIN: lambda: backend.drain(on=True),
             BackendAction.END_DRAIN: lambda: backend.drain(on=False),
             BackendAction.SILENCE_CONNECTIONS: self._silence,
@@ -196,12 +196,12 @@
 
 
 def _remaining(request: HttpRequest) -> float | None:
-    """Return the seconds left until the caller's deadline, or None without one."""
+    """Return the seconds until the caller's deadline, or None if there is none."""
     text = request.headers.get(DEADLINE_HEADER)
     return None if text is None else int(text) / 1000
 
 
-def _of_another(attempt: str, reply: Reply) -> Reply:
-    """Return the reply with the attempt of a call that nobody made."""
+def _with_unknown_attempt(attempt: str, reply: Reply) -> Reply:
+    """Return the reply with the id of an attempt that does not exist."""
     body = reply.body.replace(attempt.encode(), attempt[::-1].encode() + b"-other", 1)
     return Reply(status=reply.status, body=body, headers=reply.headers)
--- a/libs/standins/berylspindle_standins/backend_main.py
+++ b/libs/standins/berylspindle_standins/backend_main.py
@@ -1,7 +1,7 @@
-"""The program that runs stand-in backend servers.
+"""Run stand-in backend servers.
 
-Flow: read the deployment, listen on all its ports, print one line when ready, and serve until a
-signal ends it.
+Flow: select the servers of a deployment, listen on their ports, print one line when ready, and
+serve until SIGTERM or SIGINT.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from berylspindle_model.configuration import Configuration
 from berylspindle_standins.backend_faults import BackendOptions
 from berylspindle_standins.backend_standin import start_backends
-from berylspindle_standins.deployments import ADMIN_PORT_OFFSET, DEPLOYMENTS, connect_costs
+from berylspindle_standins.deployments import ADMIN_PORT_OFFSET, DEPLOYMENTS, options_by_service
 
 EXIT_PORT_TAKEN: Final = 3
 EXIT_BAD_SETTING: Final = 2
@@ -40,68 +40,72 @@
 
     Args:
         deployment: kurabito, pwani-kamba or small.
-        base_port: port of the first server; the others follow.
-        admin_port: port of faults and counts; 500 above base_port if not given.
-        service: run the servers of this service alone, on the ports that they have among
-            all; may be given again. One process a service spreads the load over cores.
-        data_centre: run the servers of this data centre alone, in the same way.
-        options: properties of every server; connect_ms follows the service unless above 0.
+        base_port: port of the first server; the others have consecutive ports.
+        admin_port: port of faults and counts; base_port + 500 by default.
+        service: run only the servers of this service, with the ports they have in the
+            whole deployment; repeatable. One process per service spreads the load over
+            CPU cores.
+        data_centre: run only the servers of this data centre, in the same way; repeatable.
+        options: options of every server; connect_ms depends on the service unless above 0.
     """
     if deployment not in DEPLOYMENTS:
         print(f"unknown deployment {deployment}: use {', '.join(DEPLOYMENTS)}", file=sys.stderr)
         return EXIT_BAD_SETTING
     try:
-        configuration = _part(DEPLOYMENTS[deployment](base_port), service, data_centre)
+        configuration = _select_servers(DEPLOYMENTS[deployment](base_port), service, data_centre)
     except ValueError as error:
         print(error, file=sys.stderr)
         return EXIT_BAD_SETTING
-    chosen = options if options is not None else BackendOptions()
+    server_options = options if options is not None else BackendOptions()
     port = base_port + ADMIN_PORT_OFFSET if admin_port is None else admin_port
     try:
-        asyncio.run(_serve(configuration, port, chosen))
+        asyncio.run(_serve(configuration, port, server_options))
     except OSError as error:
         print(f"cannot listen: {error}", file=sys.stderr)
         return EXIT_PORT_TAKEN
     return 0
 
 
-def _part(
-    whole: Configuration, services: tuple[str, ...], data_centres: tuple[str, ...]
+def _select_servers(
+    configuration: Configuration, services: tuple[str, ...], data_centres: tuple[str, ...]
 ) -> Configuration:
-    """Return the configuration with the named servers alone; raises ValueError for other names."""
-    _check_known("service", services, (item.name for item in whole.services))
-    _check_known("data centre", data_centres, (item.name for item in whole.data_centres))
+    """Return the configuration with only the selected servers.
+
+    Raises ValueError for an unknown name.
+    """
+    _check_known("service", services, (item.name for item in configuration.services))
+    _check_known("data centre", data_centres, (item.name for item in configuration.data_centres))
     servers = tuple(
         server
-        for server in whole.servers
+        for server in configuration.servers
         if (not services or server.service in services)
         and (not data_centres or server.data_centre in data_centres)
     )
-    return attrs.evolve(whole, servers=servers)
+    return attrs.evolve(configuration, servers=servers)
 
 
 def _check_known(kind: str, names: tuple[str, ...], known: Iterable[str]) -> None:
-    listed = sorted(known)
-    unknown = sorted(set(names) - set(listed))
+    known_names = sorted(known)
+    unknown = sorted(set(names) - set(known_names))
     if unknown:
-        raise ValueError(f"unknown {kind} {unknown[0]}: use {', '.join(listed)}")
+        raise ValueError(f"unknown {kind} {unknown[0]}: use {', '.join(known_names)}")
 
 
 async def _serve(configuration: Configuration, admin_port: int, options: BackendOptions) -> None:
     standin = await start_backends(
         configuration,
         options=options,
-        service_options={} if options.connect_ms else connect_costs(options),
+        service_options={} if options.connect_ms else options_by_service(options),
         admin_port=admin_port,
     )
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
     async with standin:
         print(f"ready {len(configuration.servers)} servers admin {standin.admin_port}", flush=True)
         await stopped.wait()
 
 
 def run() -> None:
-    """Run the program as a console script."""
+    """Run the command-line program."""
     sys.exit(app())
--- a/libs/standins/berylspindle_standins/backend_standin.py
+++ b/libs/standins/berylspindle_standins/backend_standin.py
@@ -1,11 +1,11 @@
-"""Many stand-in backend servers in one process, with one port for faults and counts.
+"""The stand-in backend servers of one process, with an admin port for faults and counts.
 
 Terms:
-  admin port   `PUT /faults` with a `FaultChange`, `GET /counts` with a `CountsDocument`,
-               `GET /calls` with a `CallsDocument`
+  admin port   serves `PUT /faults` with a `FaultChange`, `GET /counts` with a `CountsDocument`
+               and `GET /calls` with a `CallsDocument`
 
 Flow: `start_backends` listens on the port of each server of a configuration and on the admin port.
-A server with port 0 gets one from the system; `configuration` tells all as bound.
+A server with port 0 gets a free port; the property `configuration` has the bound ports.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServerCounts:
-    """Counts and present state of one server."""
+    """Counts and current state of one server."""
 
     server: str
     service: str
@@ -55,13 +55,13 @@
 
 @attrs.frozen(kw_only=True)
 class CountsDocument:
-    """Body of GET /counts: one entry a server."""
+    """Body of GET /counts: one entry per server."""
 
     servers: tuple[ServerCounts, ...]
 
 
 class BackendStandin(ConnectionHost):
-    """Hold all backend servers of one process and answer on the admin port."""
+    """All backend servers of one process and their admin port."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
     ) -> None:
         self._configuration = configuration
         self._stack: Final = contextlib.AsyncExitStack()
-        self._admin: set[Connection] = set()
+        self._admin_connections: set[Connection] = set()
         self._admin_port = 0
         self._log: Final = CallLog()
         self._hosts: Final = {
             spec.id: BackendHost(
                 spec,
                 service_options.get(spec.service, options),
-                _first(configuration, spec),
+                _first_snapshot(configuration, spec),
                 self._log,
             )
             for spec in configuration.servers
@@ -86,12 +86,12 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration with the ports that the servers have got."""
+        """Return the configuration with the bound ports."""
         return self._configuration
 
     @property
     def admin_port(self) -> int:
-        """Return the port of faults and counts."""
+        """Return the admin port."""
         return self._admin_port
 
     async def __aenter__(self) -> Self:
@@ -101,25 +101,25 @@
         await self.close()
 
     async def start(self, host: str, port: int) -> None:
-        """Listen on all ports; on a failure those that are open are closed."""
+        """Listen on all ports. Raises OSError, after closing the open ones, if a port is in use."""
         try:
             ports = {name: await item.start(self._stack) for name, item in self._hosts.items()}
             server = await listen(self, host, port)
         except OSError:
             await self._stack.aclose()
             raise
-        self._stack.callback(self._reset_admin)
+        self._stack.callback(self._reset_admin_connections)
         self._stack.callback(server.close)
         self._admin_port = bound_port(server)
         servers = tuple(attrs.evolve(s, port=ports[s.id]) for s in self._configuration.servers)
         self._configuration = attrs.evolve(self._configuration, servers=servers)
 
     async def close(self) -> None:
-        """Close every port and connection."""
+        """Close all ports and connections."""
         await self._stack.aclose()
 
     def change(self, change: FaultChange) -> list[str]:
-        """Apply a change to the servers that it selects; returns their ids."""
+        """Apply a change to the servers that it selects. Return their ids."""
         selected = [host for host in self._hosts.values() if _selects(change, host.backend.spec)]
         for host in selected:
             host.change(change)
@@ -130,11 +130,11 @@
         return {name: host.backend.counts for name, host in self._hosts.items()}
 
     def document(self) -> CountsDocument:
-        """Return counts and present state of every server, as GET /counts does."""
+        """Return the counts and current state of every server, the body of GET /counts."""
         return CountsDocument(servers=tuple(_server_counts(h) for h in self._hosts.values()))
 
     def executions(self) -> dict[str, int]:
-        """Return by idempotency key how often it ran over all servers."""
+        """Return the number of executions over all servers by idempotency key."""
         total: dict[str, int] = {}
         for counts in self.counts().values():
             for key, times in counts.executions.items():
@@ -143,32 +143,32 @@
 
     def accept(self, connection: Connection) -> bool:
         """Accept every connection to the admin port."""
-        self._admin.add(connection)
+        self._admin_connections.add(connection)
         return True
 
-    def lost(self, connection: Connection) -> None:
-        """Forget a closed connection to the admin port."""
-        self._admin.discard(connection)
+    def on_closed(self, connection: Connection) -> None:
+        """Remove a closed connection to the admin port."""
+        self._admin_connections.discard(connection)
 
     async def answer(self, request: HttpRequest) -> Reply:
-        """Answer on the admin port."""
+        """Answer a request on the admin port."""
         if (request.method, request.path) == ("GET", COUNTS_PATH):
             return json_reply(200, self.document())
         if (request.method, request.path) == ("GET", CALLS_PATH):
             return json_reply(200, self._log.document())
         if (request.method, request.path) == ("PUT", FAULTS_PATH):
-            return self._change_over_http(request.body)
+            return self._put_faults(request.body)
         return json_reply(404, {"error": "no such route"})
 
-    def _change_over_http(self, body: bytes) -> Reply:
+    def _put_faults(self, body: bytes) -> Reply:
         try:
             changed = self.change(codec.from_json(body, FaultChange))
         except (codec.MalformedError, ValueError) as error:
             return json_reply(400, {"error": str(error)})
         return json_reply(200, {"servers": changed})
 
-    def _reset_admin(self) -> None:
-        for connection in tuple(self._admin):
+    def _reset_admin_connections(self) -> None:
+        for connection in tuple(self._admin_connections):
             connection.reset()
 
 
@@ -180,17 +180,16 @@
     host: str = "127.0.0.1",
     admin_port: int = 0,
 ) -> BackendStandin:
-    """Return running stand-ins for all backend servers of a configuration.
+    """Start stand-ins for all backend servers of a configuration.
 
-    `service_options` overrides the options by the name of a service. Raises OSError where a port
-    is taken.
+    `service_options` overrides `options` by service name. Raises OSError if a port is in use.
     """
     standin = BackendStandin(configuration, options or BackendOptions(), service_options or {})
     await standin.start(host, admin_port)
     return standin
 
 
-def _first(configuration: Configuration, spec: Server) -> Snapshot:
+def _first_snapshot(configuration: Configuration, spec: Server) -> Snapshot:
     service = configuration.service(spec.service)
     return Snapshot(1 if service is None else service.epoch, FIRST_VERSION)
 
@@ -198,9 +197,11 @@
 def _selects(change: FaultChange, spec: Server) -> bool:
     if change.servers and spec.id not in change.servers:
         return False
-    wanted = (change.service, change.shard, change.data_centre)
-    own = (spec.service, spec.shard, spec.data_centre)
-    return all(want is None or want == has for want, has in zip(wanted, own, strict=True))
+    selected = (change.service, change.shard, change.data_centre)
+    actual = (spec.service, spec.shard, spec.data_centre)
+    return all(
+        value is None or value == other for value, other in zip(selected, actual, strict=True)
+    )
 
 
 def _server_counts(host: BackendHost) -> ServerCounts:
--- a/libs/standins/berylspindle_standins/call_log.py
+++ b/libs/standins/berylspindle_standins/call_log.py
@@ -1,11 +1,11 @@
-"""An ordered, bounded log of what happened at stand-in backend servers: the truth for checkers.
+"""An ordered, bounded log of events at stand-in backend servers, as ground truth for checkers.
 
 Terms:
-  step    one thing that happened to a call or to a server
-  text    what tells calls apart for a reader: the query of a search, the key of an execute
+  step    one event of a call or of a server
+  text    the query of a search or the idempotency key of an execute
 
-Flow: the servers of one process write to one `CallLog`, so that its order is the order of the
-events; `GET /calls` returns it. Over its bound it drops the oldest steps and says how many.
+Flow: all servers of a process write to one `CallLog`, so that steps are in the order of the
+events; `GET /calls` returns them. A full log drops the oldest steps and reports their number.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 import attrs
 
-# A run of some seconds makes a few thousand steps; a demonstration of minutes stays in memory.
-KEPT_STEPS: Final = 50_000
+# A run of a few seconds logs some thousand steps; the limit bounds memory in runs of minutes.
+MAX_STEPS: Final = 50_000
 
 
 class CallStep(enum.StrEnum):
-    """What happened.
+    """The kind of a step.
 
-    ADMITTED to REFUSED are about one call, the others about the server itself. A call is ADMITTED
-    once the server takes it in, STARTED once it has a slot, and then FINISHED or STOPPED; OVERRUN
-    is a call too many in a cold start, by which the server FELL.
+    ADMITTED to OVERRUN concern one call, the others the server. A call is ADMITTED when it passes
+    admission, STARTED when it holds a slot, and then FINISHED or STOPPED. OVERRUN is a call beyond
+    the capacity of a cold server, which crashes the server (`FELL`).
     """
 
     ADMITTED = "admitted"
@@ -49,11 +49,12 @@
     """One step.
 
     Attributes:
-        sequence: counts the steps of the process from 1.
-        wall: time of the wall clock in seconds.
-        in_flight: calls that the server runs or has waiting, this one included.
-        cold: whether the server was in a cold start.
-        detail: why a call was refused, or what was published.
+        sequence: number of the step within the process, from 1.
+        wall: wall-clock time in seconds.
+        text: query of a search or idempotency key of an execute.
+        in_flight: calls running or queued at the server, including this one.
+        cold: whether the server was cold.
+        detail: reason of a refusal, or the published snapshot.
     """
 
     sequence: int
@@ -70,17 +71,17 @@
 
 @attrs.frozen(kw_only=True)
 class CallsDocument:
-    """Body of GET /calls; `dropped` counts the steps that are no longer kept."""
+    """Body of GET /calls; `dropped` is the number of steps that the log has dropped."""
 
     dropped: int
     steps: tuple[LoggedStep, ...]
 
 
 class CallLog:
-    """Keep the last steps of all servers of one process."""
+    """The most recent steps of all servers of one process."""
 
-    def __init__(self, kept: int = KEPT_STEPS) -> None:
-        self._steps: Final[collections.deque[LoggedStep]] = collections.deque(maxlen=kept)
+    def __init__(self, max_steps: int = MAX_STEPS) -> None:
+        self._steps: Final[collections.deque[LoggedStep]] = collections.deque(maxlen=max_steps)
         self._sequence: Final = itertools.count(1)
 
     def add(
@@ -95,7 +96,7 @@
         cold: bool = False,
         detail: str = "",
     ) -> None:
-        """Write one step down."""
+        """Append a step with the current wall-clock time."""
         self._steps.append(
             LoggedStep(
                 sequence=next(self._sequence),
@@ -112,6 +113,6 @@
         )
 
     def document(self) -> CallsDocument:
-        """Return what is kept, oldest first."""
+        """Return the logged steps, oldest first."""
         steps = tuple(self._steps)
         return CallsDocument(dropped=steps[0].sequence - 1 if steps else 0, steps=steps)
--- a/libs/standins/berylspindle_standins/deployments.py
+++ b/libs/standins/berylspindle_standins/deployments.py
@@ -1,12 +1,13 @@
-"""The configurations of the two deployments at today's sizes, and a small one for tests.
+"""The configurations of the two deployments at their stated sizes, and a small one for tests.
 
-The default reading of the sizes: a desk of ten services with three replicas each is one service
-with ten shards here, since a search of the desk asks all of them; a number of replicas without
+Interpretation of the stated sizes: a desk of ten services with three replicas each is one service
+with ten shards, since a search of the desk queries all of them. A number of replicas without
 services, such as the 13 of freight-book, is one service with one shard and that many replicas,
-since nothing says that its data is divided.
+since its data is not stated to be partitioned.
 
-Flow: each function gives a configuration whose backend servers have consecutive ports of one host
-from `base_port`; 0 leaves the ports to the system. Replicas of a shard go round the data centres.
+Flow: each function returns a configuration whose backend servers have consecutive ports of one
+host from `base_port`; 0 lets the system choose the ports. The replicas of a shard are placed
+round-robin over the data centres.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceSize:
-    """The size of one service. `connect_ms` is what a new connection costs."""
+    """The size of one service. `connect_ms` is the delay of a new connection."""
 
     name: str
     shards: int
@@ -68,28 +69,28 @@
 
 
 def kurabito(base_port: int = 0) -> Configuration:
-    """Return the configuration of Kurabito Andes Export: 95 backend servers, latency first."""
+    """Return the configuration of Kurabito Andes Export: 95 servers, latency preferred."""
     return _configuration(
         "kurabito", "sierra-norte", 4, KURABITO, Policy(prefer=Preference.LATENCY), base_port
     )
 
 
 def pwani_kamba(base_port: int = 0) -> Configuration:
-    """Return the configuration of Pwani Kamba Mussel Works: 83 servers, coverage first."""
+    """Return the configuration of Pwani Kamba Mussel Works: 83 servers, coverage preferred."""
     policy = Policy(prefer=Preference.COVERAGE, deadline_ms=1000)
     return _configuration("pwani-kamba", "tanga-coast", 4, PWANI_KAMBA, policy, base_port)
 
 
 def small(base_port: int = 0) -> Configuration:
-    """Return a configuration for tests: 2 data centres, one service, 4 shards by 2 replicas."""
+    """Return a configuration for tests: 2 data centres, 1 service, 4 shards with 2 replicas."""
     return _configuration("small", "test", 2, SMALL, Policy(), base_port)
 
 
 DEPLOYMENTS: Final = {"kurabito": kurabito, "pwani-kamba": pwani_kamba, "small": small}
 
 
-def connect_costs(base: BackendOptions) -> dict[str, BackendOptions]:
-    """Return by service the options with what its new connections cost."""
+def options_by_service(base: BackendOptions) -> dict[str, BackendOptions]:
+    """Return the options by service name, with the connection delay of the service."""
     sizes = (*KURABITO, *PWANI_KAMBA, *SMALL)
     return {size.name: attrs.evolve(base, connect_ms=size.connect_ms) for size in sizes}
 
@@ -128,8 +129,8 @@
                     id=f"{size.name}-{shard}-{replica}",
                     service=size.name,
                     shard=str(shard),
-                    # Starting each shard in the next data centre evens out what 3 replicas over
-                    # 4 data centres would leave uneven.
+                    # Each shard starts in the next data centre: with 3 replicas in 4 data
+                    # centres, a fixed start would leave one data centre empty.
                     data_centre=names[(shard + replica) % len(names)],
                     host=HOST,
                     port=base_port + count if base_port else 0,
--- a/libs/standins/berylspindle_standins/forward_replica.py
+++ b/libs/standins/berylspindle_standins/forward_replica.py
@@ -1,14 +1,14 @@
-"""A stand-in replica for forwarded requests, which can misbehave on the wire in each known way.
+"""A stand-in replica for forwarded requests, with fault injection on the wire.
 
 Terms:
-  answer      a body that is made of the request's target, with a signature over both; two replicas
-              of one service answer alike
-  spoil       one way in which an answer goes wrong on the wire
-  pause       a time in which nothing is begun and nothing answered
-
-Flow: `start_replica` listens; each connection serves one request at a time. A request takes a slot,
-works, and its answer is written, spoiled where that is its turn. What ran is counted, so that tests
-read the truth here and not at the program under test.
+  answer      a body derived from service and target, with a signature over service, request id and
+              body; all replicas of a service return the same body for a target
+  `Spoil`     a fault of an answer on the wire
+  pause       a period in which no request starts and no answer is sent
+
+Flow: `start_replica` listens; each connection serves one request at a time. A request acquires a
+slot, sleeps for its service time, and its answer is written, with a fault if one is active.
+Arrivals and runs are counted here, so that tests need not rely on the program under test.
 """
 
 from __future__ import annotations
@@ -26,18 +26,19 @@
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_standins.slots import Slots
 
-RECORDS: Final = 12
-_READ: Final = 65536
+RECORD_COUNT: Final = 12
+_READ_BYTES: Final = 65536
 
 
 class Spoil(enum.StrEnum):
-    """Ways in which an answer goes wrong on the wire.
-
-    CUT: half of the body, then the end of the connection. UNFRAMED: no length, ends with the
-    connection. UNFRAMED_RESET: the same, cut by a reset. EXTRA: a second answer at once.
-    LATE_EXTRA: a second answer after a while. GARBAGE: bytes that are no answer. FOREIGN: names
-    another request. UNSIGNED: no signature. ENCODED: in an encoding that nobody asked for. LOST:
-    the connection resets after the run. EARLY: the answer comes before the request's body is read.
+    """Faults of an answer on the wire.
+
+    CUT: half of the body, then the connection closes. UNFRAMED: no content length; the body ends
+    with the connection. UNFRAMED_RESET: the same, but a reset after half of the body. EXTRA: a
+    second answer at once. LATE_EXTRA: a second answer after 10 ms. GARBAGE: bytes that are not
+    HTTP. FOREIGN: the id of another request. UNSIGNED: no signature. ENCODED: a content encoding
+    that was not requested. LOST: a connection reset after the run instead of an answer. EARLY: the
+    answer is sent before the request's body is read.
     """
 
     CUT = "cut"
@@ -55,17 +56,19 @@
 
 @attrs.define(kw_only=True)
 class ReplicaBehaviour:
-    """What one replica does just now; times in seconds.
+    """Current behaviour of one replica; times in seconds.
 
     Attributes:
-        work: time that a request takes in its slot.
-        spoil, spoiled: how the next `spoiled` answers go wrong; -1 means all.
-        refuse: the next so many requests are refused unrun; -1 means all.
-        fail: the next so many requests run and fail.
-        misplaced: answers as another replica that has its address.
-        crash: requests whose target holds this text take the replica down.
-        idle: seconds after which an idle connection is closed; stated to the peer in whole seconds
-            unless `idle_unsaid`.
+        work: service time of a request, within its slot.
+        spoil: fault of the next answers; None for none.
+        spoiled: number of answers with that fault; -1 means all.
+        refuse: number of requests to refuse without running them; -1 means all.
+        fail: number of requests that run and then fail; -1 means all.
+        misplaced: whether to answer as misdirected, like another replica at the same address.
+        crash: text in a target that crashes the replica; empty for none.
+        idle: time after which an idle connection is closed.
+        omit_keep_alive: whether to omit `idle` from replies; otherwise each states it in whole
+            seconds if it is at least 1 s.
     """
 
     work: float = 0.0
@@ -76,12 +79,20 @@
     misplaced: bool = False
     crash: str = ""
     idle: float = 5.0
-    idle_unsaid: bool = False
+    omit_keep_alive: bool = False
 
 
 @attrs.define(kw_only=True)
 class ReplicaCounts:
-    """What reached one replica."""
+    """Counts of one replica.
+
+    Attributes:
+        runs: number of runs by request id.
+        ended_early: requests whose connection closed before their answer.
+        times_left: remaining times of the requests that ran, in milliseconds.
+        targets: targets of the requests that ran.
+        bodies: bodies of the requests that ran.
+    """
 
     arrivals: int = 0
     runs: Counter[str] = attrs.field(factory=Counter)
@@ -95,15 +106,15 @@
 
 
 def answer_body(service: str, target: str) -> bytes:
-    """Return the records with which any replica of a service answers a target."""
+    """Return the body that every replica of a service returns for a target."""
     return b"".join(
         hashlib.md5(f"{service}/{target}/{number}".encode(), usedforsecurity=False).digest()
-        for number in range(RECORDS)
+        for number in range(RECORD_COUNT)
     )
 
 
 def signature_of(service: str, request_id: str, body: bytes) -> str:
-    """Return the proof that a service's replica answered a request with this body."""
+    """Return the signature of a service over a request id and a body."""
     digest = hashlib.md5(f"{service}/{request_id}/".encode() + body, usedforsecurity=False)
     return f"{service}.{digest.hexdigest()[:12]}"
 
@@ -119,39 +130,39 @@
         self._dialect: Final = dialect
         self._slots: Final = Slots(slots, 16)
         self._slot_count: Final = slots
-        self._running: Final = asyncio.Event()
-        self._running.set()
+        self._resumed: Final = asyncio.Event()
+        self._resumed.set()
         self._writers: Final[set[asyncio.StreamWriter]] = set()
         self._server: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self, port: int = 0) -> None:
-        """Take connections; a port of 0 picks one, and the same again after `go_down`."""
+        """Accept connections; port 0 picks a free port, or the previous one after `go_down`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port or self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def pause(self) -> None:
-        """Begin and answer nothing until `resume`."""
-        self._running.clear()
+        """Start and answer no request until `resume`."""
+        self._resumed.clear()
 
     def resume(self) -> None:
-        """Go on."""
-        self._running.set()
+        """End a pause."""
+        self._resumed.set()
 
     def go_down(self) -> None:
-        """Crash: reset all connections and take none."""
+        """Crash: stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
             _reset(writer)
 
     async def revive(self) -> None:
-        """Take connections again after `go_down`."""
+        """Accept connections again after `go_down`."""
         if self._server is not None and not self._server.is_serving():
             await self.listen()
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop listening and reset all connections."""
         self.resume()
         self.go_down()
         await asyncio.sleep(0)
@@ -179,41 +190,41 @@
         }
         length = int(headers.get("content-length", "0"))
         self.counts.arrivals += 1
-        early = self._takes(Spoil.EARLY)
+        early = self._consume_fault(Spoil.EARLY)
         if early:
             self._write(writer, self._answer(target, headers))
         body = await reader.readexactly(length) if length else b""
         if early:
             return True
-        gone = asyncio.ensure_future(reader.read(1))
-        work = asyncio.ensure_future(self._answer_one(target, headers, body, writer))
+        disconnect = asyncio.ensure_future(reader.read(1))
+        answer_task = asyncio.ensure_future(self._process(target, headers, body, writer))
         try:
-            await asyncio.wait((gone, work), return_when=asyncio.FIRST_COMPLETED)
-            if not work.done():
+            await asyncio.wait((disconnect, answer_task), return_when=asyncio.FIRST_COMPLETED)
+            if not answer_task.done():
                 self.counts.ended_early += 1
                 return False
-            return work.result()
+            return answer_task.result()
         finally:
-            work.cancel()
-            gone.cancel()
-            await asyncio.gather(gone, work, return_exceptions=True)
+            answer_task.cancel()
+            disconnect.cancel()
+            await asyncio.gather(disconnect, answer_task, return_exceptions=True)
 
-    async def _answer_one(
+    async def _process(
         self, target: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> bool:
         behaviour = self.behaviour
-        await self._running.wait()
+        await self._resumed.wait()
         if behaviour.misplaced:
-            self._write(writer, self._plain(self._dialect.misdirected))
+            self._write(writer, self._empty_response(self._dialect.misdirected))
             return True
         if behaviour.refuse or self._slots.full:
             behaviour.refuse -= behaviour.refuse > 0
             self.counts.refused += 1
-            self._write(writer, self._plain(503, (self._dialect.not_run.decode(), "1")))
+            self._write(writer, self._empty_response(503, (self._dialect.not_run.decode(), "1")))
             return True
-        left = headers.get(self._dialect.time_left.decode(), "")
-        if not await self._slots.acquire(int(left) / 1000 if left.isdigit() else None):
-            self._write(writer, self._plain(503, (self._dialect.not_run.decode(), "1")))
+        time_left = headers.get(self._dialect.time_left.decode(), "")
+        if not await self._slots.acquire(int(time_left) / 1000 if time_left.isdigit() else None):
+            self._write(writer, self._empty_response(503, (self._dialect.not_run.decode(), "1")))
             return True
         try:
             return await self._run(target, headers, body, writer)
@@ -234,23 +245,23 @@
             return False
         if behaviour.work:
             await asyncio.sleep(behaviour.work)
-        await self._running.wait()
+        await self._resumed.wait()
         if behaviour.fail:
             behaviour.fail -= behaviour.fail > 0
             signed = (self._dialect.signature.decode(), f"{self.service}.failed")
-            self._write(writer, self._plain(500, signed))
+            self._write(writer, self._empty_response(500, signed))
             return True
         answer = self._answer(target, headers)
-        spoil = behaviour.spoil
-        if spoil is None or spoil is Spoil.EARLY or not behaviour.spoiled:
+        fault = behaviour.spoil
+        if fault is None or fault is Spoil.EARLY or not behaviour.spoiled:
             self._write(writer, answer)
             return True
         behaviour.spoiled -= behaviour.spoiled > 0
-        return await self._write_spoiled(writer, answer, spoil)
+        return await self._write_faulty(writer, answer, fault)
 
-    def _takes(self, spoil: Spoil) -> bool:
+    def _consume_fault(self, fault: Spoil) -> bool:
         behaviour = self.behaviour
-        if behaviour.spoil is not spoil or not behaviour.spoiled:
+        if behaviour.spoil is not fault or not behaviour.spoiled:
             return False
         behaviour.spoiled -= behaviour.spoiled > 0
         return True
@@ -265,14 +276,14 @@
             (self._dialect.signature.decode(), signature_of(self.service, request_id, body)),
         )
 
-    def _plain(self, status: int, *headers: tuple[str, str]) -> bytes:
+    def _empty_response(self, status: int, *headers: tuple[str, str]) -> bytes:
         return self._response(status, b"", *headers)
 
     def _response(self, status: int, body: bytes, *headers: tuple[str, str]) -> bytes:
         load = f"{self._slots.running},{self._slots.queued},{self._slot_count}"
         lines = [f"HTTP/1.1 {status} -", f"{self._dialect.load.decode()}: {load}"]
         lines += [f"{name}: {value}" for name, value in headers]
-        if not self.behaviour.idle_unsaid and self.behaviour.idle >= 1:
+        if not self.behaviour.omit_keep_alive and self.behaviour.idle >= 1:
             lines.append(f"keep-alive: timeout={int(self.behaviour.idle)}")
         lines += [f"content-length: {len(body)}", "", ""]
         return "\r\n".join(lines).encode("latin-1") + body
@@ -280,33 +291,33 @@
     def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         writer.write(data)
 
-    async def _write_spoiled(
-        self, writer: asyncio.StreamWriter, answer: bytes, spoil: Spoil
+    async def _write_faulty(
+        self, writer: asyncio.StreamWriter, answer: bytes, fault: Spoil
     ) -> bool:
-        """Write an answer that goes wrong; tell whether the connection goes on."""
+        """Write an answer with a fault. Return whether the connection stays open."""
         head, _, body = answer.partition(b"\r\n\r\n")
-        if spoil is Spoil.LOST:
+        if fault is Spoil.LOST:
             _reset(writer)
             return False
-        if spoil is Spoil.EXTRA:
+        if fault is Spoil.EXTRA:
             writer.write(answer + answer)
             return True
-        if spoil is Spoil.LATE_EXTRA:
+        if fault is Spoil.LATE_EXTRA:
             writer.write(answer)
             asyncio.get_running_loop().call_later(0.01, writer.write, answer)
             return True
-        if spoil in (Spoil.FOREIGN, Spoil.UNSIGNED, Spoil.ENCODED):
-            writer.write(self._renamed(head, spoil) + b"\r\n\r\n" + body)
+        if fault in (Spoil.FOREIGN, Spoil.UNSIGNED, Spoil.ENCODED):
+            writer.write(self._alter_head(head, fault) + b"\r\n\r\n" + body)
             return True
-        if spoil is Spoil.GARBAGE:
+        if fault is Spoil.GARBAGE:
             writer.write(b"\x00\x17garbage\r\n\r\n")
             return True
-        if spoil is Spoil.CUT:
+        if fault is Spoil.CUT:
             writer.write(answer[: len(answer) - len(body) // 2])
             return False
         lines = [line for line in head.split(b"\r\n") if not line.startswith(b"content-length")]
         unframed = b"\r\n".join(lines) + b"\r\nconnection: close\r\n\r\n"
-        if spoil is Spoil.UNFRAMED:
+        if fault is Spoil.UNFRAMED:
             writer.write(unframed + body)
             return False
         writer.write(unframed + body[: len(body) // 2])
@@ -315,19 +326,19 @@
         _reset(writer)
         return False
 
-    def _renamed(self, head: bytes, spoil: Spoil) -> bytes:
-        """Return a head that names another request, or lacks or adds what it should not."""
-        if spoil is Spoil.ENCODED:
+    def _alter_head(self, head: bytes, fault: Spoil) -> bytes:
+        """Return a response head with a wrong request id, no signature or a content encoding."""
+        if fault is Spoil.ENCODED:
             return head + b"\r\ncontent-encoding: gzip"
-        name = self._dialect.signature if spoil is Spoil.UNSIGNED else self._dialect.request_id
-        kept = [line for line in head.split(b"\r\n") if not line.startswith(name + b":")]
-        if spoil is Spoil.FOREIGN:
-            kept.append(name + b": of-somebody-else")
-        return b"\r\n".join(kept)
+        name = self._dialect.signature if fault is Spoil.UNSIGNED else self._dialect.request_id
+        lines = [line for line in head.split(b"\r\n") if not line.startswith(name + b":")]
+        if fault is Spoil.FOREIGN:
+            lines.append(name + b": of-somebody-else")
+        return b"\r\n".join(lines)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset rather than in order."""
+    """Close a connection with a TCP reset."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -336,7 +347,7 @@
 async def start_replica(
     replica_id: str, service: str, *, dialect: Dialect | None = None, slots: int = 3
 ) -> ForwardReplica:
-    """Return a replica that listens on a free port; close it in the end."""
+    """Start a replica on a free port. The caller closes it."""
     replica = ForwardReplica(replica_id, service, dialect or Dialect(), slots)
     await replica.listen()
     return replica
--- a/libs/standins/berylspindle_standins/index.py
+++ b/libs/standins/berylspindle_standins/index.py
@@ -1,13 +1,11 @@
-"""The documents that a stand-in backend server holds, computed and not stored.
+"""The documents of a stand-in backend server, computed on demand instead of stored.
 
-The hits of a shard follow from service, shard, snapshot and query alone, so that every replica
-gives the same and a checker can compute what a whole answer must hold.
+The hits of a shard depend only on service, shard, snapshot and query, so that all replicas return
+the same hits and a checker can compute the complete answer. The number of matches depends on the
+same four values: a number that is constant within a snapshot would hide answers that mix queries
+or shards.
 
-Terms:
-  total   how many documents of one shard match a query; the same for every query of a snapshot
-          would hide mixed answers, so it varies with all four
-
-Flow: `shard_hits` gives the sorted matches of one shard; `merged_hits` those of a whole service.
+Flow: `shard_hits` returns the sorted hits of one shard; `merged_hits` those of several shards.
 """
 
 from __future__ import annotations
@@ -30,14 +28,14 @@
 
 
 def total_matches(service: str, shard: str, snapshot: Snapshot, query: str) -> int:
-    """Return how many documents of one shard match."""
-    spread = MAX_MATCHES - MIN_MATCHES + 1
-    return MIN_MATCHES + _digest("total", service, shard, snapshot, query) % spread
+    """Return the number of documents in one shard that match the query."""
+    range_size = MAX_MATCHES - MIN_MATCHES + 1
+    return MIN_MATCHES + _digest("total", service, shard, snapshot, query) % range_size
 
 
 @functools.lru_cache(maxsize=4096)
 def shard_hits(service: str, shard: str, snapshot: Snapshot, query: str) -> tuple[Hit, ...]:
-    """Return all hits of one shard, best first; equal scores are ordered by id."""
+    """Return all hits of one shard by descending score, then by id."""
     hits = [
         Hit(
             id=f"{service}/{shard}/{number}",
@@ -57,11 +55,11 @@
 def merged_hits(
     service: str, shards: Iterable[str], snapshot: Snapshot, query: str
 ) -> tuple[Hit, ...]:
-    """Return all hits of the named shards in the order of a whole answer."""
+    """Return all hits of the given shards in the order of a complete answer."""
     hits = [hit for shard in shards for hit in shard_hits(service, shard, snapshot, query)]
     return tuple(sorted(hits, key=hit_order))
 
 
 def hit_order(hit: Hit) -> tuple[float, str]:
-    """Return the sort key that puts better hits first."""
+    """Return the sort key of a hit: descending score, then id."""
     return (-hit.score, hit.id)
--- a/libs/standins/berylspindle_standins/platform_calls.py
+++ b/libs/standins/berylspindle_standins/platform_calls.py
@@ -1,10 +1,10 @@
-"""The calls of the platform's protocol, carried out on the state of its stand-in.
+"""Request handlers of the platform's protocol on the state of its stand-in.
 
 Terms:
-  kind   the name under which a call is counted, from its method and route
+  kind   the name under which a call is counted, derived from its method and path
 
-Flow: `call_kind` names a request; `PlatformCalls.run` decodes it, acts on the store or the VM list
-and returns the reply. Watches wait for the next change; a timer lets leases lapse on time.
+Flow: `call_kind` classifies a request; `PlatformCalls.run` decodes it, reads or changes the store
+or the VM list, and returns the reply. Watches wait for the next change; timers expire leases.
 """
 
 from __future__ import annotations
@@ -34,32 +34,32 @@
 )
 from berylspindle_wire.http import HttpRequest
 
-MAX_WAIT: Final = 60.0
+MAX_WAIT_S: Final = 60.0
 
-_ONE: Final = {"GET": "get", "PUT": "put", "DELETE": "delete"}
-_LEASE: Final = {"PUT": "keep_alive", "DELETE": "revoke"}
+_ENTRY_KINDS: Final = {"GET": "get", "PUT": "put", "DELETE": "delete"}
+_LEASE_KINDS: Final = {"PUT": "keep_alive", "DELETE": "revoke"}
 
 
 def call_kind(request: HttpRequest) -> str | None:
-    """Return the kind of a call, or None for a route that there is not."""
+    """Return the kind of a call, or None for an unknown route."""
     method, path = request.method, request.path
-    whole = {
+    exact_routes = {
         ("GET", routes.KV_PATH): "list",
         ("GET", routes.WATCH_PATH): "watch",
         ("GET", routes.VMS_PATH): "vms",
         ("POST", routes.LEASES_PATH): "grant",
     }
-    if (method, path) in whole:
-        return whole[method, path]
+    if (method, path) in exact_routes:
+        return exact_routes[method, path]
     if path.startswith(routes.KV_PATH + "/"):
-        return _ONE.get(method)
+        return _ENTRY_KINDS.get(method)
     if path.startswith(routes.LEASES_PATH + "/"):
-        return _LEASE.get(method)
+        return _LEASE_KINDS.get(method)
     return None
 
 
 class PlatformCalls:
-    """Carry out calls on one store and one VM list."""
+    """Handlers of the calls on one store and one VM list."""
 
     def __init__(self, state: StoreState, vms: tuple[VmDocument, ...]) -> None:
         self._state: Final = state
@@ -68,7 +68,7 @@
         self._timers: set[asyncio.TimerHandle] = set()
         self.faults = PlatformFaults()
         self.counts: Final = PlatformCounts()
-        self._by_kind: Final[dict[str, Callable[[HttpRequest], Awaitable[Reply]]]] = {
+        self._handlers: Final[dict[str, Callable[[HttpRequest], Awaitable[Reply]]]] = {
             "get": self._get,
             "list": self._list,
             "watch": self._watch,
@@ -81,20 +81,20 @@
         }
 
     async def run(self, kind: str, request: HttpRequest) -> Reply:
-        """Carry out one call."""
+        """Run one call and return its reply."""
         try:
-            return await self._by_kind[kind](request)
+            return await self._handlers[kind](request)
         except UnknownLeaseError:
             return json_reply(routes.STATUS_GONE, {"error": "no such lease"})
         except (codec.MalformedError, ValueError, KeyError) as error:
             return json_reply(routes.STATUS_BAD_REQUEST, {"error": repr(error)})
 
     def set_vms(self, vms: tuple[VmDocument, ...]) -> None:
-        """Replace the VM list from now on."""
+        """Replace the VM list; readers see it after `vm_list_lag_ms`."""
         self._vm_lists.append((_now(), vms))
 
     def close(self) -> None:
-        """Cancel the timers of leases."""
+        """Cancel the lease timers."""
         for timer in self._timers:
             timer.cancel()
 
@@ -120,8 +120,8 @@
     async def _watch(self, request: HttpRequest) -> Reply:
         prefix = request.query[routes.PREFIX_PARAMETER]
         after = int(request.query[routes.AFTER_PARAMETER])
-        wait = min(int(request.query[routes.WAIT_PARAMETER]) / 1000, MAX_WAIT)
-        self._enter_watch()
+        wait = min(int(request.query[routes.WAIT_PARAMETER]) / 1000, MAX_WAIT_S)
+        self._count_watch()
         try:
             entries = await self._changes(prefix, after, wait)
         except CompactedError:
@@ -129,15 +129,15 @@
             return json_reply(routes.STATUS_GONE, body)
         finally:
             self.counts.waiting_watches -= 1
-        # What is told is fixed before the delay, so that a late event is an old one.
+        # The reply is fixed before the delay, so that a delayed event reports an old state.
         revision = max(self._state.revision, after)
         if entries and self.faults.watch_delay_ms > 0:
             await asyncio.sleep(self.faults.watch_delay_ms / 1000)
-        if self.faults.take("watch_repeats"):
-            entries = (*entries, *self._old_change(prefix))
+        if self.faults.consume("watch_repeats"):
+            entries = (*entries, *self._oldest_change(prefix))
         return json_reply(routes.STATUS_OK, ListDocument(revision=revision, entries=entries))
 
-    def _enter_watch(self) -> None:
+    def _count_watch(self) -> None:
         counts = self.counts
         counts.waiting_watches += 1
         counts.peak_waiting_watches = max(counts.peak_waiting_watches, counts.waiting_watches)
@@ -151,16 +151,16 @@
         except TimeoutError:
             return ()
 
-    def _old_change(self, prefix: str) -> tuple[EntryDocument, ...]:
+    def _oldest_change(self, prefix: str) -> tuple[EntryDocument, ...]:
         try:
             return self._state.changes(prefix, 0)[:1]
         except CompactedError:
             return ()
 
     async def _vms(self, _: HttpRequest) -> Reply:
-        then = _now() - self.faults.vm_list_lag_ms / 1000
-        shown = [vms for since, vms in self._vm_lists if since <= then]
-        return json_reply(routes.STATUS_OK, VmListDocument(vms=shown[-1]))
+        as_of = _now() - self.faults.vm_list_lag_ms / 1000
+        visible = [vms for changed_at, vms in self._vm_lists if changed_at <= as_of]
+        return json_reply(routes.STATUS_OK, VmListDocument(vms=visible[-1]))
 
     async def _put(self, request: HttpRequest) -> Reply:
         self.counts.largest_value = max(self.counts.largest_value, len(request.body))
@@ -194,13 +194,13 @@
     async def _grant(self, request: HttpRequest) -> Reply:
         ttl_ms = codec.from_json(request.body, LeaseRequest).ttl_ms
         lease = self._state.grant(ttl_ms / 1000, _now())
-        self._lapse_in(ttl_ms / 1000)
+        self._schedule_expiry(ttl_ms / 1000)
         return json_reply(routes.STATUS_OK, LeaseDocument(id=lease, ttl_ms=ttl_ms))
 
     async def _keep_alive(self, request: HttpRequest) -> Reply:
         lease = request.path[len(routes.LEASES_PATH) + 1 :]
         ttl = self._state.keep_alive(lease, _now())
-        self._lapse_in(ttl)
+        self._schedule_expiry(ttl)
         return json_reply(routes.STATUS_OK, LeaseDocument(id=lease, ttl_ms=int(ttl * 1000)))
 
     async def _revoke(self, request: HttpRequest) -> Reply:
@@ -208,15 +208,15 @@
         self._notify()
         return Reply(status=routes.STATUS_OK)
 
-    def _lapse_in(self, ttl: float) -> None:
-        """Look for lapsed leases once `ttl` seconds have passed, so that watches hear of them."""
+    def _schedule_expiry(self, ttl: float) -> None:
+        """Expire leases in `ttl` seconds, so that watches are notified of the deletions."""
 
-        def lapse() -> None:
+        def expire() -> None:
             self._timers.discard(timer)
-            if self._state.lapse(_now()):
+            if self._state.expire_leases(_now()):
                 self._notify()
 
-        timer = asyncio.get_running_loop().call_later(ttl + 0.001, lapse)
+        timer = asyncio.get_running_loop().call_later(ttl + 0.001, expire)
         self._timers.add(timer)
 
     def _notify(self) -> None:
--- a/libs/standins/berylspindle_standins/platform_faults.py
+++ b/libs/standins/berylspindle_standins/platform_faults.py
@@ -1,10 +1,10 @@
 """Faults and counts of the platform's stand-in.
 
 Terms:
-  fault   a misbehaviour switched by `PUT /faults` on the admin port while the platform runs
-  count   what reached the platform: the truth that tests and measures read
+  fault   an injected fault that is set by `PUT /faults` on the admin port while the platform runs
+  count   a counter of calls or events, as ground truth for tests and benchmarks
 
-Flow: `PUT /faults` names the fields to set; `GET /counts` returns the counts.
+Flow: `PUT /faults` carries the fields to set; `GET /counts` returns the counts.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Outage(enum.StrEnum):
-    """How the platform is away."""
+    """How the platform is unavailable."""
 
     NONE = "none"
     RESET = "reset"
@@ -29,21 +29,21 @@
 
 @attrs.define(kw_only=True)
 class PlatformFaults:
-    """What misbehaves just now; the counters go down by one each time, -1 means always.
+    """Active faults. Counted faults decrease by one with each use; -1 means unlimited.
 
     Attributes:
-        outage: RESET closes every connection without a reply, SILENT answers nothing, REFUSE
-            answers 503. No call takes effect in an outage, but leases go on to lapse.
-        delay_ms: time before a call takes effect.
-        late_reply_ms: time after a write took effect and before its reply.
-        lost_replies: writes that take effect and whose connection then breaks.
-        lost_reply_share: share of writes with that fate, drawn with the seed of the options.
-        read_lag_ms: reads and lists answer as of so long ago.
-        watch_delay_ms: changes reach watches so much later.
-        watch_repeats: watch replies that end with an old change told again.
-        vm_list_lag_ms: the VM list is as of so long ago.
-        writes_per_second: writes over this are answered 503; None takes all.
-        reads_per_second: the same for reads, watches among them.
+        outage: RESET closes every connection without a reply, SILENT never replies, REFUSE
+            replies 503. No call takes effect in an outage, but leases still expire.
+        delay_ms: delay before a call takes effect.
+        late_reply_ms: delay between the effect of a write and its reply.
+        lost_replies: writes that take effect and whose connection is then closed without a reply.
+        lost_reply_share: probability that a write loses its reply that way, drawn with the seed.
+        read_lag_ms: age of the state that gets and lists return.
+        watch_delay_ms: delay of changes on their way to watches.
+        watch_repeats: watch replies that end with a repeated old change.
+        vm_list_lag_ms: age of the VM list that is returned.
+        writes_per_second: limit above which writes are refused with 503; None is no limit.
+        reads_per_second: the same for reads, including watches.
     """
 
     outage: Outage = Outage.NONE
@@ -58,17 +58,17 @@
     writes_per_second: int | None = None
     reads_per_second: int | None = None
 
-    def take(self, counter: str) -> bool:
-        """Use up one of a counted fault; tell whether there was one."""
-        left: int = getattr(self, counter)
-        if left > 0:
-            setattr(self, counter, left - 1)
-        return left != 0
+    def consume(self, counter: str) -> bool:
+        """Use a counted fault once. Return False if none is remaining."""
+        remaining: int = getattr(self, counter)
+        if remaining > 0:
+            setattr(self, counter, remaining - 1)
+        return remaining != 0
 
 
 @attrs.frozen(kw_only=True)
 class PlatformChange:
-    """Body of PUT /faults. `compact` forgets the log of changes once."""
+    """Body of PUT /faults. `clear` resets all faults first; `compact` clears the log once."""
 
     set: dict[str, Any] = attrs.field(factory=dict)
     clear: bool = False
@@ -77,15 +77,18 @@
 
 @attrs.define(kw_only=True)
 class PlatformCounts:
-    """What reached the platform.
+    """Counts of the platform.
 
     Attributes:
-        calls: by kind: get, list, watch, vms, put, delete, grant, keep_alive, revoke.
-        writes: puts, deletes and lease calls; reads: all others, each watch as one.
-        peak_writes_per_second: most writes in one second of the clock; likewise for reads.
-        refused: calls that an outage or a limit turned away.
+        calls: number by kind: get, list, watch, vms, put, delete, grant, keep_alive, revoke.
+        writes: puts, deletes and lease calls.
+        reads: all other calls; a watch counts as one.
+        refused: calls and connections refused by an outage or a rate limit.
         lost: writes that took effect and whose reply was lost.
-        waiting_watches: watches that wait just now.
+        waiting_watches: watches that are currently waiting.
+        peak_writes_per_second: most writes within one clock second.
+        peak_reads_per_second: most reads within one clock second.
+        largest_value: size of the largest value of a put, in bytes.
     """
 
     calls: dict[str, int] = attrs.field(factory=lambda: collections.defaultdict(int))
@@ -102,9 +105,9 @@
 
 
 def apply_platform_change(faults: PlatformFaults, change: PlatformChange) -> PlatformFaults:
-    """Return the faults with the fields of a change set; raises DecodeError on a wrong one."""
-    start = PlatformFaults() if change.clear else faults
+    """Return the faults with a change applied. Raises DecodeError for an invalid field."""
+    base = PlatformFaults() if change.clear else faults
     unknown = sorted(set(change.set) - {field.name for field in attrs.fields(PlatformFaults)})
     if unknown:
         raise codec.DecodeError(f"no such fault: {', '.join(unknown)}")
-    return codec.from_json(codec.to_json({**attrs.asdict(start), **change.set}), PlatformFaults)
+    return codec.from_json(codec.to_json({**attrs.asdict(base), **change.set}), PlatformFaults)
--- a/libs/standins/berylspindle_standins/platform_main.py
+++ b/libs/standins/berylspindle_standins/platform_main.py
@@ -1,7 +1,7 @@
-"""The program that runs the platform's stand-in.
+"""Run the stand-in of the platform.
 
-Flow: read the seed of the VM list, listen on both ports, print one line when ready, and serve
-until a signal ends it.
+Flow: read the initial VM list, listen on both ports, print one line when ready, and serve until
+SIGTERM or SIGINT.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
     vms: Path | None = None,
     seed: int = 1,
 ) -> int:
-    """Run the store and the VM list.
+    """Run the store and the VM list service.
 
     Args:
         host: address to listen on.
         port: port of the platform's protocol.
         admin_port: port of faults and counts.
-        vms: file with the first VM list, as the JSON of GET /v1/vms.
-        seed: start of the random numbers of lost replies.
+        vms: file with the initial VM list, as the JSON body of GET /v1/vms.
+        seed: seed for the random choice of lost replies.
     """
     try:
-        listed = () if vms is None else codec.from_json(vms.read_bytes(), VmListDocument).vms
+        initial_vms = () if vms is None else codec.from_json(vms.read_bytes(), VmListDocument).vms
     except (OSError, codec.MalformedError) as error:
         print(f"cannot read the VM list: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     try:
-        asyncio.run(_serve(host, port, admin_port, listed, seed))
+        asyncio.run(_serve(host, port, admin_port, initial_vms, seed))
     except OSError as error:
         print(f"cannot listen: {error}", file=sys.stderr)
         return EXIT_PORT_TAKEN
@@ -59,13 +59,15 @@
     host: str, port: int, admin_port: int, vms: tuple[VmDocument, ...], seed: int
 ) -> None:
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
-    async with await start_platform(host, port, admin_port=admin_port, vms=vms, seed=seed) as one:
-        print(f"ready port {one.port} admin {one.admin_port}", flush=True)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
+    async with await start_platform(
+        host, port, admin_port=admin_port, vms=vms, seed=seed
+    ) as platform:
+        print(f"ready port {platform.port} admin {platform.admin_port}", flush=True)
         await stopped.wait()
 
 
 def run() -> None:
-    """Run the program as a console script."""
+    """Run the command-line program."""
     sys.exit(app())
--- a/libs/standins/berylspindle_standins/platform_standin.py
+++ b/libs/standins/berylspindle_standins/platform_standin.py
@@ -1,10 +1,10 @@
 """The stand-in of the platform: its store, its VM list and its faults.
 
 Terms:
-  admin port   `PUT /faults`, `GET /counts` and `PUT /vms`, which go on in an outage
+  admin port   serves `PUT /faults`, `GET /counts` and `PUT /vms`, also during an outage
 
-Flow: `start_platform` listens on two ports. A call on the first is counted, delayed, refused in an
-outage or over a limit, else carried out; then its reply may be held back or lost.
+Flow: `start_platform` listens on two ports. A call on the first is counted, delayed, and refused in
+an outage or above a rate limit, else executed; the reply to a write may then be delayed or lost.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 COUNTS_PATH: Final = "/counts"
 VMS_ADMIN_PATH: Final = "/vms"
 
-DROPPED: Final = Reply(status=500, drop=True)
+DROPPED_REPLY: Final = Reply(status=500, drop=True)
 READ_KINDS: Final = frozenset({"get", "list", "watch", "vms"})
 
 
 class PlatformStandin(ConnectionHost):
-    """Answer as the platform."""
+    """The platform's protocol on one port and its admin port on another."""
 
     def __init__(self, vms: tuple[VmDocument, ...], seed: int) -> None:
         self._state: Final = StoreState()
@@ -56,7 +56,7 @@
         self._calls: Final = PlatformCalls(self._state, vms)
         self._admin: Final = _AdminHost(self)
         self._ports = (0, 0)
-        self._rates: dict[bool, collections.Counter[int]] = {
+        self._calls_per_second: dict[bool, collections.Counter[int]] = {
             True: collections.Counter(),
             False: collections.Counter(),
         }
@@ -68,22 +68,22 @@
 
     @property
     def admin_port(self) -> int:
-        """Return the port of faults and counts."""
+        """Return the admin port."""
         return self._ports[1]
 
     @property
     def state(self) -> StoreState:
-        """Return the store itself."""
+        """Return the state of the store."""
         return self._state
 
     @property
     def faults(self) -> PlatformFaults:
-        """Return the faults that are on."""
+        """Return the active faults."""
         return self._calls.faults
 
     @property
     def counts(self) -> PlatformCounts:
-        """Return the counts so far."""
+        """Return the counts."""
         return self._calls.counts
 
     async def __aenter__(self) -> Self:
@@ -93,7 +93,7 @@
         await self.close()
 
     async def start(self, host: str, port: int, admin_port: int) -> None:
-        """Listen on both ports."""
+        """Listen on both ports. Raises OSError if a port is in use."""
         try:
             server = await listen(self, host, port)
             self._stack.callback(self.reset_connections)
@@ -112,7 +112,7 @@
         await self._stack.aclose()
 
     def change(self, change: PlatformChange) -> None:
-        """Set faults; an outage by reset closes what is open."""
+        """Set faults; the outage RESET also resets the open connections."""
         self._calls.faults = apply_platform_change(self.faults, change)
         if change.compact:
             self._state.compact()
@@ -120,19 +120,19 @@
             self.reset_connections()
 
     def set_vms(self, vms: tuple[VmDocument, ...]) -> None:
-        """Replace the VM list; readers see it after its lag."""
+        """Replace the VM list; readers see it after `vm_list_lag_ms`."""
         self._calls.set_vms(vms)
 
     def accept(self, connection: Connection) -> bool:
-        """Accept unless an outage resets connections."""
+        """Accept a connection unless the outage is RESET."""
         if self.faults.outage is Outage.RESET:
             self.counts.refused += 1
             return False
         self._connections.add(connection)
         return True
 
-    def lost(self, connection: Connection) -> None:
-        """Forget a closed connection."""
+    def on_closed(self, connection: Connection) -> None:
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def reset_connections(self) -> None:
@@ -141,64 +141,68 @@
             connection.reset()
 
     async def answer(self, request: HttpRequest) -> Reply:
-        """Count a call, carry it out and apply the faults."""
+        """Count a call, run it and apply the faults."""
         kind = call_kind(request)
         if kind is None:
             return json_reply(routes.STATUS_NO_ENTRY, {"error": "no such route"})
-        refused = await self._refused(kind)
-        if refused is not None:
-            return refused
+        refusal = await self._refusal(kind)
+        if refusal is not None:
+            return refusal
         reply = await self._calls.run(kind, request)
         if kind in READ_KINDS:
             return reply
         if self.faults.late_reply_ms > 0:
             await asyncio.sleep(self.faults.late_reply_ms / 1000)
-        if self._loses_reply():
+        if self._should_lose_reply():
             self.counts.lost += 1
-            return DROPPED
+            return DROPPED_REPLY
         return reply
 
-    async def _refused(self, kind: str) -> Reply | None:
-        within_rate = self._count(kind)
+    async def _refusal(self, kind: str) -> Reply | None:
+        within_limit = self._count_call(kind)
         if self.faults.delay_ms > 0:
             await asyncio.sleep(self.faults.delay_ms / 1000)
         outage = self.faults.outage
-        if outage is Outage.NONE and within_rate:
+        if outage is Outage.NONE and within_limit:
             return None
         self.counts.refused += 1
         if outage is Outage.SILENT:
             await asyncio.Event().wait()
         if outage is Outage.RESET:
-            return DROPPED
+            return DROPPED_REPLY
         return json_reply(routes.STATUS_UNAVAILABLE, {"error": "unavailable"})
 
-    def _count(self, kind: str) -> bool:
-        """Count a call; tell whether it is within the limits."""
+    def _count_call(self, kind: str) -> bool:
+        """Count a call. Return whether it is within the rate limits."""
         counts, faults = self.counts, self.faults
-        reads = kind in READ_KINDS
+        is_read = kind in READ_KINDS
         counts.calls[kind] += 1
         second = int(asyncio.get_running_loop().time())
-        rate = self._rates[reads]
-        rate[second] += 1
-        if len(rate) > 2:
-            del rate[min(rate)]
-        if reads:
+        calls_per_second = self._calls_per_second[is_read]
+        calls_per_second[second] += 1
+        if len(calls_per_second) > 2:
+            del calls_per_second[min(calls_per_second)]
+        if is_read:
             counts.reads += 1
-            counts.peak_reads_per_second = max(counts.peak_reads_per_second, rate[second])
+            counts.peak_reads_per_second = max(
+                counts.peak_reads_per_second, calls_per_second[second]
+            )
         else:
             counts.writes += 1
-            counts.peak_writes_per_second = max(counts.peak_writes_per_second, rate[second])
-        limit = faults.reads_per_second if reads else faults.writes_per_second
-        return limit is None or rate[second] <= limit
-
-    def _loses_reply(self) -> bool:
-        if self.faults.take("lost_replies"):
+            counts.peak_writes_per_second = max(
+                counts.peak_writes_per_second, calls_per_second[second]
+            )
+        limit = faults.reads_per_second if is_read else faults.writes_per_second
+        return limit is None or calls_per_second[second] <= limit
+
+    def _should_lose_reply(self) -> bool:
+        if self.faults.consume("lost_replies"):
             return True
         return self._random.random() < self.faults.lost_reply_share
 
 
 class _AdminHost(ConnectionHost):
-    """Answer on the admin port."""
+    """The admin port of the platform."""
 
     def __init__(self, platform: PlatformStandin) -> None:
         self._platform: Final = platform
@@ -208,7 +212,7 @@
         self._connections.add(connection)
         return True
 
-    def lost(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         self._connections.discard(connection)
 
     def reset_connections(self) -> None:
@@ -240,7 +244,7 @@
     vms: tuple[VmDocument, ...] = (),
     seed: int = 1,
 ) -> PlatformStandin:
-    """Return a running stand-in of the platform. Raises OSError where a port is taken."""
+    """Start a stand-in of the platform. Raises OSError if a port is in use."""
     platform = PlatformStandin(vms, seed)
     await platform.start(host, port, admin_port)
     return platform
--- a/libs/standins/berylspindle_standins/standin_http.py
+++ b/libs/standins/berylspindle_standins/standin_http.py
@@ -1,15 +1,15 @@
-"""A small HTTP/1.1 server whose connections can be made to misbehave.
+"""A small HTTP/1.1 server with fault injection on its connections.
 
-The server of berylspindle_wire behaves well by design; a stand-in must also reset connections, fall
-silent, cut a body short and refuse to accept, so it speaks h11 on the bare transport.
+The server of berylspindle_wire always follows the protocol. A stand-in must also reset or refuse
+connections, stop replying and truncate bodies, so this server uses h11 directly on the transport.
 
 Terms:
-  host         what a connection belongs to: it accepts or refuses it and answers its requests
-  reply        status and JSON body, with the faults that the host wants on it
-  silent       a connection that stays open and never says anything again
+  host         owner of connections: accepts or refuses them and answers their requests
+  reply        status, headers and body, with the faults to apply to them
+  silent       a connection that stays open but sends nothing more
 
 Flow: `listen` binds a host to a port. A connection reads one request at a time and runs
-`host.answer` in a task; closing the connection from the other side cancels that task.
+`host.answer` in a task, which is cancelled when the peer closes the connection.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 @attrs.frozen(kw_only=True)
 class Reply:
-    """What a host answers with.
+    """The reply of a host to a request.
 
     Attributes:
-        truncate: send only half of the body and close, while the length announces all of it.
-        drop: close without a reply, as a reply lost on its way.
+        truncate: send half of the body and close, with the content length of the whole body.
+        drop: close without a reply, as if the reply was lost in the network.
     """
 
     status: int
@@ -45,28 +45,28 @@
 
 
 def json_reply(status: int, message: object) -> Reply:
-    """Return a reply that carries a message as JSON."""
+    """Return a reply with a message encoded as JSON."""
     return Reply(status=status, body=codec.to_json(message), headers=(("content-type", JSON_TYPE),))
 
 
 class ConnectionHost(ABC):
-    """Answer the requests of the connections that it accepts."""
+    """The owner of connections, which accepts them and answers their requests."""
 
     @abstractmethod
     def accept(self, connection: Connection) -> bool:
-        """Tell whether this new connection may stay; a refused one is reset."""
+        """Return whether to accept a new connection; a refused one is reset."""
 
     @abstractmethod
-    def lost(self, connection: Connection) -> None:
-        """Forget a connection that `accept` let in and that has closed."""
+    def on_closed(self, connection: Connection) -> None:
+        """Handle the end of a connection that `accept` has accepted."""
 
     @abstractmethod
     async def answer(self, request: HttpRequest) -> Reply:
-        """Return the reply to one request. Cancelled when the peer closes the connection."""
+        """Return the reply to a request. Cancelled when the peer closes the connection."""
 
     @property
     def connect_delay(self) -> float:
-        """Return the seconds for which a new connection does not read, as a slow connect."""
+        """Return the seconds for which a new connection does not read."""
         return 0.0
 
 
@@ -81,11 +81,11 @@
         self._request: h11.Request | None = None
         self._body = bytearray()
         self._accepted = False
-        self._connecting = False
+        self._connect_delayed = False
         self._silent = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask the host whether the connection may stay."""
+        """Accept or reset the connection, as the host decides."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._accepted = self._host.accept(self)
@@ -94,36 +94,36 @@
             return
         delay = self._host.connect_delay
         if delay > 0:
-            self._connecting = True
-            asyncio.get_running_loop().call_later(delay, self._connected)
+            self._connect_delayed = True
+            asyncio.get_running_loop().call_later(delay, self._end_connect_delay)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what runs for this connection."""
+        """Cancel the request in progress and notify the host."""
         if self._task is not None:
             self._task.cancel()
         if self._accepted:
             self._accepted = False
-            self._host.lost(self)
+            self._host.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; a silent connection swallows what it is sent."""
+        """Feed the parser; a silent connection discards the data."""
         if self._silent:
             return
         self._http.receive_data(data)
-        if not self._connecting:
+        if not self._connect_delayed:
             self._read()
 
     def silence(self) -> None:
-        """Say nothing more on this connection and keep it open."""
+        """Keep the connection open but send nothing more."""
         self._silent = True
 
     def reset(self) -> None:
-        """Close at once, without what is still to be sent."""
+        """Close at once and discard buffered output."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _connected(self) -> None:
-        self._connecting = False
+    def _end_connect_delay(self) -> None:
+        self._connect_delayed = False
         if self._accepted and not self._silent:
             self._read()
 
@@ -145,12 +145,12 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > MAX_BODY_BYTES:
-                    raise h11.RemoteProtocolError("body too large")
+                    raise h11.RemoteProtocolError("request body exceeds MAX_BODY_BYTES")
             elif isinstance(event, h11.EndOfMessage):
                 assert self._request is not None
-                return _whole(self._request, bytes(self._body))
+                return _http_request(self._request, bytes(self._body))
             else:
-                # NEED_DATA, PAUSED or a closed peer: nothing to answer now.
+                # NEED_DATA, PAUSED or closed by the peer: no request to answer.
                 return None
 
     async def _serve(self, request: HttpRequest) -> None:
@@ -183,18 +183,18 @@
 
 
 async def listen(host: ConnectionHost, address: str, port: int) -> asyncio.Server:
-    """Bind a host to a port; 0 lets the system choose."""
+    """Bind a host to a port; 0 lets the system choose one."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Connection(host), address, port, backlog=1024)
 
 
 def bound_port(server: asyncio.Server) -> int:
-    """Return the port that a listening server has got."""
+    """Return the port that a server listens on."""
     port: int = server.sockets[0].getsockname()[1]
     return port
 
 
-def _whole(request: h11.Request, body: bytes) -> HttpRequest:
+def _http_request(request: h11.Request, body: bytes) -> HttpRequest:
     target = urlsplit(request.target.decode("ascii"))
     return HttpRequest(
         method=request.method.decode("ascii"),
--- a/libs/standins/berylspindle_standins/store_state.py
+++ b/libs/standins/berylspindle_standins/store_state.py
@@ -1,11 +1,11 @@
 """The state of the platform's store, without sockets: entries, revisions, leases, history.
 
 Terms:
-  history   every change with its time, so that a lagging read can answer as of earlier
-  log       the last changes, for watches; older ones are compacted
+  history   the recent changes of each key with their times, for reads of a past state
+  log       the latest changes, for watches; older ones are compacted
 
-Flow: each method takes the present time, lets leases lapse that are due, and then acts. A refused
-compare-and-swap raises `ConflictError` with the present entry.
+Flow: most methods take the current time and first expire the leases that are due. A failed
+compare-and-swap raises `ConflictError` with the current entry.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from berylspindle_store.routes import EntryDocument
 
 LOG_LENGTH: Final = 10_000
-HISTORY_SECONDS: Final = 60.0
+HISTORY_S: Final = 60.0
 
 
 class ConflictError(Exception):
-    """The entry has another revision than expected."""
+    """The entry does not have the expected revision."""
 
     def __init__(self, current: EntryDocument | None) -> None:
         super().__init__(current)
@@ -33,19 +33,19 @@
 
 
 class UnknownLeaseError(Exception):
-    """There is no such lease, or it has lapsed."""
+    """The lease does not exist or has expired."""
 
 
 class CompactedError(Exception):
-    """The log does not reach back to the asked revision."""
+    """The requested revision is older than the log."""
 
 
 @attrs.define(kw_only=True)
 class LeaseState:
-    """One lease and the keys bound to it."""
+    """One lease and the keys attached to it; times in seconds."""
 
     ttl: float
-    lapses_at: float
+    expires_at: float
     keys: set[str] = attrs.field(factory=set)
 
 
@@ -55,7 +55,7 @@
     def __init__(self, *, log_length: int = LOG_LENGTH) -> None:
         self._revision = 0
         self._entries: dict[str, EntryDocument] = {}
-        self._bound: dict[str, str] = {}
+        self._lease_by_key: dict[str, str] = {}
         self._leases: dict[str, LeaseState] = {}
         self._lease_numbers: Final = itertools.count(1)
         self._log: collections.deque[EntryDocument] = collections.deque(maxlen=log_length)
@@ -69,19 +69,19 @@
 
     @property
     def leases(self) -> int:
-        """Return how many leases are held."""
+        """Return the number of leases."""
         return len(self._leases)
 
     def get(self, key: str, now: float, *, lag: float = 0.0) -> EntryDocument | None:
         """Return the entry as it was `lag` seconds ago."""
-        self.lapse(now)
+        self.expire_leases(now)
         if lag <= 0:
             return self._entries.get(key)
-        return self._as_of(key, now - lag)
+        return self._entry_at(key, now - lag)
 
     def list(self, prefix: str, now: float, *, lag: float = 0.0) -> Iterator[EntryDocument]:
-        """Yield the entries under a prefix as they were `lag` seconds ago, by key."""
-        self.lapse(now)
+        """Yield the entries under a prefix as they were `lag` seconds ago, sorted by key."""
+        self.expire_leases(now)
         for key in sorted(self._history):
             if key.startswith(prefix):
                 entry = self.get(key, now, lag=lag)
@@ -89,17 +89,20 @@
                     yield entry
 
     def revision_at(self, now: float, *, lag: float = 0.0) -> int:
-        """Return the store's revision of `lag` seconds ago."""
+        """Return the store's revision as it was `lag` seconds ago."""
         if lag <= 0:
             return self._revision
-        at = bisect.bisect_right(self._revisions, (now - lag, self._revision))
-        return self._revisions[at - 1][1] if at else 0
+        index = bisect.bisect_right(self._revisions, (now - lag, self._revision))
+        return self._revisions[index - 1][1] if index else 0
 
     def write(
         self, key: str, value: bytes | None, now: float, *, expect: int, lease: str | None = None
     ) -> EntryDocument:
-        """Write or delete an entry if it has the expected revision."""
-        self.lapse(now)
+        """Write an entry, or delete it if `value` is None, if it has the expected revision.
+
+        Raises ConflictError for another revision and UnknownLeaseError for an unknown lease.
+        """
+        self.expire_leases(now)
         if lease is not None and lease not in self._leases:
             raise UnknownLeaseError
         current = self._entries.get(key)
@@ -107,10 +110,13 @@
             raise ConflictError(current)
         if value is None and current is None:
             return EntryDocument(key=key, revision=self._revision)
-        return self._put(key, value, now, lease)
+        return self._apply(key, value, now, lease)
 
     def changes(self, prefix: str, after: int) -> tuple[EntryDocument, ...]:
-        """Return the changes under a prefix after a revision, oldest first."""
+        """Return the changes under a prefix after a revision, oldest first.
+
+        Raises CompactedError if the log no longer has all of them.
+        """
         if after < self._revision and (not self._log or self._log[0].revision > after + 1):
             raise CompactedError
         found: list[EntryDocument] = []
@@ -122,44 +128,44 @@
         return tuple(reversed(found))
 
     def grant(self, ttl: float, now: float) -> str:
-        """Return the id of a new lease."""
+        """Create a lease and return its id."""
         lease = f"lease-{next(self._lease_numbers)}"
-        self._leases[lease] = LeaseState(ttl=ttl, lapses_at=now + ttl)
+        self._leases[lease] = LeaseState(ttl=ttl, expires_at=now + ttl)
         return lease
 
     def keep_alive(self, lease: str, now: float) -> float:
-        """Let a lease begin anew; returns its time to live."""
-        self.lapse(now)
+        """Renew a lease. Return its time to live in seconds."""
+        self.expire_leases(now)
         if lease not in self._leases:
             raise UnknownLeaseError
         state = self._leases[lease]
-        state.lapses_at = now + state.ttl
+        state.expires_at = now + state.ttl
         return state.ttl
 
     def revoke(self, lease: str, now: float) -> None:
-        """End a lease and delete what is bound to it."""
-        self.lapse(now)
+        """End a lease and delete the entries attached to it."""
+        self.expire_leases(now)
         if lease not in self._leases:
             raise UnknownLeaseError
-        self._end(lease, now)
+        self._end_lease(lease, now)
 
-    def lapse(self, now: float) -> bool:
-        """End the leases that are due; tell whether there was one."""
-        due = [name for name, state in self._leases.items() if state.lapses_at <= now]
+    def expire_leases(self, now: float) -> bool:
+        """End the leases that have expired. Return whether there were any."""
+        due = [name for name, state in self._leases.items() if state.expires_at <= now]
         for lease in due:
-            self._end(lease, now)
+            self._end_lease(lease, now)
         return bool(due)
 
     def compact(self) -> None:
-        """Forget the log, so that a watch must list anew."""
+        """Clear the log, so that a watch must list again."""
         self._log.clear()
 
-    def _end(self, lease: str, now: float) -> None:
+    def _end_lease(self, lease: str, now: float) -> None:
         for key in sorted(self._leases.pop(lease).keys):
-            self._put(key, None, now, None)
+            self._apply(key, None, now, None)
 
-    def _put(self, key: str, value: bytes | None, now: float, lease: str | None) -> EntryDocument:
-        self._unbind(key)
+    def _apply(self, key: str, value: bytes | None, now: float, lease: str | None) -> EntryDocument:
+        self._detach_lease(key)
         self._revision += 1
         entry = EntryDocument(key=key, revision=self._revision, value=value)
         if value is None:
@@ -168,30 +174,30 @@
             self._entries[key] = entry
         if lease is not None:
             self._leases[lease].keys.add(key)
-            self._bound[key] = lease
+            self._lease_by_key[key] = lease
         self._log.append(entry)
-        self._remember(entry, now)
+        self._record_history(entry, now)
         return entry
 
-    def _unbind(self, key: str) -> None:
-        lease = self._leases.get(self._bound.pop(key, ""))
+    def _detach_lease(self, key: str) -> None:
+        lease = self._leases.get(self._lease_by_key.pop(key, ""))
         if lease is not None:
             lease.keys.discard(key)
 
-    def _remember(self, entry: EntryDocument, now: float) -> None:
+    def _record_history(self, entry: EntryDocument, now: float) -> None:
         history = self._history.setdefault(entry.key, [])
         history.append((now, entry))
-        # The newest one from before the horizon is what a read that lags so far must answer.
-        while len(history) > 1 and history[1][0] < now - HISTORY_SECONDS:
+        # The newest change before the horizon is kept: a read with the maximum lag returns it.
+        while len(history) > 1 and history[1][0] < now - HISTORY_S:
             history.pop(0)
         self._revisions.append((now, entry.revision))
         if len(self._revisions) > 2 * LOG_LENGTH:
             del self._revisions[:LOG_LENGTH]
 
-    def _as_of(self, key: str, then: float) -> EntryDocument | None:
+    def _entry_at(self, key: str, as_of: float) -> EntryDocument | None:
         found = None
         for changed_at, entry in self._history.get(key, ()):
-            if changed_at > then:
+            if changed_at > as_of:
                 break
             found = entry
         return None if found is None or found.value is None else found
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""Let the run pass over the known failures of KNOWN-RED.txt, and print them.
+"""Expect the failures listed in KNOWN-RED.txt, and print the list.
 
-Each line names a test by its node id. It is run all the same and must fail: a line for a test that
-passes fails the run, so that the list never outlives its faults. Only a line that says `flaky:` may
-pass, since its fault shows in some runs and the verdict must be the same in all.
+Each line names a test by its node id. The test still runs and must fail: if it passes, the run
+fails, so that the list contains only faults that still exist. A test whose line contains `flaky:`
+may fail or pass, since its fault appears in some runs only and the result of the run must be the
+same.
 """
 
 from __future__ import annotations
@@ -11,30 +12,39 @@
 
 import pytest
 
-KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST = 3
-FLAKY = "flaky:"
+KNOWN_FAILURES_FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
+MAX_FAILURES = 3
+FLAKY_MARKER = "flaky:"
 
 
-def known_red() -> dict[str, str]:
-    """Return what is written about each known failure, by its node id."""
-    lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
+def known_failures() -> dict[str, str]:
+    """Return the lines of the known failures by node id.
+
+    Raises UsageError if there are more than `MAX_FAILURES`.
+    """
+    lines = [
+        line
+        for line in KNOWN_FAILURES_FILE.read_text(encoding="utf-8").splitlines()
+        if line.strip()
+    ]
     rows = [line for line in lines if not line.startswith("#")]
-    if len(rows) > MOST:
-        raise pytest.UsageError(f"{KNOWN_RED.name} lists {len(rows)} tests, over {MOST}")
+    if len(rows) > MAX_FAILURES:
+        raise pytest.UsageError(
+            f"{KNOWN_FAILURES_FILE.name} lists {len(rows)} tests; the limit is {MAX_FAILURES}"
+        )
     return {row.split("|")[0].strip(): row for row in rows}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail."""
-    listed = known_red()
+    """Mark the listed tests as expected failures."""
+    listed = known_failures()
     for item in items:
         if item.nodeid in listed:
             row = listed[item.nodeid]
-            item.add_marker(pytest.mark.xfail(reason=row, strict=FLAKY not in row))
+            item.add_marker(pytest.mark.xfail(reason=row, strict=FLAKY_MARKER not in row))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list after each run."""
-    for row in known_red().values():
+    """Print the known failures after each run."""
+    for row in known_failures().values():
         terminalreporter.write_line(f"known red: {row}")
--- a/tests/standins/test_backend_admin.py
+++ b/tests/standins/test_backend_admin.py
@@ -1,4 +1,4 @@
-"""Faults are switched and counts are read over HTTP while the stand-in runs."""
+"""Faults are set and counts are read over HTTP while the stand-in runs."""
 
 from __future__ import annotations
 
@@ -26,12 +26,15 @@
                 "servers": ["lots-0-0", "lots-0-1"]
             }
             assert (await client.post(SEARCH_PATH, body=search)).status == 500
-            unknown = await admin.put("/faults", body=b'{"set": {"no_such": 1}}')
-            assert unknown.status == 400
+            rejected = await admin.put("/faults", body=b'{"set": {"no_such": 1}}')
+            assert rejected.status == 400
             cleared = await admin.put("/faults", body=b'{"clear": true}')
             assert cleared.status == 200
             assert (await client.post(SEARCH_PATH, body=search)).status == 200
             document = codec.from_json((await admin.get("/counts")).body, dict[str, Any])
-        counted = document["servers"][0]
-        assert (counted["server"], counted["counts"]["searches_started"]) == ("lots-0-0", 2)
-        assert counted["counts"]["last_arrival_wall"] > 0
+        server_counts = document["servers"][0]
+        assert (server_counts["server"], server_counts["counts"]["searches_started"]) == (
+            "lots-0-0",
+            2,
+        )
+        assert server_counts["counts"]["last_arrival_wall"] > 0
--- a/tests/standins/test_call_log.py
+++ b/tests/standins/test_call_log.py
@@ -1,4 +1,4 @@
-"""The log of calls tells what happened at the servers, in order."""
+"""The call log holds the events at the servers in order."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     return SearchCall(attempt=attempt, service="lots", shard="0", query=f"q-{attempt}", limit=3)
 
 
-async def test_calls_and_a_fall_are_logged_in_order() -> None:
-    """A checker would blame the system for a fall that it did not cause.
+async def test_calls_and_a_crash_are_logged_in_order() -> None:
+    """Guard against a checker attributing a crash to the system that the system did not cause.
 
-    A cold server runs one call, then a second one comes while it runs; the log must show both, the
-    overrun by the second and the fall, in this order.
+    A second call arrives at a cold server while the first runs: the log must hold the first call,
+    the overrun by the second, and the crash, in this order.
     """
     log = CallLog()
     options = BackendOptions(mean_ms=20.0, sigma=0.0, warm_after=5)
@@ -32,7 +32,7 @@
     with pytest.raises(ServerDownError):
         await server.search(search("b"), 1.0)
     await first
-    steps = [(one.step, one.attempt, one.cold) for one in log.document().steps]
+    steps = [(logged.step, logged.attempt, logged.cold) for logged in log.document().steps]
     assert steps == [
         (CallStep.ADMITTED, "a", True),
         (CallStep.STARTED, "a", True),
@@ -42,9 +42,9 @@
     ]
 
 
-def test_a_full_log_says_what_it_dropped() -> None:
-    log = CallLog(kept=2)
+def test_a_full_log_reports_the_number_of_dropped_steps() -> None:
+    log = CallLog(max_steps=2)
     for number in range(5):
         log.add("lots-0-0", CallStep.STARTED, attempt=str(number))
     document = log.document()
-    assert (document.dropped, [one.attempt for one in document.steps]) == (3, ["3", "4"])
+    assert (document.dropped, [logged.attempt for logged in document.steps]) == (3, ["3", "4"])
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -1,4 +1,4 @@
-"""The deployments have the sizes that their users state."""
+"""The deployments have the sizes stated by their users."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ("configuration", "servers", "data_centres"),
     [(kurabito(17000), 95, 4), (pwani_kamba(17000), 83, 4), (small(17000), 8, 2)],
 )
-def test_sizes_ports_and_spread(
+def test_sizes_ports_and_placement(
     configuration: Configuration, servers: int, data_centres: int
 ) -> None:
     assert len(configuration.servers) == servers
@@ -23,13 +23,13 @@
     for service in configuration.services:
         for shard in service.shards:
             replicas = configuration.replicas(service.name, shard)
-            spread = Counter(server.data_centre for server in replicas)
-            # Losing one data centre leaves every shard a replica, and no data centre holds more
-            # than its part of one.
-            assert len(spread) == min(len(replicas), data_centres)
-            assert max(spread.values()) <= -(-len(replicas) // data_centres)
+            placement = Counter(server.data_centre for server in replicas)
+            # After the loss of one data centre every shard still has a replica, and no data centre
+            # holds more than its share of the replicas of a shard.
+            assert len(placement) == min(len(replicas), data_centres)
+            assert max(placement.values()) <= -(-len(replicas) // data_centres)
 
 
-def test_the_users_weights_are_the_services_policies() -> None:
-    assert {s.policy.prefer for s in kurabito().services} == {Preference.LATENCY}
-    assert {s.policy.prefer for s in pwani_kamba().services} == {Preference.COVERAGE}
+def test_service_policies_match_the_users_preferences() -> None:
+    assert {service.policy.prefer for service in kurabito().services} == {Preference.LATENCY}
+    assert {service.policy.prefer for service in pwani_kamba().services} == {Preference.COVERAGE}
--- a/tests/standins/test_platform_standin.py
+++ b/tests/standins/test_platform_standin.py
@@ -1,4 +1,4 @@
-"""The faults and counts of the platform's stand-in that no test of its client covers."""
+"""Faults and counts of the platform's stand-in that the tests of its client do not cover."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     platform.change(PlatformChange(set=dict(faults)))
 
 
-async def test_a_delayed_write_has_no_effect_yet_and_a_late_reply_has(
+async def test_a_delayed_write_has_no_effect_and_a_late_reply_follows_one(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, delay_ms=HELD_MS)
@@ -49,15 +49,15 @@
     assert [entry.key for entry in (await store.list("")).entries] == ["late"]
 
 
-async def test_a_share_of_lost_replies_follows_the_seed() -> None:
-    fates = []
+async def test_lost_replies_are_drawn_with_the_seed() -> None:
+    outcomes = []
     for _ in range(2):
         async with await start_platform(seed=7) as platform:
             set_faults(platform, lost_reply_share=0.5)
             async with open_store("127.0.0.1", platform.port, OPTIONS) as store:
-                fates.append([await _is_lost(store, f"k{n}") for n in range(20)])
-    assert fates[0] == fates[1]
-    assert 0 < sum(fates[0]) < 20
+                outcomes.append([await _is_lost(store, f"k{n}") for n in range(20)])
+    assert outcomes[0] == outcomes[1]
+    assert 0 < sum(outcomes[0]) < 20
 
 
 async def _is_lost(store: HttpStore, key: str) -> bool:
@@ -68,7 +68,7 @@
     return False
 
 
-async def test_late_watch_events_tell_of_the_time_before_the_delay(
+async def test_delayed_watch_events_exclude_changes_during_the_delay(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, watch_delay_ms=50)
@@ -126,11 +126,11 @@
         assert (counts["waiting_watches"], counts["peak_waiting_watches"]) == (0, 1)
         vms = await admin.put("/vms", body=b'{"vms": []}')
         assert vms.status == 200
-        wrong = await admin.put("/faults", body=b'{"set": {"outage": "sometimes"}}')
-        assert wrong.status == 400
+        rejected = await admin.put("/faults", body=b'{"set": {"outage": "sometimes"}}')
+        assert rejected.status == 400
 
 
-def test_the_past_is_kept_for_reads_that_lag() -> None:
+def test_lagging_reads_return_past_entries() -> None:
     state = StoreState()
     first = state.write("k", b"1", 10.0, expect=0)
     second = state.write("k", b"2", 20.0, expect=first.revision)
@@ -140,12 +140,12 @@
     assert [state.revision_at(31.0, lag=lag) for lag in (0.0, 5.0, 15.0, 25.0)] == [3, 2, 1, 0]
 
 
-def test_a_lease_bounds_its_entries_and_no_others() -> None:
+def test_lease_expiry_deletes_only_attached_entries() -> None:
     state = StoreState()
     lease = state.grant(5.0, 0.0)
     state.write("bound", b"1", 0.0, expect=0, lease=lease)
     state.write("free", b"1", 0.0, expect=0)
     state.keep_alive(lease, 4.0)
-    assert not state.lapse(8.0)
+    assert not state.expire_leases(8.0)
     assert state.get("bound", 9.5) is None
     assert state.get("free", 9.5) is not None
--- a/tests/standins/test_service_times.py
+++ b/tests/standins/test_service_times.py
@@ -1,4 +1,4 @@
-"""The service times of a stand-in backend server follow its seed and its options."""
+"""The service times of a stand-in backend server depend on its seed and its options."""
 
 from __future__ import annotations
 
