--- a/libs/standins/berylspindle_standins/backend_faults.py
+++ b/libs/standins/berylspindle_standins/backend_faults.py
@@ -24,7 +24,7 @@
     """Options of a stand-in backend server for the whole run.
 
     Attributes:
-        mean_ms: mean of the service time, which has a lognormal distribution.
+        mean_ms: mean of the lognormally distributed service time, without stragglers.
         sigma: standard deviation of the logarithm of the service time; 0 makes it constant.
         straggler_probability: probability that a call is a straggler.
         straggler_factor: factor on the service time of a straggler.
