--- a/libs/model/berylspindle_model/causes.py
+++ b/libs/model/berylspindle_model/causes.py
@@ -51,87 +51,87 @@
 
 CAUSES: Final[dict[Cause, CauseText]] = {
     Cause.NO_TABLE: CauseText(
-        "the VM had just started and knew no routing table yet",
-        "'the store answers' and 'routing table in force' of that VM: what kept them",
+        "the VM had just started and had not received a routing table yet",
+        "'the store answers' and 'routing table in force' in the VM's log: what delayed them",
     ),
     Cause.NO_ROUTE: CauseText(
-        "the routing table in force has no route for this host and path",
-        "the line's table version against the operator's; the host and path that were asked",
+        "the active routing table has no route for this host and path",
+        "the table version in the line against the one published; the requested host and path",
     ),
     Cause.STOPPING: CauseText(
-        "the VM was stopping and had no time left for the request",
-        "'shutdown' of that VM; whether requests are longer than the grace",
+        "the VM was shutting down and had no time left for the request",
+        "'shutdown' in the VM's log; whether requests take longer than the grace period",
     ),
     Cause.CUT_OFF: CauseText(
-        "the VM reached no other data centre, and too few shards have a replica in its own",
-        "'cut off from other data centres' of that VM: the network between data centres",
+        "the VM could reach no other data centre, and too few shards have a replica in its own",
+        "'cut off from other data centres' in the VM's log: the network between data centres",
     ),
     Cause.OVERLOADED: CauseText(
-        "refused at once, unrun: waiting in replicas' queues would have cost its time",
-        "the load of the services; replicas that are slow or few, and the pressure in the line",
+        "refused without being run: queueing at the replicas would have exceeded its time",
+        "the load of the services; slow or missing replicas, and the pressure in the line",
     ),
     Cause.NO_USABLE_REPLICA: CauseText(
-        "a service had no replica that may get requests: none announced, all draining or out",
-        "'replica announced' and 'replica gone' of that service; data centres that are out",
+        "a service had no usable replica: none announced, or all draining or out of service",
+        "'replica announced' and 'replica gone' of that service; data centres out of service",
     ),
     Cause.UNREACHABLE: CauseText(
-        "all replicas of a service refused connections, or could not be reached",
-        "the replicas that the steps name with not_sent: whether they run",
+        "all replicas of a service refused connections or were unreachable",
+        "the replicas with not_sent in the steps: whether they are running",
     ),
     Cause.REPLICAS_REFUSED: CauseText(
-        "replicas refused the request unrun until its time or its attempts were over",
-        "the load of the service: more requests than its replicas' slots and queues bear",
+        "replicas refused the request without running it until its deadline or attempt limit",
+        "the load of the service: more requests than the slots and queues of its replicas can take",
     ),
     Cause.RETRY_BUDGET_SPENT: CauseText(
-        "what failed could not be tried again: the bound on repeats was reached",
-        "why so much is repeated: replicas held off, replies by kind",
+        "a failed attempt was not retried: the retry budget was used up",
+        "why so many requests are retried: replicas on hold, replies by kind",
     ),
     Cause.ANSWER_LOST: CauseText(
-        "a connection broke after the request was sent; it may have run",
-        "the replica that the steps name with lost or broken: whether it crashed",
+        "the connection was lost after the request was sent; it may have run",
+        "the replica with lost or broken in the steps: whether it crashed",
     ),
     Cause.BAD_REPLY: CauseText(
-        "a replica's reply belonged to another request or was none of the protocol",
-        "the replica that the steps name with foreign",
+        "a replica's reply belonged to another request or violated the protocol",
+        "the replica with foreign in the steps",
     ),
     Cause.REPLICA_FAILED: CauseText(
         "a replica ran the request and failed",
-        "the log of the replica that the steps name with failure",
+        "the log of the replica with failure in the steps",
     ),
     Cause.REQUEST_AT_FAULT: CauseText(
-        "a replica says that the request itself is at fault",
-        "the request; the caller has to mend it",
+        "a replica rejected the request as invalid",
+        "the request; the caller has to correct it",
     ),
     Cause.LITTLE_TIME: CauseText(
-        "the caller left less time than the replicas usually take",
-        "left_ms against usual_ms; what the caller did before this try",
+        "the caller's remaining time was shorter than the usual latency of the replicas",
+        "left_ms against usual_ms; what delayed the caller before this attempt",
     ),
     Cause.REPLICAS_SILENT: CauseText(
-        "replicas had the request and did not answer in time",
-        "the replicas that the steps send to and never name again: slow, paused or cut off",
+        "replicas received the request and did not respond in time",
+        "the replicas that the steps send to without a later reply: slow, paused or unreachable",
     ),
     Cause.WAITED_FOR_TABLE: CauseText(
-        "answered late: the VM had just started and the request waited for the routing table",
-        "'started' of that VM, and table_wait_ms",
+        "late response: the VM had just started and the request waited for the routing table",
+        "'started' in the VM's log, and table_wait_ms",
     ),
     Cause.RETRIED: CauseText(
-        "answered late: an attempt failed or was refused first",
-        "the step that failed, and its replica",
+        "late response: an earlier attempt failed or was refused",
+        "the failed step and its replica",
     ),
     Cause.SLOW_REPLICA: CauseText(
-        "answered late: a replica was slow",
-        "the last answer of the steps, and its replica's pace",
+        "late response: a replica was slow",
+        "the last answer in the steps, and the latency of its replica",
     ),
     Cause.CALLER_LEFT: CauseText(
-        "the caller closed its connection before the answer",
-        "the route's latency; nothing, if callers do so by themselves",
+        "the caller closed its connection before the response",
+        "the latency of the route; nothing if callers close connections on their own",
     ),
     Cause.MERGER_LOST: CauseText(
-        "the bigger VM that carried the request out did not answer",
-        "the VM that the line names as merger: whether it ran, and its line of the same request",
+        "the larger VM that was running the request as merger did not respond",
+        "the merger VM in the line: whether it was running, and its own line of the request",
     ),
     Cause.CRASHES_REPLICAS: CauseText(
-        "replicas that ran the same request before have crashed, so that it is not run for a while",
-        "'request crashes replicas' of any VM; the request, with whoever sends it",
+        "the request is quarantined for a while: replicas that ran it before have crashed",
+        "'request crashes replicas' in any VM's log; the request and its caller",
     ),
 }
