--- a/libs/bench/berylspindle_bench/__init__.py
+++ b/libs/bench/berylspindle_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration, load, experiments and history checking."""
+"""Demonstration, load generation, experiments and checks of recorded histories."""
--- a/libs/bench/berylspindle_bench/cluster.py
+++ b/libs/bench/berylspindle_bench/cluster.py
@@ -1,12 +1,13 @@
-"""A whole deployment as processes on loopback: stand-ins and daemons, started and stopped.
+"""Run a deployment as processes on loopback: stand-ins and daemons.
 
 Terms:
-  plan      which daemon runs in which data centre with which ports
-  process   one program started here; its output goes to a log file of its own
+  plan      the data centre and the ports of each daemon, and the ports of the stand-ins
+  process   one child process with its own log file
 
-Flow: `start_cluster` finds free ports, starts the platform's stand-in and one process with all
-backend servers, writes the configuration to the store, starts the daemons with flags and
-environment, and waits until all are ready. The `Cluster` ends every process that it started.
+Flow: `start_cluster` reserves free ports. Entering the `Cluster` starts the stand-in of the
+platform and one process per data centre with its backend servers, writes the configuration to the
+store, starts the daemons and waits until all are ready. Leaving it stops every process that it
+started.
 """
 
 from __future__ import annotations
@@ -39,14 +40,14 @@
 from berylspindle_wire.http_client import HttpFailure
 
 HOST: Final = "127.0.0.1"
-READY_SECONDS: Final = 20.0
+READY_TIMEOUT_S: Final = 20.0
 PORTS_PER_DAEMON: Final = 3
-_BLOCK: Final = 400
+_PORT_BLOCK_SIZE: Final = 400
 
 
 @attrs.frozen(kw_only=True)
 class DaemonPlan:
-    """One daemon: its data centre and ports."""
+    """The data centre and ports of one daemon."""
 
     vm: str
     data_centre: str
@@ -56,23 +57,23 @@
 
     @property
     def callers(self) -> Address:
-        """Return the callers' edge."""
+        """Return the address for callers."""
         return Address(host=HOST, port=self.callers_port)
 
     @property
     def admin(self) -> Address:
-        """Return the operators' edge."""
+        """Return the address for operators."""
         return Address(host=HOST, port=self.admin_port)
 
 
 @attrs.frozen(kw_only=True)
 class ClusterPlan:
-    """Where everything of one deployment listens.
+    """The ports of one deployment.
 
-    Backend servers of one data centre share a process, with one port for faults and counts;
-    `spare_port` is the first of a hundred that nothing listens on. `reservation` holds the last
-    port of the block for as long as the cluster lives: two clusters that start at once would else
-    find the same block free, and one would write its configuration to the other's store.
+    Backend servers of one data centre share a process, with one port for faults and counts.
+    `spare_port` is the first of 100 unused ports. `reservation` is bound to the last port of the
+    block for the lifetime of the cluster. Without it, two clusters that start at the same time
+    could select the same block, and one would write its configuration to the store of the other.
     """
 
     deployment: str
@@ -87,7 +88,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the first configuration, with the ports of this plan."""
+        """Return the initial configuration with the ports of this plan."""
         configuration = DEPLOYMENTS[self.deployment](self.backend_port)
         if self.policy is None:
             return configuration
@@ -96,7 +97,7 @@
 
 
 class Cluster:
-    """A running deployment; use it as an asynchronous context."""
+    """A deployment as processes; an asynchronous context manager that starts and stops it."""
 
     def __init__(
         self,
@@ -138,17 +139,19 @@
 
     @property
     def processes(self) -> tuple[Process, ...]:
-        """Return all processes that were started."""
+        """Return the processes of the platform, the backend servers and the daemons."""
         return (self.platform, *self.backends.values(), *self.daemons.values())
 
     async def start_daemon(self, plan: DaemonPlan) -> Process:
-        """Start one daemon; a restarted one keeps its ports and gets a new id."""
-        names = self.plan
-        seeds = ",".join(f"{HOST}:{other.peer_port}" for other in names.daemons if other != plan)
+        """Start one daemon. A restarted daemon keeps its ports and gets a new VM id."""
+        cluster_plan = self.plan
+        seeds = ",".join(
+            f"{HOST}:{other.peer_port}" for other in cluster_plan.daemons if other != plan
+        )
         environment = {
             "BERYLSPINDLE_DATA_CENTRE": plan.data_centre,
             "BERYLSPINDLE_STORE_HOST": HOST,
-            "BERYLSPINDLE_STORE_PORT": str(names.store_port),
+            "BERYLSPINDLE_STORE_PORT": str(cluster_plan.store_port),
             "BERYLSPINDLE_SEEDS": seeds,
             "BERYLSPINDLE_PEER_KEY": self._key,
             "BERYLSPINDLE_ADMIN_TOKEN": self.token,
@@ -165,7 +168,7 @@
         return process
 
     async def start_baselines(self, policy: str) -> tuple[Address, ...]:
-        """Start as many VMs of a baseline as there are daemons; return their callers' edges."""
+        """Start one VM of a baseline per daemon; return their addresses for callers."""
         count = len(self.plan.daemons)
         addresses = []
         for number in range(count):
@@ -182,16 +185,16 @@
             self.baselines[name] = await self._spawn(name, "berylspindle-bench", flags, {})
             addresses.append(Address(host=HOST, port=port))
         for address in addresses:
-            await self._wait_ready(address, READY_SECONDS)
+            await self._wait_ready(address, READY_TIMEOUT_S)
         return tuple(addresses)
 
     async def stop_baselines(self) -> None:
-        """End all VMs of baselines."""
+        """Stop all VMs of baselines."""
         await asyncio.gather(*(process.stop() for process in self.baselines.values()))
         self.baselines.clear()
 
-    async def wait_ready(self, plan: DaemonPlan, timeout: float = READY_SECONDS) -> None:
-        """Wait until the balancer would send to a daemon; raises TimeoutError."""
+    async def wait_ready(self, plan: DaemonPlan, timeout: float = READY_TIMEOUT_S) -> None:
+        """Wait until a daemon reports ready; raise TimeoutError after `timeout` seconds."""
         await self._wait_ready(plan.callers, timeout)
 
     async def _wait_ready(self, address: Address, timeout: float) -> None:
@@ -208,12 +211,12 @@
         raise TimeoutError(f"{address} was not ready within {timeout} s")
 
     async def stop_daemons(self) -> dict[str, int]:
-        """End all daemons by SIGTERM at once; return their exit codes."""
+        """Stop all daemons concurrently with SIGTERM; return their exit codes by VM."""
         codes = await asyncio.gather(*(process.stop() for process in self.daemons.values()))
         return dict(zip(self.daemons, codes, strict=True))
 
     async def backend_counts(self) -> dict[str, ServerCounts]:
-        """Return what each backend server counted, by its id."""
+        """Return the counts of each backend server by its id."""
         counts: dict[str, ServerCounts] = {}
         for port in self.plan.backend_admin_ports.values():
             document = codec.from_json(await self._get(port, "/counts"), CountsDocument)
@@ -221,23 +224,23 @@
         return counts
 
     async def platform_counts(self) -> PlatformCounts:
-        """Return what the platform counted."""
+        """Return the counts of the platform's stand-in."""
         body = await self._get(self.plan.store_admin_port, "/counts")
         return codec.from_json(body, PlatformCounts)
 
     async def change_backends(self, change: FaultChange) -> None:
-        """Switch faults of backend servers."""
+        """Change the injected faults of backend servers."""
         for port in self.plan.backend_admin_ports.values():
             await self._put(port, change)
 
     async def change_platform(self, change: PlatformChange) -> None:
-        """Switch faults of the platform."""
+        """Change the injected faults of the platform."""
         await self._put(self.plan.store_admin_port, change)
 
     async def _start(self) -> None:
         self.directory.mkdir(parents=True, exist_ok=True)
         plan = self.plan
-        vms = VmListDocument(vms=tuple(_listed(daemon) for daemon in plan.daemons))
+        vms = VmListDocument(vms=tuple(_vm_document(daemon) for daemon in plan.daemons))
         vms_file = self.directory / "vms.json"
         vms_file.write_bytes(codec.to_json(vms))
         self.platform = await self._spawn(
@@ -275,7 +278,7 @@
             )
 
     async def _wait_port(self, port: int) -> None:
-        deadline = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
                 _, writer = await asyncio.open_connection(HOST, port)
@@ -284,7 +287,7 @@
                 continue
             writer.close()
             return
-        raise TimeoutError(f"nothing listens on port {port}")
+        raise TimeoutError(f"no process listened on port {port} in time")
 
     async def _get(self, port: int, path: str) -> bytes:
         async with HttpClient(HOST, port) as client:
@@ -294,7 +297,9 @@
         async with HttpClient(HOST, port) as client:
             response = await client.put("/faults", body=codec.to_json(change))
         if response.status != 200:
-            raise RuntimeError(f"faults refused: {response.status} {response.body[:200]!r}")
+            raise RuntimeError(
+                f"fault change rejected with status {response.status}: {response.body[:200]!r}"
+            )
 
     async def _spawn(
         self, name: str, program: str, flags: list[str], environment: dict[str, str]
@@ -313,18 +318,18 @@
     backend_flags: Sequence[str] = (),
     policy: Policy | None = None,
 ) -> Cluster:
-    """Return a cluster of one deployment on free ports; enter it to start it.
+    """Return a cluster of one deployment on free ports; entering it starts it.
 
-    `settings` are environment variables of all daemons, `backend_flags` go to the stand-in of the
-    backend servers; `policy` replaces that of every service.
+    `settings` are environment variables of all daemons. `backend_flags` are flags of the stand-in
+    of the backend servers. `policy` replaces the policy of every service.
     """
     plan = attrs.evolve(plan_cluster(deployment, daemons_per_data_centre), policy=policy)
     return Cluster(plan, directory, settings=settings or {}, backend_flags=backend_flags)
 
 
 def plan_cluster(deployment: str, daemons_per_data_centre: int = 2) -> ClusterPlan:
-    """Return a plan on a block of free ports."""
-    reservation, base = _reserve_block(_BLOCK)
+    """Return a plan that uses a block of free ports."""
+    reservation, base = _reserve_block(_PORT_BLOCK_SIZE)
     data_centres = [dc.name for dc in DEPLOYMENTS[deployment](1024).data_centres]
     daemons: list[DaemonPlan] = []
     port = base + 10
@@ -352,7 +357,7 @@
     )
 
 
-def _listed(daemon: DaemonPlan) -> VmDocument:
+def _vm_document(daemon: DaemonPlan) -> VmDocument:
     return VmDocument(
         id=daemon.vm,
         data_centre=daemon.data_centre,
@@ -364,12 +369,12 @@
 
 
 def _reserve_block(size: int) -> tuple[socket.socket, int]:
-    """Return a socket that holds the last port of a free block, and the block's first port.
+    """Return a socket bound to the last port of a free block, and the first port of the block.
 
-    The block lies below the ports that the system hands to outgoing connections, or one of those
-    would sooner or later take a port that a daemon is to be restarted on. Blocks begin at multiples
-    of their size: blocks that overlap would hold different last ports, and two clusters that start
-    at the same time would take each other's.
+    The block lies below the ephemeral port range, since an outgoing connection could otherwise
+    occupy the port of a daemon that is being restarted. Blocks start at multiples of their size.
+    Overlapping blocks would have different last ports, so that the reservation would not keep two
+    clusters that start at the same time from using the same ports.
     """
     for _ in range(200):
         base = 10_000 + secrets.randbelow((32_000 - 10_000) // size) * size
@@ -382,12 +387,12 @@
         if all(_is_free(port) for port in range(base, base + size - 1)):
             return reservation, base
         reservation.close()
-    raise RuntimeError("no block of free ports was found")
+    raise RuntimeError("no free block of ports found in 200 attempts")
 
 
 def _is_free(port: int) -> bool:
     with socket.socket() as probe:
-        # As the servers bind: a port that only an ended connection still holds is free.
+        # Servers bind with SO_REUSEADDR, so a port in TIME_WAIT counts as free.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((HOST, port))
--- a/libs/bench/berylspindle_bench/demo.py
+++ b/libs/bench/berylspindle_bench/demo.py
@@ -1,9 +1,9 @@
-"""The demonstration: one deployment as real processes, a few requests, and what callers got.
+"""The demonstration: run a deployment as processes, send requests and check their outcomes.
 
-Flow: `run_demo` starts the stand-ins and eight daemons, runs searches through every daemon, one
-request that may not be repeated and its repetition through another daemon, compares what callers
-were told with what the stand-ins counted, prints it as tables, and stops everything. Each promise
-that it exercises is one `Check`.
+Flow: `run_demo` starts the stand-ins and two daemons per data centre, sends searches through every
+daemon and one non-idempotent request twice through different daemons, takes a data centre out and
+returns it, compares the outcomes with the counts of the stand-ins, prints tables and stops all
+processes. Each guarantee that it exercises is one `Check`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from rich.table import Table
 
 from berylspindle_bench.cluster import Cluster, DaemonPlan, start_cluster
-from berylspindle_bench.demo_operator import BOUND_SECONDS, OutAndBack, take_out_and_return
+from berylspindle_bench.demo_operator import LAST_WORK_BOUND_S, TakeOutResult, take_out_and_return
 from berylspindle_client.callers import CallerClient
 from berylspindle_model.messages import ExecuteAnswer, SearchAnswer
 
@@ -28,8 +28,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Searched:
-    """One search and what its caller got."""
+class SearchResult:
+    """One search and its outcome."""
 
     daemon: str
     service: str
@@ -40,16 +40,16 @@
 
 @attrs.frozen(kw_only=True)
 class Check:
-    """One promise and whether it held."""
+    """One guarantee and whether it held."""
 
-    promise: str
+    guarantee: str
     held: bool
-    seen: str
+    observed: str
 
 
 async def run_demo(deployment: str, directory: Path, console: Console) -> bool:
-    """Run the demonstration and return whether every promise it exercised held."""
-    console.print(f"Starting {deployment}; each process's log is kept in {directory}")
+    """Run the demonstration and return whether every exercised guarantee held."""
+    console.print(f"Starting {deployment}; logs of all processes are in {directory}")
     started = time.monotonic()
     async with start_cluster(deployment, directory) as cluster:
         console.print(f"All daemons are ready after {time.monotonic() - started:.1f} s")
@@ -57,23 +57,23 @@
         console.print(_search_table(searches))
         executes = await _execute_twice(cluster)
         checks = [*_search_checks(cluster, searches), *await _execute_checks(cluster, executes)]
-        moved = await take_out_and_return(cluster)
-        console.print(_operator_table(moved), _phase_table(moved))
-        checks += _operator_checks(moved)
+        result = await take_out_and_return(cluster)
+        console.print(_operator_table(result), _phase_table(result))
+        checks += _operator_checks(result)
         console.print(_process_table(cluster))
         codes = await cluster.stop_daemons()
     checks.append(
         Check(
-            promise="a graceful shutdown cuts no request",
+            guarantee="a graceful shutdown interrupts no request",
             held=not any(codes.values()),
-            seen=f"exit codes {sorted(set(codes.values()))}",
+            observed=f"exit codes {sorted(set(codes.values()))}",
         )
     )
     console.print(_check_table(checks))
     return all(check.held for check in checks)
 
 
-async def _search_everywhere(cluster: Cluster) -> list[Searched]:
+async def _search_everywhere(cluster: Cluster) -> list[SearchResult]:
     services = [service.name for service in cluster.plan.configuration.services]
     searches = [
         _search(daemon, service, QUERIES[number % len(QUERIES)])
@@ -84,18 +84,18 @@
     return [await search for search in searches]
 
 
-async def _search(daemon: DaemonPlan, service: str, query: str) -> Searched:
+async def _search(daemon: DaemonPlan, service: str, query: str) -> SearchResult:
     async with CallerClient([daemon.callers], caller="demo") as client:
         started = time.monotonic()
         outcome = await client.search(service, query, deadline_ms=DEADLINE_MS)
         elapsed_ms = (time.monotonic() - started) * 1000
-    return Searched(
+    return SearchResult(
         daemon=daemon.vm, service=service, query=query, elapsed_ms=elapsed_ms, outcome=outcome
     )
 
 
 async def _execute_twice(cluster: Cluster) -> list[object]:
-    """Hold an allocation through one daemon, and repeat it through another."""
+    """Send one request with an idempotency key through two daemons, one after the other."""
     service = cluster.plan.configuration.services[0]
     outcomes: list[object] = []
     for daemon in (cluster.plan.daemons[0], cluster.plan.daemons[-1]):
@@ -108,31 +108,39 @@
     return outcomes
 
 
-def _search_checks(cluster: Cluster, searches: list[Searched]) -> list[Check]:
+def _search_checks(cluster: Cluster, searches: list[SearchResult]) -> list[Check]:
     answers = [search.outcome for search in searches if isinstance(search.outcome, SearchAnswer)]
     shards = {s.name: len(s.shards) for s in cluster.plan.configuration.services}
-    whole = sum(answer.coverage.answered == answer.coverage.asked for answer in answers)
+    complete = sum(answer.coverage.answered == answer.coverage.asked for answer in answers)
     mixed = sum(
         any(hit.fields.get("version") != answer.snapshot.version for hit in answer.hits)
         for answer in answers
     )
-    false = sum(
+    wrong_coverage = sum(
         answer.coverage.asked != shards[search.service]
         or answer.coverage.answered + len(answer.coverage.missing) != answer.coverage.asked
         for search, answer in _answered(searches)
     )
     return [
         Check(
-            promise="every caller gets an answer",
+            guarantee="every caller gets an answer",
             held=len(answers) == len(searches),
-            seen=f"{len(answers)} of {len(searches)}, {whole} of them whole",
+            observed=f"{len(answers)} of {len(searches)}, {complete} of them complete",
+        ),
+        Check(
+            guarantee="each answer comes from one snapshot",
+            held=not mixed,
+            observed=f"{mixed} mixed",
+        ),
+        Check(
+            guarantee="an answer states its coverage correctly",
+            held=not wrong_coverage,
+            observed=f"{wrong_coverage} wrong",
         ),
-        Check(promise="one snapshot an answer", held=not mixed, seen=f"{mixed} mixed"),
-        Check(promise="coverage stated truly", held=not false, seen=f"{false} false"),
     ]
 
 
-def _answered(searches: list[Searched]) -> list[tuple[Searched, SearchAnswer]]:
+def _answered(searches: list[SearchResult]) -> list[tuple[SearchResult, SearchAnswer]]:
     return [(s, s.outcome) for s in searches if isinstance(s.outcome, SearchAnswer)]
 
 
@@ -148,51 +156,51 @@
     )
     return [
         Check(
-            promise="what may not be repeated runs at most once",
+            guarantee="a non-idempotent request runs at most once",
             held=runs == 1 and same,
-            seen=f"backend servers ran it {runs} time(s), the repetition "
-            + ("got the first one's outcome" if same else f"got {second}"),
+            observed=f"backend servers ran it {runs} time(s); the repeated request "
+            + ("got the outcome of the first" if same else f"got {second}"),
         )
     ]
 
 
-def _operator_checks(moved: OutAndBack) -> list[Check]:
-    asked = sum(report.asked for report in moved.phases.values())
-    answered = sum(report.answered for report in moved.phases.values())
+def _operator_checks(result: TakeOutResult) -> list[Check]:
+    asked = sum(report.asked for report in result.phases.values())
+    answered = sum(report.answered for report in result.phases.values())
     return [
         Check(
-            promise="a data centre taken out gets no new work",
-            held=moved.late_seconds <= BOUND_SECONDS,
-            seen=f"last new work {moved.late_seconds * 1000:.0f} ms after the tool was started, "
-            f"{moved.arrivals_after_return} searches there after its return",
+            guarantee="a data centre taken out gets no new work",
+            held=result.last_work_seconds <= LAST_WORK_BOUND_S,
+            observed=f"last new work {result.last_work_seconds * 1000:.0f} ms after the start of "
+            f"`confirm`, {result.arrivals_after_return} searches there after its return",
         ),
         Check(
-            promise="the operators' intent is in force everywhere",
-            held=moved.in_force,
-            seen=f"exit codes {[run.exit_code for run in moved.runs]}",
+            guarantee="the operators' intent is in force everywhere",
+            held=result.in_force,
+            observed=f"exit codes {[run.exit_code for run in result.runs]}",
         ),
         Check(
-            promise="callers are served while it leaves and returns",
+            guarantee="callers get answers during take-out and return",
             held=answered == asked,
-            seen=f"{answered} of {asked} answered",
+            observed=f"{answered} of {asked} answered",
         ),
     ]
 
 
-def _operator_table(moved: OutAndBack) -> Table:
-    table = Table(title=f"Operators take out and return {moved.data_centre}")
+def _operator_table(result: TakeOutResult) -> Table:
+    table = Table(title=f"Operators take out and return {result.data_centre}")
     for name in ("command", "exit code", "seconds"):
         table.add_column(name)
-    for run in moved.runs:
+    for run in result.runs:
         table.add_row(run.command, str(run.exit_code), f"{run.seconds:.1f}")
     return table
 
 
-def _phase_table(moved: OutAndBack) -> Table:
-    table = Table(title="What callers saw meanwhile")
-    for name in ("phase", "asked", "answered", "coverage", "median ms", "99th percentile ms"):
+def _phase_table(result: TakeOutResult) -> Table:
+    table = Table(title="Outcomes during take-out and return")
+    for name in ("phase", "requests", "answered", "coverage", "median ms", "99th percentile ms"):
         table.add_column(name, justify="left" if name == "phase" else "right")
-    for name, report in moved.phases.items():
+    for name, report in result.phases.items():
         table.add_row(
             name,
             str(report.asked),
@@ -204,17 +212,17 @@
     return table
 
 
-def _search_table(searches: list[Searched]) -> Table:
+def _search_table(searches: list[SearchResult]) -> Table:
     table = Table(title="Searches")
-    for name in ("service", "asked", "whole", "snapshots", "hits", "median ms", "slowest ms"):
+    for name in ("service", "requests", "complete", "snapshots", "hits", "median ms", "slowest ms"):
         table.add_column(name, justify="left" if name == "service" else "right")
     for service in dict.fromkeys(search.service for search in searches):
-        mine = [search for search in searches if search.service == service]
-        answers = [s.outcome for s in mine if isinstance(s.outcome, SearchAnswer)]
-        times = sorted(search.elapsed_ms for search in mine)
+        of_service = [search for search in searches if search.service == service]
+        answers = [s.outcome for s in of_service if isinstance(s.outcome, SearchAnswer)]
+        times = sorted(search.elapsed_ms for search in of_service)
         table.add_row(
             service,
-            str(len(mine)),
+            str(len(of_service)),
             str(sum(a.coverage.answered == a.coverage.asked for a in answers)),
             ", ".join(sorted({str(a.snapshot) for a in answers})),
             str(sum(len(a.hits) for a in answers)),
@@ -234,11 +242,11 @@
 
 
 def _check_table(checks: list[Check]) -> Table:
-    table = Table(title="Promises exercised")
-    for name in ("promise", "held", "seen"):
+    table = Table(title="Guarantees exercised")
+    for name in ("guarantee", "held", "observed"):
         table.add_column(name)
     for check in checks:
-        table.add_row(check.promise, "yes" if check.held else "NO", check.seen)
+        table.add_row(check.guarantee, "yes" if check.held else "NO", check.observed)
     return table
 
 
--- a/libs/bench/berylspindle_bench/demo_operator.py
+++ b/libs/bench/berylspindle_bench/demo_operator.py
@@ -1,8 +1,8 @@
-"""The operators' part of the demonstration: a data centre out and back, by the tool, under load.
+"""The operator part of the demonstration: take a data centre out and return it under load.
 
-Flow: callers search all the while in a process pool; the tool `berylspindle` plans, confirms and
-waits until the intent is in force, as an operator would; the backend servers' own counts say when
-the last new work arrived in the data centre that was taken out.
+Flow: a process pool runs the load throughout. The tool `berylspindle` plans and confirms each
+intent and waits until it is in force. The counts of the backend servers give the arrival time of
+the last new work in the data centre that was taken out.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 RATE: Final = 60.0
 PHASE_SECONDS: Final = 3.0
-# Longest time to the last new work there, from the start of the command that confirms; the tool
-# itself takes most of a second to start.
-BOUND_SECONDS: Final = 3.0
+# Upper bound on the time from the start of the confirm command to the last new work; it includes
+# the start-up of the tool, which takes most of a second.
+LAST_WORK_BOUND_S: Final = 3.0
 DEADLINE_MS: Final = 1000
-# The load's processes take about a second to start.
+# The processes that generate the load take about a second to start.
 START_SECONDS: Final = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class ToolRun:
-    """One run of the tool: what was asked, when, its exit code and how long it took.
+    """One run of the tool.
 
-    `started` is wall clock time in seconds, as the backend servers count theirs.
+    `started` is wall clock time in seconds, comparable to the arrival times of backend servers.
     """
 
     command: str
@@ -44,42 +44,45 @@
 
 
 @attrs.frozen(kw_only=True)
-class OutAndBack:
-    """What happened while a data centre left and returned."""
+class TakeOutResult:
+    """Results of taking a data centre out and returning it.
+
+    `last_work_seconds` is the time from the start of the confirm command to the last new work.
+    """
 
     data_centre: str
     runs: tuple[ToolRun, ...]
     phases: dict[str, Report]
-    late_seconds: float
+    last_work_seconds: float
     arrivals_after_return: int
 
     @property
     def in_force(self) -> bool:
-        """Tell whether every command of the tool succeeded."""
+        """Return whether every command of the tool succeeded."""
         return all(run.exit_code == 0 for run in self.runs)
 
 
-async def take_out_and_return(cluster: Cluster) -> OutAndBack:
-    """Take the second data centre out and return it while callers search."""
+async def take_out_and_return(cluster: Cluster) -> TakeOutResult:
+    """Take the second data centre out and return it under load."""
     data_centre = cluster.plan.configuration.data_centres[1].name
-    load = asyncio.ensure_future(asyncio.to_thread(_load, cluster))
+    load = asyncio.ensure_future(asyncio.to_thread(_run_background_load, cluster))
     await asyncio.sleep(START_SECONDS + PHASE_SECONDS)
-    out = await _intent(cluster, "take-out", data_centre)
+    out = await _apply_intent(cluster, "take-out", data_centre)
     await asyncio.sleep(PHASE_SECONDS)
-    last, before = await _arrivals(cluster, data_centre)
-    back = await _intent(cluster, "return", data_centre)
+    last, before = await _arrival_counts(cluster, data_centre)
+    returned = await _apply_intent(cluster, "return", data_centre)
     samples = await load
-    _, after = await _arrivals(cluster, data_centre)
-    return OutAndBack(
+    _, after = await _arrival_counts(cluster, data_centre)
+    return TakeOutResult(
         data_centre=data_centre,
-        runs=(*out, *back),
-        phases=_phases(samples),
-        late_seconds=max(0.0, last - out[-1].started),
+        runs=(*out, *returned),
+        phases=_phase_reports(samples),
+        last_work_seconds=max(0.0, last - out[-1].started),
         arrivals_after_return=after - before,
     )
 
 
-def _load(cluster: Cluster) -> list[Sample]:
+def _run_background_load(cluster: Cluster) -> list[Sample]:
     plan = LoadPlan(
         rate=RATE,
         seconds=4 * PHASE_SECONDS,
@@ -89,7 +92,7 @@
     return run_loads(plan, [daemon.callers for daemon in cluster.plan.daemons])
 
 
-def _phases(samples: list[Sample]) -> dict[str, Report]:
+def _phase_reports(samples: list[Sample]) -> dict[str, Report]:
     report = Report(samples)
     return {
         "before": report.between(0.0, PHASE_SECONDS),
@@ -98,15 +101,15 @@
     }
 
 
-async def _intent(cluster: Cluster, intent: str, data_centre: str) -> list[ToolRun]:
-    """Plan and confirm with the tool; confirm returns once the intent is in force everywhere."""
+async def _apply_intent(cluster: Cluster, intent: str, data_centre: str) -> list[ToolRun]:
+    """Plan and confirm with the tool; `confirm` exits once the intent is in force everywhere."""
     file = cluster.directory / f"{intent}.json"
-    planned = await _tool(cluster, "plan", intent, data_centre, "--file", str(file))
-    confirmed = await _tool(cluster, "confirm", str(file), "--wait", "5")
+    planned = await _run_tool(cluster, "plan", intent, data_centre, "--file", str(file))
+    confirmed = await _run_tool(cluster, "confirm", str(file), "--wait", "5")
     return [planned, confirmed]
 
 
-async def _tool(cluster: Cluster, *arguments: str) -> ToolRun:
+async def _run_tool(cluster: Cluster, *arguments: str) -> ToolRun:
     admins = ",".join(str(daemon.admin) for daemon in cluster.plan.daemons)
     environment = os.environ | {
         "BERYLSPINDLE_CLI_ADMINS": admins,
@@ -131,8 +134,8 @@
     )
 
 
-async def _arrivals(cluster: Cluster, data_centre: str) -> tuple[float, int]:
-    """Return when the last new work came to a data centre, and how much has come in all."""
+async def _arrival_counts(cluster: Cluster, data_centre: str) -> tuple[float, int]:
+    """Return the time of the last arrival in a data centre and the number of searches started."""
     counts = await cluster.backend_counts()
     there = [one.counts for one in counts.values() if one.data_centre == data_centre]
     return max(one.last_arrival_wall for one in there), sum(one.searches_started for one in there)
--- a/libs/bench/berylspindle_bench/history_answers.py
+++ b/libs/bench/berylspindle_bench/history_answers.py
@@ -1,11 +1,11 @@
-"""Checkers of what is in an answer: one snapshot, true coverage, one's own whole answer.
+"""Checkers of the content of answers: snapshot consistency, coverage accuracy and integrity.
 
 Terms:
-  genuine   a hit that the index holds for this query on the snapshot that the hit itself names
+  genuine   a hit that the index has for this query in the snapshot that the hit itself names
 
-Flow: what an answer must hold is computed from the stand-ins' index by service, shard, snapshot and
-query. Each checker looks at its own promise alone: a hit of another snapshot is no crossed answer,
-and a crossed one no false coverage.
+Flow: the expected hits are computed from the index of the stand-ins by service, shard, snapshot and
+query. Each checker reports violations of its own guarantee only: a hit of another snapshot does not
+count as a crossed answer, and a crossed answer does not count as wrong coverage.
 """
 
 from __future__ import annotations
@@ -13,122 +13,125 @@
 from collections.abc import Iterator
 
 from berylspindle_bench.history_checks import Checker, Violation
-from berylspindle_bench.history_records import History, Told, Try
+from berylspindle_bench.history_records import History, OutcomeKind, Try
 from berylspindle_model.messages import Hit, SearchAnswer
 from berylspindle_model.snapshot import Snapshot
 from berylspindle_standins.index import hit_order, shard_hits
 
 
-class OneSnapshot(Checker):
-    """Each answer comes from one snapshot, and its second page from the same."""
+class SnapshotConsistency(Checker):
+    """Check that each answer comes from one snapshot, and its second page from the same one."""
 
-    promise = "each answer comes from one snapshot"
+    guarantee = "each answer comes from one snapshot"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield answers with a hit of another snapshot, and pages that change it."""
+        """Yield answers with hits of another snapshot, and pages from another than the first."""
         first_pages: dict[int, Snapshot] = {}
-        for one, answer in _answers(history):
-            if one.offset == 0:
-                first_pages[one.request] = answer.snapshot
+        for try_, answer in _answers(history):
+            if try_.offset == 0:
+                first_pages[try_.request] = answer.snapshot
             others = {s for s in map(_snapshot_of, answer.hits) if s != answer.snapshot}
             if others:
-                said = f"the answer at {answer.snapshot} to {one.text!r} has hits of " + ", ".join(
-                    map(str, sorted(others))
+                description = (
+                    f"the answer to {try_.text!r} from snapshot {answer.snapshot} has hits of "
+                    + ", ".join(map(str, sorted(others)))
                 )
-                yield self.violation(history, said, text=one.text)
-            elif first_pages.get(one.request, answer.snapshot) != answer.snapshot:
-                said = f"a page of {one.text!r} is of {answer.snapshot}, the first one is not"
-                yield self.violation(history, said, text=one.text)
+                yield self.violation(history, description, text=try_.text)
+            elif first_pages.get(try_.request, answer.snapshot) != answer.snapshot:
+                description = (
+                    f"a page of {try_.text!r} is from {answer.snapshot}, the first page is not"
+                )
+                yield self.violation(history, description, text=try_.text)
 
 
-class TrueCoverage(Checker):
-    """An answer holds exactly the hits of the shards that it says it speaks for."""
+class CoverageAccuracy(Checker):
+    """Check that an answer has exactly the hits of the shards that its coverage states."""
 
-    promise = "an answer states its coverage truly"
+    guarantee = "an answer states its coverage correctly"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield answers whose statement contradicts itself or their hits."""
-        for one, answer in _answers(history):
-            fault = _statement_fault(history, one, answer) or _content_fault(history, one, answer)
+        """Yield answers whose coverage is inconsistent or does not match their hits."""
+        for try_, answer in _answers(history):
+            fault = _coverage_fault(history, try_, answer) or _content_fault(history, try_, answer)
             if fault:
-                said = f"the answer to {one.text!r} states {answer.coverage}: {fault}"
-                yield self.violation(history, said, text=one.text)
+                description = f"the answer to {try_.text!r} states {answer.coverage}: {fault}"
+                yield self.violation(history, description, text=try_.text)
 
 
-class OwnWholeAnswer(Checker):
-    """No caller gets another's answer or a part of its own as if it were whole."""
+class AnswerIntegrity(Checker):
+    """Check that no caller gets the answer to another request or a truncated answer."""
 
-    promise = "each caller gets the whole answer to its own request"
+    guarantee = "each caller gets the complete answer to its own request"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield crossed, cut and unordered answers."""
-        for one in history.tries:
-            fault = _foreign(one)
+        """Yield crossed, truncated and unordered answers."""
+        for try_ in history.tries:
+            fault = _integrity_fault(try_)
             if fault:
-                yield self.violation(history, f"{one.text!r}: {fault}", text=one.text)
-
-
-def _foreign(one: Try) -> str:
-    """Return why an outcome is not the caller's own whole one, or nothing."""
-    if one.told is Told.UNKNOWN and "can't be read" in one.detail:
-        return f"the answer is cut: {one.detail}"
-    if one.executed is not None:
-        told = one.executed
-        own = (one.text, one.text, one.shard)
-        got = (told.key, told.result.get("confirmed"), told.result.get("shard"))
-        return "" if got == own else f"the outcome is that of another key: {got}"
-    if one.answer is None:
+                yield self.violation(history, f"{try_.text!r}: {fault}", text=try_.text)
+
+
+def _integrity_fault(try_: Try) -> str:
+    """Return why an outcome is not the complete one of this request; empty if it is."""
+    if try_.told is OutcomeKind.UNKNOWN and "can't be read" in try_.detail:
+        return f"the answer is truncated: {try_.detail}"
+    if try_.executed is not None:
+        executed = try_.executed
+        expected = (try_.text, try_.text, try_.shard)
+        actual = (executed.key, executed.result.get("confirmed"), executed.result.get("shard"))
+        return "" if actual == expected else f"the outcome belongs to another key: {actual}"
+    if try_.answer is None:
         return ""
-    if one.request_id and one.answer.request_id != one.request_id:
-        return f"the answer is that to request {one.answer.request_id}"
-    foreign = [hit.id for hit in one.answer.hits if not _genuine(one, hit)]
+    if try_.request_id and try_.answer.request_id != try_.request_id:
+        return f"the answer belongs to request {try_.answer.request_id}"
+    foreign = [hit.id for hit in try_.answer.hits if not _genuine(try_, hit)]
     if foreign:
-        return f"the hits {', '.join(foreign[:3])} answer another query"
-    if len(one.answer.hits) > one.limit:
-        return f"{len(one.answer.hits)} hits where {one.limit} were asked for"
-    if list(one.answer.hits) != sorted(one.answer.hits, key=hit_order):
+        return f"the hits {', '.join(foreign[:3])} belong to another query"
+    if len(try_.answer.hits) > try_.limit:
+        return f"{len(try_.answer.hits)} hits exceed the limit of {try_.limit}"
+    if list(try_.answer.hits) != sorted(try_.answer.hits, key=hit_order):
         return "the hits are out of order"
     return ""
 
 
-def _statement_fault(history: History, one: Try, answer: SearchAnswer) -> str:
-    shards = _shards(history, one.service)
+def _coverage_fault(history: History, try_: Try, answer: SearchAnswer) -> str:
+    shards = _shards(history, try_.service)
     stated = answer.coverage
     missing, partial = set(stated.missing), set(stated.partial)
     if stated.asked != len(shards):
         return f"the service has {len(shards)} shards"
     if not missing <= shards or not partial <= shards - missing:
-        return "it names shards that are not there or that are missing"
+        return "it lists unknown shards, or a shard as both missing and partial"
     if len(missing) != len(stated.missing) or stated.answered + len(missing) != stated.asked:
-        return "answered and missing shards do not add up"
+        return "answered and missing shards do not add up to the number asked"
     return ""
 
 
-def _content_fault(history: History, one: Try, answer: SearchAnswer) -> str:
-    """Return how the hits differ from those of the stated shards, or nothing."""
-    if any(not _genuine(one, h) or _snapshot_of(h) != answer.snapshot for h in answer.hits):
+def _content_fault(history: History, try_: Try, answer: SearchAnswer) -> str:
+    """Return how the hits differ from those of the stated shards; empty if they match."""
+    if any(not _genuine(try_, h) or _snapshot_of(h) != answer.snapshot for h in answer.hits):
         return ""
     hits: list[Hit] = []
-    for shard in _shards(history, one.service) - set(answer.coverage.missing):
-        found = shard_hits(one.service, shard, answer.snapshot, one.text)
-        # A stand-in that searches only a part of its shard leaves out every second hit.
+    for shard in _shards(history, try_.service) - set(answer.coverage.missing):
+        found = shard_hits(try_.service, shard, answer.snapshot, try_.text)
+        # A stand-in that searches only a part of its shard omits every second hit.
         hits += found[::2] if shard in answer.coverage.partial else found
-    page = sorted(hits, key=hit_order)[one.offset : one.offset + one.limit]
-    want, got = [hit.id for hit in page], [hit.id for hit in answer.hits]
-    if want == got:
+    page = sorted(hits, key=hit_order)[try_.offset : try_.offset + try_.limit]
+    expected, actual = [hit.id for hit in page], [hit.id for hit in answer.hits]
+    if expected == actual:
         return ""
-    lacks = sorted(set(want) - set(got))
-    return f"it lacks {lacks[:3]} and has {sorted(set(got) - set(want))[:3]} too many"
+    lacks = sorted(set(expected) - set(actual))
+    return f"missing hits: {lacks[:3]}, unexpected: {sorted(set(actual) - set(expected))[:3]}"
 
 
 def _answers(history: History) -> Iterator[tuple[Try, SearchAnswer]]:
-    for one in history.tries:
-        if one.answer is not None:
-            yield one, one.answer
+    for try_ in history.tries:
+        if try_.answer is not None:
+            yield try_, try_.answer
 
 
 def _shards(history: History, name: str) -> set[str]:
-    # A repartition of a run moves data between shards and keeps their names.
+    # A repartition moves data between shards and keeps the names of the shards.
     service = history.configuration.service(name)
     return set(service.shards) if service is not None else set()
 
@@ -137,6 +140,6 @@
     return Snapshot(int(hit.fields.get("epoch", 0)), int(hit.fields.get("version", 0)))
 
 
-def _genuine(one: Try, hit: Hit) -> bool:
+def _genuine(try_: Try, hit: Hit) -> bool:
     shard = str(hit.fields.get("shard", ""))
-    return hit in shard_hits(one.service, shard, _snapshot_of(hit), one.text)
+    return hit in shard_hits(try_.service, shard, _snapshot_of(hit), try_.text)
--- a/libs/bench/berylspindle_bench/history_campaign.py
+++ b/libs/bench/berylspindle_bench/history_campaign.py
@@ -1,9 +1,9 @@
-"""The command `history`: which runs it makes, and what it prints and keeps.
+"""The command `history`: select runs, print their violations and store their results.
 
-Flow: `history` makes the plans from the command line, runs them a few at a time, prints each run
-with its violations as it ends, and keeps a line for each in `results.jsonl`. At the end it prints a
-table: for each fault alone and for all pairs, how many runs, how many broke a promise, how many
-could not be made.
+Flow: `parse_plans` returns the runs that the command line selects. `history` runs them with limited
+concurrency, prints each run with its violations when it ends, and appends one line per run to
+`results.jsonl`. At the end it prints a table for each fault alone and for all pairs: the number of
+runs, of runs with violations and of runs that failed to execute.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     NotRun,
     RunPlan,
     Verdict,
-    alone,
-    campaign,
-    pairs,
+    campaign_plans,
+    fault_pair_plans,
     run_many,
+    single_fault_plans,
 )
 from berylspindle_model import codec
 
-EXIT_BROKEN: Final = 1
+EXIT_VIOLATIONS: Final = 1
 EXIT_NOT_RUN: Final = 3
 
 
 @attrs.frozen(kw_only=True)
 class RunLine:
-    """What `results.jsonl` keeps of one run.
+    """One line of `results.jsonl`: the result of one run.
 
-    `outcomes` counts what callers were told, and `not_run` says why there was no run.
+    `outcomes` counts the outcomes of tries by kind; `not_run` is why the run failed to execute.
     """
 
     faults: tuple[str, ...]
@@ -55,7 +55,7 @@
 
 
 class Results:
-    """Print and keep what comes of each run."""
+    """Print and store the result of each run."""
 
     def __init__(self, console: Console, out: Path, total: int) -> None:
         self._console: Final = console
@@ -65,28 +65,30 @@
         out.mkdir(parents=True, exist_ok=True)
         (out / "results.jsonl").write_bytes(b"")
 
-    def tell(self, came: Verdict | NotRun) -> None:
-        """Take the verdict of one run."""
-        line = _line(came)
+    def add(self, result: Verdict | NotRun) -> None:
+        """Print and store the result of one run."""
+        line = _run_line(result)
         self.lines.append(line)
         with (self._out / "results.jsonl").open("ab") as results:
             results.write(codec.to_json(line) + b"\n")
-        said = "NOT RUN: " + line.not_run if line.not_run else f"{len(line.violations)} violations"
+        description = (
+            "NOT RUN: " + line.not_run if line.not_run else f"{len(line.violations)} violations"
+        )
         self._console.print(
-            f"{len(self.lines)}/{self._total} {came.plan.name}: {said}, {line.tries} tries, "
-            f"{line.answered} answered, {line.seconds:.1f} s",
+            f"{len(self.lines)}/{self._total} {result.plan.name}: {description}, "
+            f"{line.tries} tries, {line.answered} answered, {line.seconds:.1f} s",
             markup=False,
             highlight=False,
         )
-        if isinstance(came, Verdict) and came.violations:
-            for violation in came.violations:
+        if isinstance(result, Verdict) and result.violations:
+            for violation in result.violations:
                 self._console.print(str(violation), markup=False, highlight=False)
-            self._console.print(f"Run it again: {came.plan.command}", markup=False)
+            self._console.print(f"Reproduce with: {result.plan.command}", markup=False)
 
     def table(self) -> Table:
-        """Return the table of all runs."""
+        """Return a table of all runs, grouped by fault."""
         table = Table(title="History checks")
-        for name in ("faults", "runs", "broke a promise", "not run", "tries", "answered"):
+        for name in ("faults", "runs", "with violations", "not run", "tries", "answered"):
             table.add_column(name, justify="left" if name == "faults" else "right")
         groups: dict[str, list[RunLine]] = {}
         for line in self.lines:
@@ -105,20 +107,20 @@
 
 
 def history(plans: Sequence[RunPlan], out: Path, at_once: int) -> int:
-    """Make the runs and return the exit code."""
+    """Run all plans and return the exit code."""
     console = Console(width=110)
     results = Results(console, out, len(plans))
     begun = time.monotonic()
-    asyncio.run(run_many(plans, out, at_once=at_once, tell=results.tell))
+    asyncio.run(run_many(plans, out, at_once=at_once, on_result=results.add))
     console.print(results.table())
-    console.print(f"{len(plans)} runs took {time.monotonic() - begun:.0f} s; kept in {out}")
+    console.print(f"{len(plans)} runs took {time.monotonic() - begun:.0f} s; results are in {out}")
     if any(line.violations for line in results.lines):
-        return EXIT_BROKEN
+        return EXIT_VIOLATIONS
     return EXIT_NOT_RUN if any(line.not_run for line in results.lines) else 0
 
 
 class Scope(enum.StrEnum):
-    """Which faults a call of the command is about."""
+    """Which sets of faults the command runs."""
 
     NAMED = "named"
     ALONE = "alone"
@@ -126,36 +128,38 @@
     ALL = "all"
 
 
-def plans_of(seeds: str, faults: str, scope: Scope = Scope.NAMED) -> list[RunPlan]:
-    """Return the plans of the command line; raises ValueError for what it can't read."""
+def parse_plans(seeds: str, faults: str, scope: Scope = Scope.NAMED) -> list[RunPlan]:
+    """Return the plans that the command line selects; raise ValueError for invalid arguments."""
     if scope is Scope.ALL:
-        return campaign()
+        return campaign_plans()
     first, dash, last = seeds.partition("-")
-    span = range(int(first), int(last if dash else first) + 1)
+    seed_range = range(int(first), int(last if dash else first) + 1)
     if scope is not Scope.NAMED:
-        return alone(span) if scope is Scope.ALONE else pairs(span)
+        return (
+            single_fault_plans(seed_range) if scope is Scope.ALONE else fault_pair_plans(seed_range)
+        )
     names = tuple(name.strip() for name in faults.split(",") if name.strip())
     unknown = sorted(set(names) - set(FAULTS))
     if unknown:
         raise ValueError(f"unknown fault {unknown[0]}: use {', '.join(FAULTS)}")
     if len(set(names)) != len(names):
-        raise ValueError("a fault is named twice")
-    return [RunPlan(seed=seed, faults=names) for seed in span]
+        raise ValueError("duplicate fault")
+    return [RunPlan(seed=seed, faults=names) for seed in seed_range]
 
 
-def _line(came: Verdict | NotRun) -> RunLine:
-    if isinstance(came, NotRun):
-        return RunLine(faults=came.plan.faults, seed=came.plan.seed, not_run=came.why)
+def _run_line(result: Verdict | NotRun) -> RunLine:
+    if isinstance(result, NotRun):
+        return RunLine(faults=result.plan.faults, seed=result.plan.seed, not_run=result.reason)
     return RunLine(
-        faults=came.plan.faults,
-        seed=came.plan.seed,
-        violations=tuple(f"{each.promise}: {each.said}" for each in came.violations),
-        tries=len(came.history.tries),
-        answered=came.answered,
-        outcomes=dict(Counter(map(_outcome, came.history.tries))),
-        seconds=round(came.seconds, 1),
+        faults=result.plan.faults,
+        seed=result.plan.seed,
+        violations=tuple(f"{each.guarantee}: {each.description}" for each in result.violations),
+        tries=len(result.history.tries),
+        answered=result.answered,
+        outcomes=dict(Counter(map(_outcome, result.history.tries))),
+        seconds=round(result.seconds, 1),
     )
 
 
-def _outcome(one: Try) -> str:
-    return one.refused.kind.value if one.refused is not None else one.told.value
+def _outcome(try_: Try) -> str:
+    return try_.refused.kind.value if try_.refused is not None else try_.told.value
--- a/libs/bench/berylspindle_bench/history_checks.py
+++ b/libs/bench/berylspindle_bench/history_checks.py
@@ -1,13 +1,13 @@
-"""What a checker of histories is, and the least story of what it finds.
+"""Base class of history checkers, and timelines of the violations that they find.
 
 Terms:
-  promise     one line of what must always hold
-  violation   one case in which a promise was broken, with the records that show it
-  story       the tries, calls and steps about one request, server or daemon, in order of time
+  guarantee   a property that every history must have
+  violation   one case in which a guarantee did not hold
+  timeline    the tries, calls and steps about one request, server or daemon, in order of time
 
-Flow: each checker is a `Checker` that yields violations of one promise; `story_of` collects for a
-violation the least that a reader needs. The checkers judge order and counts and give generous
-bounds, so that a slow machine does not turn a good history into a bad one.
+Flow: each `Checker` yields violations of one guarantee, and `timeline_of` selects the records that
+explain a violation. Checkers compare order and counts and use generous time bounds, so that a slow
+machine does not cause false violations.
 """
 
 from __future__ import annotations
@@ -21,64 +21,68 @@
 from berylspindle_bench.history_records import History, Step, Try
 from berylspindle_standins.call_log import LoggedStep
 
-# Steps that came so long before the first record of a story still belong to it.
-_BEFORE: Final = 6.0
-_MOST_LINES: Final = 40
+# A timeline includes the steps in this time span before its first record.
+_STEP_LOOKBACK_S: Final = 6.0
+_MAX_TIMELINE_LINES: Final = 40
 
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """How long the system may take, in seconds. "A few seconds" is read as five at most.
+    """Time bounds of guarantees, in seconds. "A few seconds" in a guarantee is at most 5 s.
 
     Attributes:
-        out: from the confirmed intent to the last new work in that data centre.
-        leaving: from the start of a server's leaving to the last new work for it.
-        in_force: from a confirmed revision until every live daemon has it.
+        take_out: from the confirmed intent to the last new work in that data centre.
+        leaving: from the start of a drain or retirement to the last new work for that server.
+        in_force: from the confirmation of a revision until every running daemon has adopted it.
     """
 
-    out: float = 3.0
+    take_out: float = 3.0
     leaving: float = 3.0
     in_force: float = 5.0
 
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """One broken promise."""
+    """One case in which a guarantee did not hold."""
 
-    promise: str
-    said: str
-    story: tuple[str, ...] = ()
+    guarantee: str
+    description: str
+    timeline: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        lines = (f"BROKEN: {self.promise}", f"  {self.said}", *(f"  {each}" for each in self.story))
+        lines = (
+            f"VIOLATED: {self.guarantee}",
+            f"  {self.description}",
+            *(f"  {each}" for each in self.timeline),
+        )
         return "\n".join(lines)
 
 
 class Checker(ABC):
-    """Check one promise over one history."""
+    """Check one guarantee on a history."""
 
-    promise: str
+    guarantee: str
 
     @abstractmethod
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield every violation of the promise."""
+        """Yield every violation of the guarantee."""
 
     def violation(
         self,
         history: History,
-        said: str,
+        description: str,
         *,
         text: str = "",
         server: str = "",
         vm: str = "",
         around: float | None = None,
     ) -> Violation:
-        """Return a violation with the story about a request, a server or a daemon."""
-        story = story_of(history, text=text, server=server, vm=vm, around=around)
-        return Violation(promise=self.promise, said=said, story=story)
+        """Return a violation with the timeline of a request, a server or a daemon."""
+        timeline = timeline_of(history, text=text, server=server, vm=vm, around=around)
+        return Violation(guarantee=self.guarantee, description=description, timeline=timeline)
 
 
-def story_of(
+def timeline_of(
     history: History,
     *,
     text: str = "",
@@ -88,10 +92,10 @@
 ) -> tuple[str, ...]:
     """Return the lines about a request's text, a server or a daemon, in order of time.
 
-    With `around` only what lies within a second of that wall time is told of servers and daemons;
-    steps of faults are told from some seconds before the first line on.
+    If `around` is given, only tries and calls within 1 s of that wall time are included. Steps are
+    included from 6 s before the first of these lines to 1 s after the last.
     """
-    lines = [*_tries(history, text, vm), *_calls(history, text, server)]
+    lines = [*_try_lines(history, text, vm), *_call_lines(history, text, server)]
     if around is not None:
         lines = [line for line in lines if abs(line[0] - around) <= 1.0]
     walls = [wall for wall, _ in lines] or [around if around is not None else history.start]
@@ -99,34 +103,38 @@
     lines += [
         (step.wall, _step_line(step))
         for step in history.steps
-        if first - _BEFORE <= step.wall <= last + 1.0
+        if first - _STEP_LOOKBACK_S <= step.wall <= last + 1.0
     ]
     start = history.start
-    told = [f"{(wall - start) * 1000:9.1f} ms  {line}" for wall, line in sorted(lines)]
-    return tuple(told if len(told) <= _MOST_LINES else [*told[:_MOST_LINES], "..."])
+    timeline = [f"{(wall - start) * 1000:9.1f} ms  {line}" for wall, line in sorted(lines)]
+    return tuple(
+        timeline
+        if len(timeline) <= _MAX_TIMELINE_LINES
+        else [*timeline[:_MAX_TIMELINE_LINES], "..."]
+    )
 
 
-def _tries(history: History, text: str, vm: str) -> Iterable[tuple[float, str]]:
-    for one in history.tries:
-        if (text and one.text == text) or (vm and one.vm == vm):
-            kind = "execute" if one.is_execute else "search"
-            yield one.start, f"caller sends {kind} {one.text!r} to {one.vm}"
-            yield one.end, f"caller gets {_outcome(one)} for {one.text!r} from {one.vm}"
+def _try_lines(history: History, text: str, vm: str) -> Iterable[tuple[float, str]]:
+    for try_ in history.tries:
+        if (text and try_.text == text) or (vm and try_.vm == vm):
+            kind = "execute" if try_.is_execute else "search"
+            yield try_.start, f"caller sends {kind} {try_.text!r} to {try_.vm}"
+            yield try_.end, f"caller gets {_outcome(try_)} for {try_.text!r} from {try_.vm}"
 
 
-def _outcome(one: Try) -> str:
-    if one.refused is not None:
-        refused = one.refused
+def _outcome(try_: Try) -> str:
+    if try_.refused is not None:
+        refused = try_.refused
         return f"{refused.kind.value} ({refused.run.value}) {refused.detail}".rstrip()
-    if one.answer is not None:
-        return f"an answer at {one.answer.snapshot}, {one.answer.coverage}"
-    if one.executed is not None:
-        again = "the repeated" if one.executed.repeated else "the"
-        return f"{again} outcome of {one.executed.key} from {one.executed.server}"
-    return f"{one.told.value}: {one.detail}"
+    if try_.answer is not None:
+        return f"an answer at {try_.answer.snapshot}, {try_.answer.coverage}"
+    if try_.executed is not None:
+        again = "the repeated" if try_.executed.repeated else "the"
+        return f"{again} outcome of {try_.executed.key} from {try_.executed.server}"
+    return f"{try_.told.value}: {try_.detail}"
 
 
-def _calls(history: History, text: str, server: str) -> Iterable[tuple[float, str]]:
+def _call_lines(history: History, text: str, server: str) -> Iterable[tuple[float, str]]:
     for call in history.calls:
         if (text and call.text == text) or (server and call.server == server):
             yield call.wall, _call_line(call)
--- a/libs/bench/berylspindle_bench/history_control.py
+++ b/libs/bench/berylspindle_bench/history_control.py
@@ -1,11 +1,11 @@
-"""Checkers of daemons and operators: graceful shutdown, and revisions in force and monotonic.
+"""Checkers of daemons: graceful shutdown, and propagation of configuration revisions.
 
 Terms:
-  cut        a request whose caller learned nothing, or that ended by the daemon's leaving
-  disturbed  a daemon that was paused or had just started when a revision was confirmed
+  interrupted  a request without an outcome, or one that failed because of a daemon's shutdown
 
-Flow: signals and exit codes come from the run, adoptions from the daemons' time lines, and the
-confirmations from the operators' clients.
+Flow: signals and exit codes come from the run, adoptions from the event timelines of daemons, and
+confirmations from the clients of operators. Propagation is not checked for daemons that were paused
+or not yet started when a revision was confirmed.
 """
 
 from __future__ import annotations
@@ -21,139 +21,152 @@
     Confirmed,
     History,
     Life,
+    OutcomeKind,
     StepKind,
-    Told,
     Try,
 )
 from berylspindle_model.errors import ErrorKind, RunState
 from berylspindle_standins.call_log import CallStep
 
-# What the end of a daemon looks like to a caller whose request it cut.
-_CUT_KINDS: Final = frozenset(
+# Errors that a caller gets if the daemon that it called interrupts the request by its shutdown.
+_INTERRUPTION_KINDS: Final = frozenset(
     {ErrorKind.CONNECTION_LOST, ErrorKind.CANCELLED, ErrorKind.SHUTTING_DOWN, ErrorKind.INTERNAL}
 )
 
 
-# What it looks like to a caller of another daemon, whose sub-request the leaving one had in hand.
-_CUT_ELSEWHERE: Final = frozenset(
+# Errors that a caller of another daemon gets if the shutdown interrupts a sub-request.
+_REMOTE_INTERRUPTION_KINDS: Final = frozenset(
     {ErrorKind.CONNECTION_LOST, ErrorKind.CANCELLED, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.INTERNAL}
 )
 
 
 class GracefulShutdown(Checker):
-    """A daemon that gets SIGTERM cuts no request and ends with code 0."""
+    """Check that a daemon that gets SIGTERM interrupts no request and exits with code 0."""
 
-    promise = "a graceful shutdown cuts no request"
+    guarantee = "a graceful shutdown interrupts no request"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield exit codes other than 0, and requests that a shutdown cut."""
-        last = {one.request: one for one in history.tries}
+        """Yield exit codes other than 0, and requests that a shutdown interrupted."""
+        last_tries = {try_.request: try_ for try_ in history.tries}
         for life in history.lives:
             if life.terminated is None or life.end is None:
                 continue
             if life.exit_code != 0:
                 yield self.violation(
                     history,
-                    f"{life.vm} ended with code {life.exit_code}",
+                    f"{life.vm} exited with code {life.exit_code}",
                     vm=life.vm,
                     around=life.end,
                 )
-            undisturbed = _only_shutdowns(history)
-            for one in history.tries:
-                if not _overlaps(one, life):
+            only_shutdowns = _only_shutdowns(history)
+            for try_ in history.tries:
+                if not _overlaps(try_, life):
                     continue
-                own = one.vm == life.vm and _is_cut(one, last, history)
-                if own or (undisturbed and _is_cut_elsewhere(one)):
-                    said = f"{one.text!r} was cut by the shutdown of {life.vm}"
-                    yield self.violation(history, said, text=one.text)
+                interrupted_here = try_.vm == life.vm and _is_interrupted(try_, last_tries, history)
+                if interrupted_here or (only_shutdowns and _is_interrupted_remotely(try_)):
+                    description = f"{try_.text!r} was interrupted by the shutdown of {life.vm}"
+                    yield self.violation(history, description, text=try_.text)
 
 
-class RevisionsHold(Checker):
-    """A confirmed revision is in force everywhere within the bound and never reverts."""
+class RevisionPropagation(Checker):
+    """Check that a confirmed revision is in force everywhere within the bound and never reverts."""
 
-    promise = "an accepted configuration is in force everywhere within seconds and never reverts"
+    guarantee = "an accepted configuration is in force everywhere within seconds and never reverts"
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds: Final = bounds
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield reverts, lost or doubled revisions, and daemons that lag beyond the bound."""
+        """Yield reverted, lost and duplicate revisions, and daemons that adopt one too late."""
         by_vm: dict[str, list[Adoption]] = defaultdict(list)
         for adoption in sorted(history.adoptions, key=lambda a: (a.vm_id, a.sequence)):
             by_vm[adoption.vm_id].append(adoption)
-        yield from self._reverts(history, by_vm)
-        yield from self._lost(history)
+        yield from self._reverted_revisions(history, by_vm)
+        yield from self._lost_revisions(history)
         for life in history.lives:
             for confirmed in history.confirmed:
-                if _lags(history, life, confirmed, by_vm[life.vm_id], self._bounds):
-                    said = f"{life.vm_id} did not have revision {confirmed.revision} within "
-                    said += f"{self._bounds.in_force:.0f} s"
-                    yield self.violation(history, said, around=confirmed.wall)
-
-    def _reverts(self, history: History, by_vm: dict[str, list[Adoption]]) -> Iterator[Violation]:
+                if _misses_bound(history, life, confirmed, by_vm[life.vm_id], self._bounds):
+                    description = (
+                        f"{life.vm_id} did not adopt revision {confirmed.revision} within "
+                    )
+                    description += f"{self._bounds.in_force:.0f} s"
+                    yield self.violation(history, description, around=confirmed.wall)
+
+    def _reverted_revisions(
+        self, history: History, by_vm: dict[str, list[Adoption]]
+    ) -> Iterator[Violation]:
         for vm_id, adoptions in by_vm.items():
             for before, after in pairwise(adoptions):
                 if after.revision <= before.revision:
-                    said = f"{vm_id} went from revision {before.revision} to {after.revision}"
-                    yield self.violation(history, said, around=after.wall)
+                    description = (
+                        f"{vm_id} went from revision {before.revision} to {after.revision}"
+                    )
+                    yield self.violation(history, description, around=after.wall)
 
-    def _lost(self, history: History) -> Iterator[Violation]:
+    def _lost_revisions(self, history: History) -> Iterator[Violation]:
         plans: dict[int, str] = {}
         kept = {r.id: r.revision for r in history.final.intents} if history.final else None
-        for one in history.confirmed:
-            if plans.setdefault(one.revision, one.plan) != one.plan:
-                said = f"revision {one.revision} was confirmed for two plans"
-                yield self.violation(history, said, around=one.wall)
-            elif kept is not None and kept.get(one.plan) != one.revision:
-                said = f"the store no longer holds the plan confirmed at revision {one.revision}"
-                yield self.violation(history, said, around=one.wall)
+        for confirmed in history.confirmed:
+            if plans.setdefault(confirmed.revision, confirmed.plan) != confirmed.plan:
+                description = f"revision {confirmed.revision} was confirmed for two plans"
+                yield self.violation(history, description, around=confirmed.wall)
+            elif kept is not None and kept.get(confirmed.plan) != confirmed.revision:
+                description = (
+                    f"the store has lost the plan confirmed at revision {confirmed.revision}"
+                )
+                yield self.violation(history, description, around=confirmed.wall)
 
 
-def _overlaps(one: Try, life: Life) -> bool:
+def _overlaps(try_: Try, life: Life) -> bool:
     if life.terminated is None or life.end is None:
         return False
-    return one.start <= life.end and one.end >= life.terminated
+    return try_.start <= life.end and try_.end >= life.terminated
 
 
-def _is_cut(one: Try, last: dict[int, Try], history: History) -> bool:
-    """Tell whether a try at a leaving daemon left its caller without an outcome.
+def _is_interrupted(try_: Try, last_tries: dict[int, Try], history: History) -> bool:
+    """Return whether the shutdown of the called daemon left the caller without an outcome.
 
-    A caller that is told "not run" moves on; only if it has nowhere to go is the request cut. It
-    had somewhere to go if another daemon told it why it gets no outcome now, such as a claim that
-    is under way or a store that is away: then the leaving daemon's "not run" cost it nothing.
+    An unknown outcome always counts. After "not run" a caller retries at another daemon, so that
+    other failures count only for the last try of a request. Even then "not run" is no interruption
+    if another daemon refused the request for a reason other than a shutdown, such as a claim in
+    progress or an unavailable store.
     """
-    if one.told is Told.UNKNOWN:
+    if try_.told is OutcomeKind.UNKNOWN:
         return True
-    if last[one.request] is not one:
+    if last_tries[try_.request] is not try_:
         return False
-    not_run = one.refused is not None and one.refused.run is RunState.NOT_RUN
-    if not_run and any(_tells_why(other) for other in history.tries if _is_beside(one, other)):
+    not_run = try_.refused is not None and try_.refused.run is RunState.NOT_RUN
+    if not_run and any(
+        _gives_another_reason(other)
+        for other in history.tries
+        if _is_same_request_elsewhere(try_, other)
+    ):
         return False
-    return one.told is Told.UNREACHABLE or (
-        one.refused is not None and one.refused.kind in _CUT_KINDS
+    return try_.told is OutcomeKind.UNREACHABLE or (
+        try_.refused is not None and try_.refused.kind in _INTERRUPTION_KINDS
     )
 
 
-def _is_beside(one: Try, other: Try) -> bool:
-    return other.request == one.request and other.vm != one.vm
+def _is_same_request_elsewhere(try_: Try, other: Try) -> bool:
+    return other.request == try_.request and other.vm != try_.vm
 
 
-def _tells_why(one: Try) -> bool:
-    return one.refused is not None and one.refused.kind not in _CUT_KINDS
+def _gives_another_reason(try_: Try) -> bool:
+    return try_.refused is not None and try_.refused.kind not in _INTERRUPTION_KINDS
 
 
-def _is_cut_elsewhere(one: Try) -> bool:
-    return one.refused is not None and one.refused.kind in _CUT_ELSEWHERE
+def _is_interrupted_remotely(try_: Try) -> bool:
+    return try_.refused is not None and try_.refused.kind in _REMOTE_INTERRUPTION_KINDS
 
 
 def _only_shutdowns(history: History) -> bool:
-    """Tell whether nothing but shutdowns can have broken a connection in this run."""
-    quiet = {StepKind.TERMINATED, StepKind.RESTARTED, StepKind.TAKEN_OUT, StepKind.RETURNING}
-    fell = any(call.step is CallStep.FELL for call in history.calls)
-    return not fell and all(step.kind in quiet for step in history.steps)
+    """Return whether only shutdowns can have broken connections in this run."""
+    harmless = {StepKind.TERMINATED, StepKind.RESTARTED, StepKind.TAKEN_OUT, StepKind.RETURNING}
+    crashed = any(call.step is CallStep.FELL for call in history.calls)
+    return not crashed and all(step.kind in harmless for step in history.steps)
 
 
-def _lags(
+def _misses_bound(
     history: History, life: Life, confirmed: Confirmed, adoptions: list[Adoption], bounds: Bounds
 ) -> bool:
     due = confirmed.wall + bounds.in_force
@@ -165,8 +178,8 @@
 
 
 def _recorded_until(history: History, wall: float) -> bool:
-    """Tell whether the run went on so long; nothing is known of what came after its end."""
-    return any(one.end >= wall for one in history.tries)
+    """Return whether the history covers a wall time; nothing is recorded after the last try."""
+    return any(try_.end >= wall for try_ in history.tries)
 
 
 def _paused(history: History, life: Life, begin: float, end: float) -> bool:
--- a/libs/bench/berylspindle_bench/history_faults.py
+++ b/libs/bench/berylspindle_bench/history_faults.py
@@ -1,12 +1,8 @@
-"""Faults of backend servers and of the platform's store, drawn from a seed.
+"""Randomised faults of backend servers and of the platform's store.
 
-Terms:
-  stage   what a fault acts on: the cluster, the recorder of callers, and random numbers of its own
-  span    the part of a run for which a fault is on
-
-Flow: a run gives each fault a `Stage` and awaits `run`; the fault switches itself on and off and
-notes each step. Random numbers come from the seed and the name of the fault, so that a fault does
-the same whether it runs alone or beside another.
+Flow: a run creates a `FaultContext` for each fault and awaits `Fault.run`, which injects the fault,
+removes it and records each step. The random numbers depend only on the seed and the name of the
+fault, so that a fault makes the same choices alone and in combination with another.
 """
 
 from __future__ import annotations
@@ -21,7 +17,7 @@
 import attrs
 
 from berylspindle_bench.cluster import Cluster, DaemonPlan
-from berylspindle_bench.history_lives import Lives
+from berylspindle_bench.history_lives import LifeRecorder
 from berylspindle_bench.history_recorder import Recorder
 from berylspindle_bench.history_records import Confirmed, Step, StepKind
 from berylspindle_model.configuration import Server
@@ -31,16 +27,16 @@
 CRASH_QUERY: Final = "crash-this-server"
 
 
-class Stage:
-    """What one fault may act on, and where it notes what it did."""
+class FaultContext:
+    """The cluster, random numbers and record of steps of one fault."""
 
     def __init__(
-        self, fault: str, cluster: Cluster, recorder: Recorder, lives: Lives, seed: int
+        self, fault: str, cluster: Cluster, recorder: Recorder, lives: LifeRecorder, seed: int
     ) -> None:
         self.cluster: Final = cluster
         self.recorder: Final = recorder
         self.lives: Final = lives
-        self.draw: Final = random.Random(f"{seed}/{fault}")
+        self.rng: Final = random.Random(f"{seed}/{fault}")
         self.steps: Final[list[Step]] = []
         self.confirmed: Final[list[Confirmed]] = []
         self._fault: Final = fault
@@ -50,10 +46,10 @@
         """Return all backend servers."""
         return self.cluster.plan.configuration.servers
 
-    def note(
+    def record_step(
         self, kind: StepKind, subject: str = "", detail: str = "", *, begun: float = 0.0
     ) -> None:
-        """Write a step down as done just now."""
+        """Record a step at the current time; `begun` is when an intent's confirm was sent."""
         now = time.time()
         self.steps.append(
             Step(
@@ -66,128 +62,132 @@
             )
         )
 
-    def some_servers(self) -> tuple[str, ...]:
+    def sample_servers(self) -> tuple[str, ...]:
         """Return the ids of a random half of the servers."""
         ids = [server.id for server in self.servers]
-        return tuple(sorted(self.draw.sample(ids, len(ids) // 2)))
+        return tuple(sorted(self.rng.sample(ids, len(ids) // 2)))
 
-    def take_daemon(self) -> DaemonPlan:
-        """Return a random daemon that no other fault of this run has taken."""
-        return self.lives.take(self.draw)
+    def claim_daemon(self) -> DaemonPlan:
+        """Return a random daemon that no other fault of this run has claimed."""
+        return self.lives.claim(self.rng)
 
-    async def pause(self, low: float, high: float) -> None:
-        """Wait for a random time."""
-        await asyncio.sleep(self.draw.uniform(low, high))
+    async def random_delay(self, low: float, high: float) -> None:
+        """Wait for a random time between `low` and `high` seconds."""
+        await asyncio.sleep(self.rng.uniform(low, high))
 
-    async def backends(self, change: FaultChange) -> None:
-        """Switch faults of backend servers."""
-        told = f"{[a.value for a in change.actions]} {change.set} {','.join(change.servers)}"
-        self.note(StepKind.SWITCHED, detail=told)
+    async def switch_backend_faults(self, change: FaultChange) -> None:
+        """Change the injected faults of backend servers and record the step."""
+        detail = f"{[a.value for a in change.actions]} {change.set} {','.join(change.servers)}"
+        self.record_step(StepKind.SWITCHED, detail=detail)
         await self.cluster.change_backends(change)
 
-    async def platform(self, settings: Mapping[str, Any]) -> None:
-        """Switch faults of the platform."""
-        self.note(StepKind.SWITCHED, detail=str(dict(settings)))
+    async def switch_platform_faults(self, settings: Mapping[str, Any]) -> None:
+        """Change the injected faults of the platform and record the step."""
+        self.record_step(StepKind.SWITCHED, detail=str(dict(settings)))
         await self.cluster.change_platform(PlatformChange(set=dict(settings)))
 
 
 class Fault(ABC):
-    """One fault; `seconds` is how long a run with it goes on."""
+    """A fault to inject; `seconds` is the duration of the load in a run with it."""
 
     seconds: float = 3.2
 
     @abstractmethod
-    async def run(self, stage: Stage) -> None:
-        """Do harm and mend it again."""
+    async def run(self, context: FaultContext) -> None:
+        """Inject the fault and remove it."""
 
 
 @attrs.frozen(kw_only=True)
 class ServerFault(Fault):
-    """Some servers misbehave for a span; `settings` are fields of `BackendFaults`."""
+    """Set fault fields of some servers for a time; `settings` are fields of `BackendFaults`."""
 
     settings: Mapping[str, Any]
 
-    async def run(self, stage: Stage) -> None:
-        """Switch the fields, wait, and switch them back."""
-        servers = stage.some_servers()
-        await stage.pause(0.3, 1.0)
-        await stage.backends(FaultChange(servers=servers, set=dict(self.settings)))
-        await stage.pause(1.0, 2.0)
-        plain = attrs.asdict(BackendFaults())
-        await stage.backends(
-            FaultChange(servers=servers, set={name: plain[name] for name in self.settings})
+    async def run(self, context: FaultContext) -> None:
+        """Set the fields, wait, and restore their defaults."""
+        servers = context.sample_servers()
+        await context.random_delay(0.3, 1.0)
+        await context.switch_backend_faults(FaultChange(servers=servers, set=dict(self.settings)))
+        await context.random_delay(1.0, 2.0)
+        defaults = attrs.asdict(BackendFaults())
+        await context.switch_backend_faults(
+            FaultChange(servers=servers, set={name: defaults[name] for name in self.settings})
         )
 
 
 @attrs.frozen(kw_only=True)
 class ServerAction(Fault):
-    """Servers do something once, a few times over; each time others do."""
+    """Trigger an action at a few random servers, several times."""
 
     action: BackendAction
     undo: BackendAction | None = None
     times: int = 3
-    lasts: tuple[float, float] = (0.4, 0.9)
-    wait: tuple[float, float] = (0.4, 0.8)
+    duration_s: tuple[float, float] = (0.4, 0.9)
+    delay_s: tuple[float, float] = (0.4, 0.8)
     seconds: float = 3.2
 
-    async def run(self, stage: Stage) -> None:
-        """Act on some servers, wait, and undo it where that can be."""
+    async def run(self, context: FaultContext) -> None:
+        """Trigger the action, and undo it after a random time if it has an inverse."""
         for _ in range(self.times):
-            await stage.pause(*self.wait)
-            servers = stage.some_servers()[: 1 + stage.draw.randrange(3)]
-            await stage.backends(FaultChange(servers=servers, actions=(self.action,)))
+            await context.random_delay(*self.delay_s)
+            servers = context.sample_servers()[: 1 + context.rng.randrange(3)]
+            await context.switch_backend_faults(
+                FaultChange(servers=servers, actions=(self.action,))
+            )
             if self.undo is not None:
-                await stage.pause(*self.lasts)
-                await stage.backends(FaultChange(servers=servers, actions=(self.undo,)))
+                await context.random_delay(*self.duration_s)
+                await context.switch_backend_faults(
+                    FaultChange(servers=servers, actions=(self.undo,))
+                )
 
 
 class Publish(Fault):
-    """New index versions come to one half of the servers before the other."""
+    """New index versions reach one half of the servers before the other."""
 
-    async def run(self, stage: Stage) -> None:
+    async def run(self, context: FaultContext) -> None:
         """Publish three versions."""
         for version in (2, 3, 4):
-            first = stage.some_servers()
-            rest = tuple(server.id for server in stage.servers if server.id not in first)
+            first = context.sample_servers()
+            rest = tuple(server.id for server in context.servers if server.id not in first)
             for part in (first, rest):
-                await stage.pause(0.1, 0.6)
+                await context.random_delay(0.1, 0.6)
                 change = FaultChange(
                     servers=part, actions=(BackendAction.PUBLISH,), version=version
                 )
-                await stage.backends(change)
+                await context.switch_backend_faults(change)
 
 
 class CrashingRequest(Fault):
-    """One search crashes each server that runs it, and its caller sends it through every VM."""
+    """A search that crashes each server that runs it is sent through every VM."""
 
     seconds = 4.0
 
-    async def run(self, stage: Stage) -> None:
-        """Send it twice through all daemons."""
+    async def run(self, context: FaultContext) -> None:
+        """Send the search through all daemons, twice."""
         for _ in range(2):
-            await stage.pause(0.2, 0.6)
-            await stage.recorder.search_everywhere(CRASH_QUERY)
+            await context.random_delay(0.2, 0.6)
+            await context.recorder.search_everywhere(CRASH_QUERY)
 
 
 @attrs.frozen(kw_only=True)
 class StoreFault(Fault):
-    """The platform misbehaves for a span; `settings` are fields of `PlatformFaults`."""
+    """Set fault fields of the platform for a time; `settings` are fields of `PlatformFaults`."""
 
     settings: Mapping[str, Any]
     seconds: float = 4.0
 
-    async def run(self, stage: Stage) -> None:
-        """Switch the fields, wait, and switch them back."""
-        await stage.pause(0.3, 1.0)
-        await stage.platform(self.settings)
-        await stage.pause(1.0, 2.5)
-        plain = attrs.asdict(PlatformFaults())
-        await stage.platform({name: plain[name] for name in self.settings})
+    async def run(self, context: FaultContext) -> None:
+        """Set the fields, wait, and restore their defaults."""
+        await context.random_delay(0.3, 1.0)
+        await context.switch_platform_faults(self.settings)
+        await context.random_delay(1.0, 2.5)
+        defaults = attrs.asdict(PlatformFaults())
+        await context.switch_platform_faults({name: defaults[name] for name in self.settings})
 
 
-Make = Callable[[], Fault]
+FaultFactory = Callable[[], Fault]
 
-SERVER_FAULTS: Final[dict[str, Make]] = {
+SERVER_FAULTS: Final[dict[str, FaultFactory]] = {
     "stragglers": lambda: ServerFault(settings={"straggler_probability": 0.2}),
     "slow": lambda: ServerFault(settings={"slow_factor": 20.0}),
     "misleading": lambda: ServerFault(settings={"load_in_flight": 0, "health_state": "warm"}),
@@ -205,14 +205,14 @@
         action=BackendAction.DRAIN,
         undo=BackendAction.END_DRAIN,
         times=1,
-        wait=(0.3, 0.6),
-        lasts=(4.6, 5.2),
+        delay_s=(0.3, 0.6),
+        duration_s=(4.6, 5.2),
         seconds=7.0,
     ),
     "publish": Publish,
     "crashing-request": CrashingRequest,
 }
-STORE_FAULTS: Final[dict[str, Make]] = {
+STORE_FAULTS: Final[dict[str, FaultFactory]] = {
     "store-reset": lambda: StoreFault(settings={"outage": "reset"}),
     "store-silent": lambda: StoreFault(settings={"outage": "silent"}),
     "store-refuse": lambda: StoreFault(settings={"outage": "refuse"}),
--- a/libs/bench/berylspindle_bench/history_lives.py
+++ b/libs/bench/berylspindle_bench/history_lives.py
@@ -1,7 +1,8 @@
-"""The daemons of a run: who lives from when to when, and what their time lines tell.
+"""Record the lifetimes of the daemons of a run, and the revisions that they adopt.
 
-Flow: `Lives.begin` asks a daemon for its id when it is ready; before a daemon ends `save` reads the
-adoptions from its time line, which end with it. `close` is called with its exit code.
+Flow: `LifeRecorder.record_start` reads the id of a daemon when it is ready. `save_adoptions` reads
+the adoptions from the event timeline of a daemon; it must be called before the daemon exits, since
+the timeline is lost with the process. `record_end` records the exit code.
 """
 
 from __future__ import annotations
@@ -22,46 +23,46 @@
 _REVISION: Final = re.compile(r"revision=(\d+)")
 
 
-class Lives:
-    """Follow the daemons of one cluster."""
+class LifeRecorder:
+    """Record the lifetimes and adoptions of the daemons of one cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster: Final = cluster
-        self._untaken: Final = list(cluster.plan.daemons)
-        self._living: dict[str, Life] = {}
+        self._unclaimed: Final = list(cluster.plan.daemons)
+        self._running: dict[str, Life] = {}
         self._ended: list[Life] = []
         self._adoptions: dict[tuple[str, int], Adoption] = {}
         self.dropped = 0
 
     @property
     def lives(self) -> tuple[Life, ...]:
-        """Return all lives, those that have ended first."""
-        return (*self._ended, *self._living.values())
+        """Return all lifetimes, those of ended daemons first."""
+        return (*self._ended, *self._running.values())
 
     @property
     def adoptions(self) -> tuple[Adoption, ...]:
-        """Return all adoptions that were read."""
+        """Return all recorded adoptions."""
         return tuple(self._adoptions.values())
 
-    def take(self, draw: random.Random) -> DaemonPlan:
-        """Return a random daemon that was not taken before."""
-        return self._untaken.pop(draw.randrange(len(self._untaken)))
-
-    async def begin(self, daemon: DaemonPlan) -> None:
-        """Note that a daemon is up."""
-        told = await self._timeline(daemon)
-        if told is None:
-            raise RuntimeError(f"{daemon.vm} does not tell its time line")
-        self._living[daemon.vm] = Life(vm=daemon.vm, vm_id=told.vms[0], start=time.time())
-
-    async def save(self, daemon: DaemonPlan) -> None:
-        """Read the adoptions of a daemon that still answers."""
-        told = await self._timeline(daemon)
-        if told is None:
+    def claim(self, rng: random.Random) -> DaemonPlan:
+        """Return a random daemon that was not claimed before."""
+        return self._unclaimed.pop(rng.randrange(len(self._unclaimed)))
+
+    async def record_start(self, daemon: DaemonPlan) -> None:
+        """Record that a daemon is ready; raise RuntimeError if its timeline is unreadable."""
+        timeline = await self._timeline(daemon)
+        if timeline is None:
+            raise RuntimeError(f"could not read the event timeline of {daemon.vm}")
+        self._running[daemon.vm] = Life(vm=daemon.vm, vm_id=timeline.vms[0], start=time.time())
+
+    async def save_adoptions(self, daemon: DaemonPlan) -> None:
+        """Record the adoptions of a daemon that still runs."""
+        timeline = await self._timeline(daemon)
+        if timeline is None:
             self.dropped += 1
             return
-        self.dropped += sum(told.dropped.values())
-        for event in told.events:
+        self.dropped += sum(timeline.dropped.values())
+        for event in timeline.events:
             found = _REVISION.search(event.detail)
             if event.kind is EventKind.CONFIGURATION_ADOPTED and found is not None:
                 self._adoptions[event.vm, event.sequence] = Adoption(
@@ -71,15 +72,15 @@
                     revision=int(found[1]),
                 )
 
-    async def save_all(self) -> None:
-        """Read the adoptions of all that live."""
+    async def save_all_adoptions(self) -> None:
+        """Record the adoptions of all running daemons."""
         for daemon in self._cluster.plan.daemons:
-            if daemon.vm in self._living:
-                await self.save(daemon)
+            if daemon.vm in self._running:
+                await self.save_adoptions(daemon)
 
-    def close(self, vm: str, exit_code: int, *, terminated: float | None) -> None:
-        """Note the end of a daemon's life."""
-        life = self._living.pop(vm)
+    def record_end(self, vm: str, exit_code: int, *, terminated: float | None) -> None:
+        """Record the exit of a daemon; `terminated` is when it got SIGTERM, if it did."""
+        life = self._running.pop(vm)
         self._ended.append(
             attrs.evolve(life, end=time.time(), exit_code=exit_code, terminated=terminated)
         )
@@ -87,5 +88,5 @@
     async def _timeline(self, daemon: DaemonPlan) -> FleetTimeline | None:
         secret = Secret(self._cluster.token)
         async with OperatorClient([daemon.admin], token=secret, operator="checker") as client:
-            told = await client.timeline(EventFilter())
-        return told if isinstance(told, FleetTimeline) else None
+            timeline = await client.timeline(EventFilter())
+        return timeline if isinstance(timeline, FleetTimeline) else None
--- a/libs/bench/berylspindle_bench/history_recorder.py
+++ b/libs/bench/berylspindle_bench/history_recorder.py
@@ -1,13 +1,13 @@
-"""The callers of a run: what they ask, what they are told, and how they go on from there.
+"""Simulate the callers of a run and record every try.
 
 Terms:
-  caller   asks one daemon after the other, and goes on to the next only after "not run"
-  resend   a caller that learned nothing about a hold sends it again with its key, through another
-           daemon, as people do; so does one whose search crashes what runs it
+  caller   tries one daemon after the other; it retries a search only after "not run"
+  resend   a caller that does not know the outcome of an execute sends it again with its key
+           through another daemon; the caller of a search that crashes servers does the same
 
-Flow: `Recorder.load` draws times and kinds of requests from a seed and runs each as a task; every
-try ends up in `tries`. A query has the number of its try in it, so that what ran at a server tells
-which try ran.
+Flow: `Recorder.load` derives start times and kinds of requests from a seed and runs each request as
+a task that appends its tries to `tries`. The text of a search contains the number of its try, so
+that the log of a server shows which try ran.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from typing import Final
 
 from berylspindle_bench.cluster import DaemonPlan
-from berylspindle_bench.history_records import Told, Try
+from berylspindle_bench.history_records import OutcomeKind, Try
 from berylspindle_client.callers import CallerClient
 from berylspindle_client.outcomes import Failure, Refused, Unknown, Unreachable
 from berylspindle_model.messages import ExecuteAnswer, SearchAnswer
 
 DEADLINE_MS: Final = 1500
-SEARCHES_A_SECOND: Final = 25.0
+REQUESTS_PER_SECOND: Final = 25.0
 EXECUTE_SHARE: Final = 0.2
-DOUBLE_SHARE: Final = 0.3
+DUPLICATE_SHARE: Final = 0.3
 PAGE_SHARE: Final = 0.2
-PAGE: Final = 10
-MOST_TRIES: Final = 4
-RESENDS: Final = 2
+PAGE_SIZE: Final = 10
+MAX_TRIES: Final = 4
+MAX_RESENDS: Final = 2
 
 
 class Recorder:
-    """Send requests as callers do and write every try down; use it as an asynchronous context."""
+    """Send requests as callers and record every try; an asynchronous context manager."""
 
     def __init__(
         self, daemons: Sequence[DaemonPlan], service: str, shards: Sequence[str], seed: str
@@ -44,7 +44,7 @@
         self._daemons: Final = tuple(daemons)
         self._service: Final = service
         self._shards: Final = tuple(shards)
-        self._draw: Final = random.Random(seed)
+        self._rng: Final = random.Random(seed)
         self._stack: Final = AsyncExitStack()
         self._clients: dict[str, CallerClient] = {}
         self._requests = 0
@@ -60,65 +60,65 @@
         await self._stack.aclose()
 
     async def load(self, seconds: float) -> None:
-        """Start requests for so many seconds and wait for all outcomes."""
+        """Start requests for `seconds` and wait for all outcomes."""
         ends = time.monotonic() + seconds
         async with asyncio.TaskGroup() as group:
             while time.monotonic() < ends:
-                if self._draw.random() < EXECUTE_SHARE:
+                if self._rng.random() < EXECUTE_SHARE:
                     group.create_task(self._execute())
                 else:
                     group.create_task(self._search())
-                await asyncio.sleep(self._draw.expovariate(SEARCHES_A_SECOND))
+                await asyncio.sleep(self._rng.expovariate(REQUESTS_PER_SECOND))
 
     async def search_everywhere(self, query: str) -> None:
-        """Send one and the same search through each daemon in turn, whatever comes back."""
+        """Send the same search through each daemon in turn, whatever the outcome."""
         number = self._next_request()
-        for daemon in self._order():
-            await self._try_search(number, daemon, query, tried=0)
+        for daemon in self._random_order():
+            await self._try_search(number, daemon, query, try_index=0)
 
     def _next_request(self) -> int:
         self._requests += 1
         return self._requests
 
-    def _order(self) -> list[DaemonPlan]:
-        return self._draw.sample(self._daemons, len(self._daemons))
+    def _random_order(self) -> list[DaemonPlan]:
+        return self._rng.sample(self._daemons, len(self._daemons))
 
     async def _search(self) -> None:
         number = self._next_request()
-        order = self._order()
-        wants_page = self._draw.random() < PAGE_SHARE
-        for tried, daemon in enumerate(order[:MOST_TRIES]):
-            text = f"lot {number}.{tried}"
-            one = await self._try_search(number, daemon, text, tried=tried)
-            if not one.not_run:
+        order = self._random_order()
+        wants_page = self._rng.random() < PAGE_SHARE
+        for try_index, daemon in enumerate(order[:MAX_TRIES]):
+            text = f"lot {number}.{try_index}"
+            try_ = await self._try_search(number, daemon, text, try_index=try_index)
+            if not try_.not_run:
                 break
-        if wants_page and one.answer is not None and one.answer.next_page is not None:
-            await self._next_page(number, order[::-1], one.text, one.answer.next_page)
+        if wants_page and try_.answer is not None and try_.answer.next_page is not None:
+            await self._next_page(number, order[::-1], try_.text, try_.answer.next_page)
 
     async def _next_page(
         self, number: int, order: Sequence[DaemonPlan], text: str, page: str
     ) -> None:
-        """Ask for the second page, through another daemon than the first."""
-        for tried, daemon in enumerate(order, MOST_TRIES):
-            one = await self._try_search(number, daemon, text, tried=tried, page=page)
-            if not one.not_run:
+        """Request the second page, preferably through another daemon than the first page."""
+        for try_index, daemon in enumerate(order, MAX_TRIES):
+            try_ = await self._try_search(number, daemon, text, try_index=try_index, page=page)
+            if not try_.not_run:
                 return
 
     async def _try_search(
-        self, number: int, daemon: DaemonPlan, text: str, *, tried: int, page: str | None = None
+        self, number: int, daemon: DaemonPlan, text: str, *, try_index: int, page: str | None = None
     ) -> Try:
         start = time.time()
-        request_id = f"r{number}-{tried}"
+        request_id = f"r{number}-{try_index}"
         outcome = await self._clients[daemon.vm].search(
             self._service,
             text,
-            limit=PAGE,
+            limit=PAGE_SIZE,
             page=page,
             deadline_ms=DEADLINE_MS,
             request_id=request_id,
         )
-        return self._note(
-            _record(
+        return self._add_try(
+            _to_try(
                 outcome,
                 request=number,
                 vm=daemon.vm,
@@ -126,17 +126,17 @@
                 text=text,
                 start=start,
                 request_id=request_id,
-                offset=0 if page is None else PAGE,
+                offset=0 if page is None else PAGE_SIZE,
             )
         )
 
     async def _execute(self) -> None:
         number = self._next_request()
         key = f"hold-{number}"
-        shard = self._draw.choice(self._shards)
-        order = self._order()
-        if self._draw.random() < DOUBLE_SHARE:
-            # The same hold comes through two daemons at once.
+        shard = self._rng.choice(self._shards)
+        order = self._random_order()
+        if self._rng.random() < DUPLICATE_SHARE:
+            # Send the same execute through two daemons concurrently.
             first, second = order[:2]
             await asyncio.gather(
                 self._try_execute(number, first, key, shard),
@@ -145,12 +145,12 @@
             order = order[2:]
         resends = 0
         for daemon in order:
-            one = await self._try_execute(number, daemon, key, shard)
-            if one.told is Told.ANSWER:
+            try_ = await self._try_execute(number, daemon, key, shard)
+            if try_.told is OutcomeKind.ANSWER:
                 return
-            if not one.not_run:
+            if not try_.not_run:
                 resends += 1
-            if resends > RESENDS:
+            if resends > MAX_RESENDS:
                 return
 
     async def _try_execute(self, number: int, daemon: DaemonPlan, key: str, shard: str) -> Try:
@@ -158,8 +158,8 @@
         outcome = await self._clients[daemon.vm].execute(
             self._service, shard, key, {"hold": key}, deadline_ms=DEADLINE_MS
         )
-        return self._note(
-            _record(
+        return self._add_try(
+            _to_try(
                 outcome,
                 request=number,
                 vm=daemon.vm,
@@ -170,12 +170,12 @@
             )
         )
 
-    def _note(self, one: Try) -> Try:
-        self.tries.append(one)
-        return one
+    def _add_try(self, try_: Try) -> Try:
+        self.tries.append(try_)
+        return try_
 
 
-def _record(
+def _to_try(
     outcome: SearchAnswer | ExecuteAnswer | Failure,
     *,
     request: int,
@@ -187,14 +187,14 @@
     shard: str = "",
     offset: int = 0,
 ) -> Try:
-    told = Told.ANSWER
+    told = OutcomeKind.ANSWER
     detail = ""
     if isinstance(outcome, Refused):
-        told = Told.REFUSED
+        told = OutcomeKind.REFUSED
     elif isinstance(outcome, Unreachable):
-        told, detail = Told.UNREACHABLE, outcome.detail
+        told, detail = OutcomeKind.UNREACHABLE, outcome.detail
     elif isinstance(outcome, Unknown):
-        told, detail = Told.UNKNOWN, outcome.detail
+        told, detail = OutcomeKind.UNKNOWN, outcome.detail
     return Try(
         request=request,
         vm=vm,
@@ -205,7 +205,7 @@
         told=told,
         request_id=request_id,
         shard=shard,
-        limit=PAGE,
+        limit=PAGE_SIZE,
         offset=offset,
         answer=outcome if isinstance(outcome, SearchAnswer) else None,
         executed=outcome if isinstance(outcome, ExecuteAnswer) else None,
--- a/libs/bench/berylspindle_bench/history_records.py
+++ b/libs/bench/berylspindle_bench/history_records.py
@@ -1,14 +1,15 @@
-"""The records that make up the history of one run, and their form as JSON lines.
+"""The records of the history of one run, and their encoding as JSON lines.
 
 Terms:
-  try       one request sent to one daemon by one caller; a caller that is told "not run" moves on
-            to another daemon, which is the next try of the same request
-  step      one thing done to the system: a fault switched, a signal sent, an intent confirmed
-  life      one daemon from its start to its end; a restarted one has a new life
+  try       one request sent to one daemon by one caller; after the outcome "not run" the caller
+            retries at another daemon, which is the next try of the same request
+  step      one action on the system: a fault changed, a signal sent, an intent confirmed
+  life      the lifetime of one daemon process; a restarted daemon has a new one
   wall      seconds of the wall clock of this machine, which all processes of a run share
 
-Flow: the recorder writes tries, the faults write steps, and the run adds what the stand-ins logged
-and what the daemons' time lines tell. `write_history` writes all of it, one record a line.
+Flow: the callers of a run record tries and its faults record steps. The run adds the logs of the
+stand-ins and the event timelines of daemons. `write_history` writes one record per line, with the
+name of its class.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 from berylspindle_standins.call_log import LoggedStep
 
 
-class Told(enum.StrEnum):
-    """What kind of outcome a caller got."""
+class OutcomeKind(enum.StrEnum):
+    """Kind of the outcome of a try."""
 
     ANSWER = "answer"
     REFUSED = "refused"
@@ -37,15 +38,16 @@
 
 @attrs.frozen(kw_only=True)
 class Try:
-    """One try as its caller saw it.
+    """One try and its outcome at the caller.
 
     Attributes:
-        request: counts the requests of the run; all tries of one request share it.
-        vm: name of the daemon that was asked.
-        text: the query, which no other try of the run has, or the idempotency key.
+        request: number of the request in the run, shared by all its tries.
+        vm: name of the daemon that the request was sent to.
+        text: the query, usually unique to the try, or the idempotency key.
+        told: kind of the outcome.
         shard: shard of an execute; empty for a search.
-        offset: hits before the page that a search asked for.
-        detail: what the client saw where the outcome is UNREACHABLE or UNKNOWN.
+        offset: number of hits before the requested page.
+        detail: error of the client if the outcome is UNREACHABLE or UNKNOWN.
     """
 
     request: int
@@ -54,7 +56,7 @@
     text: str
     start: float
     end: float
-    told: Told
+    told: OutcomeKind
     request_id: str = ""
     shard: str = ""
     limit: int = 10
@@ -66,19 +68,19 @@
 
     @property
     def is_execute(self) -> bool:
-        """Tell whether the request may not be repeated."""
+        """Return whether the request is an execute, which is not idempotent."""
         return bool(self.shard)
 
     @property
     def not_run(self) -> bool:
-        """Tell whether the caller was told, or saw for itself, that nothing ran."""
+        """Return whether the caller knows that the request did not run."""
         if self.refused is not None:
             return self.refused.run is RunState.NOT_RUN
-        return self.told is Told.UNREACHABLE
+        return self.told is OutcomeKind.UNREACHABLE
 
 
 class StepKind(enum.StrEnum):
-    """What was done to the system; SWITCHED and CLEARED are faults of the stand-ins."""
+    """Kind of action on the system; SWITCHED and CLEARED change faults of the stand-ins."""
 
     SWITCHED = "switched"
     CLEARED = "cleared"
@@ -94,12 +96,12 @@
 
 @attrs.frozen(kw_only=True)
 class Step:
-    """One step.
+    """One action on the system.
 
     Attributes:
-        begun: for an intent, when its confirm was sent; `wall` is when the reply had come. Another
-            operator may have undone it between the two.
-        subject: the data centre, server or daemon that it is about, if any.
+        begun: when the confirm of an intent was sent; `wall` is when its reply arrived. Another
+            operator may have reverted the intent in between.
+        subject: the affected data centre, server or daemon, if any.
     """
 
     wall: float
@@ -112,9 +114,9 @@
 
 @attrs.frozen(kw_only=True)
 class Life:
-    """One daemon from start to end; `exit_code` is None where it was still running.
+    """The lifetime of one daemon process; `exit_code` is None while it runs.
 
-    `terminated` is when it got SIGTERM, None where it did not.
+    `terminated` is when it got SIGTERM, or None if it did not.
     """
 
     vm: str
@@ -127,7 +129,7 @@
 
 @attrs.frozen(kw_only=True)
 class Adoption:
-    """A daemon brought a revision of the configuration into force."""
+    """The adoption of a configuration revision by a daemon."""
 
     vm_id: str
     sequence: int
@@ -137,7 +139,7 @@
 
 @attrs.frozen(kw_only=True)
 class Confirmed:
-    """A confirmation that an operator got."""
+    """A confirmation received by an operator."""
 
     wall: float
     plan: str
@@ -148,12 +150,12 @@
 
 @attrs.frozen(kw_only=True)
 class History:
-    """Everything that one run left, each part in order of time.
+    """All records of one run, each kind in order of time.
 
     Attributes:
-        configuration: what was in force when the run began.
-        final: what the store held at the end, or None where it could not be read.
-        dropped: steps of the stand-ins or events of time lines that are missing.
+        configuration: the configuration at the start of the run.
+        final: the configuration in the store at the end, or None if unknown.
+        dropped: number of log entries of stand-ins and of timeline events that are missing.
     """
 
     configuration: Configuration
@@ -168,21 +170,21 @@
 
     @property
     def start(self) -> float:
-        """Return the wall time of the first record, 0 without any."""
+        """Return the wall time of the first try or step; 0 without any."""
         walls = [one.start for one in self.tries] + [one.wall for one in self.steps]
         return min(walls, default=0.0)
 
 
 @attrs.frozen(kw_only=True)
 class HistoryLine:
-    """One line of the file: the name of the record's class and the record."""
+    """One line of the file: a record and the name of its class."""
 
     record: str
     value: object
 
 
 def write_history(history: History, path: Path) -> None:
-    """Write the history as JSON lines, the records of one kind after those of the other."""
+    """Write the history as JSON lines, grouped by kind of record."""
     path.parent.mkdir(parents=True, exist_ok=True)
     records: list[object] = [history.configuration]
     for part in ("steps", "lives", "adoptions", "confirmed", "tries", "calls"):
--- a/libs/bench/berylspindle_bench/history_run.py
+++ b/libs/bench/berylspindle_bench/history_run.py
@@ -1,11 +1,12 @@
-"""One run with its faults, and many runs side by side.
+"""Run a deployment with injected faults and check its history, once or for many plans.
 
 Terms:
-  run        a small deployment from start to end: callers, faults, history, verdict
-  campaign   each fault alone with some seeds and each pair with fewer
+  run        one lifetime of a small deployment with callers and faults, and its verdict
+  campaign   each fault alone with several seeds, and each pair of faults with fewer
 
-Flow: `run_once` starts the cluster, lets callers and faults work, mends everything, collects the
-history, stops the daemons by SIGTERM and judges. `run_many` keeps a few runs going at a time.
+Flow: `run_once` starts the cluster, runs callers and faults, clears all faults, collects the
+history, stops the daemons with SIGTERM and runs the checkers. `run_many` executes plans with
+limited concurrency.
 """
 
 from __future__ import annotations
@@ -24,10 +25,16 @@
 
 from berylspindle_bench.cluster import HOST, Cluster, start_cluster
 from berylspindle_bench.history_checks import Violation
-from berylspindle_bench.history_faults import SERVER_FAULTS, STORE_FAULTS, Fault, Make, Stage
-from berylspindle_bench.history_lives import Lives
+from berylspindle_bench.history_faults import (
+    SERVER_FAULTS,
+    STORE_FAULTS,
+    Fault,
+    FaultContext,
+    FaultFactory,
+)
+from berylspindle_bench.history_lives import LifeRecorder
 from berylspindle_bench.history_recorder import Recorder
-from berylspindle_bench.history_records import History, Told, write_history
+from berylspindle_bench.history_records import History, OutcomeKind, write_history
 from berylspindle_bench.history_verdict import judge
 from berylspindle_bench.history_vm_faults import VM_FAULTS
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
@@ -42,23 +49,24 @@
 from berylspindle_wire.client import HttpClient
 from berylspindle_wire.http import HttpLimits
 
-FAULTS: Final[dict[str, Make]] = {**SERVER_FAULTS, **STORE_FAULTS, **VM_FAULTS}
-# Leases and probes at half their times, so that they lapse and take over within a run.
+FAULTS: Final[dict[str, FaultFactory]] = {**SERVER_FAULTS, **STORE_FAULTS, **VM_FAULTS}
+# Halves the intervals of leases and probes, so that leases expire and move within a run.
 SETTINGS: Final = {"BERYLSPINDLE_UNREADY_SECONDS": "0.2", "BERYLSPINDLE_CONTROL_PACE": "0.5"}
 BACKEND_FLAGS: Final = ("--warm-after=10", "--restart-ms=400")
-SEEDS_ALONE: Final = 20
-SEEDS_PAIR: Final = 3
-_CALM_SECONDS: Final = 0.5
-# More ports than any cluster takes.
-_BLOCK: Final = 1000
-# A daemon's grace is 20 s; whatever takes longer is ended by force and found by its exit code.
+SEEDS_PER_FAULT: Final = 20
+SEEDS_PER_PAIR: Final = 3
+_SETTLE_SECONDS: Final = 0.5
+# Exceeds the number of ports of any cluster.
+_MIN_PORT_DISTANCE: Final = 1000
+# Exceeds the 20 s grace period of a daemon. A daemon that takes longer is killed, which its exit
+# code shows.
 _STOP_SECONDS: Final = 25.0
 _CALLS_LIMITS: Final = HttpLimits(body_bytes=64 * 1024 * 1024)
 
 
 @attrs.frozen(kw_only=True)
 class RunPlan:
-    """Which faults with which seed."""
+    """The faults and the seed of one run."""
 
     seed: int
     faults: tuple[str, ...]
@@ -70,13 +78,13 @@
 
     @property
     def command(self) -> str:
-        """Return what runs it again."""
+        """Return the command that repeats the run."""
         return f'make history SEED={self.seed} FAULTS="{",".join(self.faults)}"'
 
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """What came of one run."""
+    """The result of one run."""
 
     plan: RunPlan
     violations: tuple[Violation, ...]
@@ -86,25 +94,25 @@
     @property
     def answered(self) -> int:
         """Return the number of tries that got an answer."""
-        return sum(one.told is Told.ANSWER for one in self.history.tries)
+        return sum(one.told is OutcomeKind.ANSWER for one in self.history.tries)
 
 
 @attrs.frozen(kw_only=True)
 class NotRun:
-    """A run that could not be made, and why."""
+    """A run that failed to execute, and why."""
 
     plan: RunPlan
-    why: str
+    reason: str
 
 
 async def run_once(
     plan: RunPlan, out: Path | None = None, *, ports: Ports | None = None
 ) -> Verdict:
-    """Run once; with `out` a history with a violation is written there.
+    """Execute one run; if `out` is given, write a history with violations there.
 
-    `ports` keeps clusters of one process that run side by side from taking each other's ports.
+    `ports` keeps concurrent clusters of one process from using the same ports.
     """
-    begun = time.monotonic()
+    started = time.monotonic()
     folder = Path(tempfile.mkdtemp(prefix="berylspindle-history-"))
     taken = ports if ports is not None else Ports()
     cluster = taken.reserve(folder)
@@ -117,7 +125,7 @@
         plan=plan,
         violations=judge(history),
         history=history,
-        seconds=time.monotonic() - begun,
+        seconds=time.monotonic() - started,
     )
     if verdict.violations and out is not None:
         target = out / plan.name
@@ -130,20 +138,24 @@
 
 
 async def run_many(
-    plans: Iterable[RunPlan], out: Path, *, at_once: int, tell: Callable[[Verdict | NotRun], None]
+    plans: Iterable[RunPlan],
+    out: Path,
+    *,
+    at_once: int,
+    on_result: Callable[[Verdict | NotRun], None],
 ) -> None:
-    """Run all plans, some at a time, and tell each verdict as it comes."""
+    """Execute all plans, `at_once` at a time, and call `on_result` for each."""
     ports = Ports()
-    waiting = iter(list(plans))
+    pending = iter(list(plans))
 
     async def work() -> None:
-        for plan in waiting:
+        for plan in pending:
             try:
-                tell(await run_once(plan, out, ports=ports))
+                on_result(await run_once(plan, out, ports=ports))
             except Exception as error:
-                # One run that can't be made, for a port that another program took or a machine
-                # that is too busy, must not end the others; it is told as not run.
-                tell(NotRun(plan=plan, why=repr(error)))
+                # A run that fails to execute, because another program uses a port or the machine
+                # is overloaded, must not end the others; it is reported as not run.
+                on_result(NotRun(plan=plan, reason=repr(error)))
 
     async with asyncio.TaskGroup() as group:
         for _ in range(at_once):
@@ -151,32 +163,32 @@
 
 
 class Ports:
-    """Keep clusters of one process on blocks of ports that lie apart."""
+    """Assign disjoint blocks of ports to the clusters of one process."""
 
     def __init__(self) -> None:
         self._taken: set[int] = set()
 
     def reserve(self, folder: Path) -> Cluster:
-        """Return a cluster, not yet started, whose ports no other one of these has."""
+        """Return a cluster that is not started and shares no port with the others."""
         while True:
             cluster = start_cluster("small", folder, settings=SETTINGS, backend_flags=BACKEND_FLAGS)
             port = cluster.plan.store_port
-            if all(abs(port - other) >= _BLOCK for other in self._taken):
+            if all(abs(port - other) >= _MIN_PORT_DISTANCE for other in self._taken):
                 self._taken.add(port)
                 return cluster
 
     def release(self, cluster: Cluster) -> None:
-        """Let the ports of a cluster that has ended be taken again."""
+        """Release the ports of a stopped cluster."""
         self._taken.discard(cluster.plan.store_port)
 
 
-def alone(seeds: Iterable[int]) -> list[RunPlan]:
-    """Return each fault by itself with each seed."""
+def single_fault_plans(seeds: Iterable[int]) -> list[RunPlan]:
+    """Return a plan for each fault alone and each seed."""
     return [RunPlan(seed=seed, faults=(name,)) for seed in seeds for name in FAULTS]
 
 
-def pairs(seeds: Iterable[int]) -> list[RunPlan]:
-    """Return each pair of faults with each seed."""
+def fault_pair_plans(seeds: Iterable[int]) -> list[RunPlan]:
+    """Return a plan for each pair of faults and each seed."""
     return [
         RunPlan(seed=seed, faults=pair)
         for seed in seeds
@@ -184,67 +196,69 @@
     ]
 
 
-def campaign() -> list[RunPlan]:
-    """Return each fault alone and then each pair, with as many seeds as a campaign has."""
-    return alone(range(1, SEEDS_ALONE + 1)) + pairs(range(1, SEEDS_PAIR + 1))
+def campaign_plans() -> list[RunPlan]:
+    """Return the plans of a campaign: each fault alone, then each pair."""
+    return single_fault_plans(range(1, SEEDS_PER_FAULT + 1)) + fault_pair_plans(
+        range(1, SEEDS_PER_PAIR + 1)
+    )
 
 
 async def _record(cluster: Cluster, plan: RunPlan) -> History:
     faults = {name: FAULTS[name]() for name in plan.faults}
     configuration = cluster.plan.configuration
     service = configuration.services[0]
-    lives = Lives(cluster)
+    lives = LifeRecorder(cluster)
     for daemon in cluster.plan.daemons:
-        await lives.begin(daemon)
+        await lives.record_start(daemon)
     recorder = Recorder(cluster.plan.daemons, service.name, service.shards, f"{plan.seed}/callers")
-    stages = {name: Stage(name, cluster, recorder, lives, plan.seed) for name in faults}
+    contexts = {name: FaultContext(name, cluster, recorder, lives, plan.seed) for name in faults}
     seconds = max((fault.seconds for fault in faults.values()), default=Fault.seconds)
     async with recorder, asyncio.TaskGroup() as group:
         group.create_task(recorder.load(seconds))
         for name, fault in faults.items():
-            group.create_task(fault.run(stages[name]))
+            group.create_task(fault.run(contexts[name]))
     await cluster.change_backends(FaultChange(clear=True))
     await cluster.change_platform(PlatformChange(clear=True))
-    await asyncio.sleep(_CALM_SECONDS)
-    return await _collect(cluster, configuration, recorder, lives, list(stages.values()))
+    await asyncio.sleep(_SETTLE_SECONDS)
+    return await _collect(cluster, configuration, recorder, lives, list(contexts.values()))
 
 
 async def _collect(
     cluster: Cluster,
     configuration: Configuration,
     recorder: Recorder,
-    lives: Lives,
-    stages: list[Stage],
+    lives: LifeRecorder,
+    contexts: list[FaultContext],
 ) -> History:
-    await lives.save_all()
-    final = await _stored(cluster)
-    calls = await _calls(cluster)
+    await lives.save_all_adoptions()
+    final = await _stored_configuration(cluster)
+    calls = await _call_log(cluster)
     await _terminate(cluster, lives)
     return History(
         configuration=configuration,
         final=final,
         tries=tuple(sorted(recorder.tries, key=lambda one: one.start)),
         calls=calls.steps,
-        steps=tuple(sorted((s for each in stages for s in each.steps), key=lambda s: s.wall)),
+        steps=tuple(sorted((s for each in contexts for s in each.steps), key=lambda s: s.wall)),
         lives=lives.lives,
         adoptions=lives.adoptions,
-        confirmed=tuple(sorted((c for s in stages for c in s.confirmed), key=lambda c: c.wall)),
+        confirmed=tuple(sorted((c for s in contexts for c in s.confirmed), key=lambda c: c.wall)),
         dropped=calls.dropped + lives.dropped,
     )
 
 
-async def _terminate(cluster: Cluster, lives: Lives) -> None:
-    """End all daemons by SIGTERM at once; each may take its whole grace."""
-    told = time.time()
+async def _terminate(cluster: Cluster, lives: LifeRecorder) -> None:
+    """Stop all daemons concurrently with SIGTERM; each may use its full grace period."""
+    signalled = time.time()
     for process in cluster.daemons.values():
         process.send(signal.SIGTERM)
     codes = await asyncio.gather(*(p.wait(_STOP_SECONDS) for p in cluster.daemons.values()))
     for vm, code in zip(cluster.daemons, codes, strict=True):
-        lives.close(vm, code, terminated=told)
+        lives.record_end(vm, code, terminated=signalled)
 
 
-async def _calls(cluster: Cluster) -> CallsDocument:
-    """Return the logs of all processes of stand-ins as one, by their common wall clock."""
+async def _call_log(cluster: Cluster) -> CallsDocument:
+    """Return the call logs of all stand-in processes, merged by their common wall clock."""
     steps: list[LoggedStep] = []
     dropped = 0
     for port in cluster.plan.backend_admin_ports.values():
@@ -256,7 +270,7 @@
     return CallsDocument(dropped=dropped, steps=tuple(sorted(steps, key=lambda one: one.wall)))
 
 
-async def _stored(cluster: Cluster) -> Configuration | None:
+async def _stored_configuration(cluster: Cluster) -> Configuration | None:
     async with open_store(HOST, cluster.plan.store_port) as store:
         entry = await store.get(CONFIGURATION_KEY)
     return from_stored(entry.value) if entry is not None and entry.value else None
--- a/libs/bench/berylspindle_bench/history_verdict.py
+++ b/libs/bench/berylspindle_bench/history_verdict.py
@@ -1,50 +1,54 @@
-"""All checkers, one for each promise, and the verdict over one history.
+"""The list of all checkers, and the verdict on one history.
 
-Flow: `judge` runs every checker and returns what they found; a history in which nobody got an
-answer, or of which a part was dropped, proves nothing and is said so as a violation.
+Flow: `judge` runs every checker and returns the violations. A history without answers or with
+dropped records cannot show that the guarantees hold, so that it counts as a violation itself.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-from berylspindle_bench.history_answers import OneSnapshot, OwnWholeAnswer, TrueCoverage
+from berylspindle_bench.history_answers import (
+    AnswerIntegrity,
+    CoverageAccuracy,
+    SnapshotConsistency,
+)
 from berylspindle_bench.history_checks import Bounds, Checker, Violation
-from berylspindle_bench.history_control import GracefulShutdown, RevisionsHold
-from berylspindle_bench.history_records import History, Told
+from berylspindle_bench.history_control import GracefulShutdown, RevisionPropagation
+from berylspindle_bench.history_records import History, OutcomeKind
 from berylspindle_bench.history_work import (
     AtMostOnce,
-    ColdCap,
-    LeavingLeftAlone,
-    NotRunIsTrue,
-    OutMeansOut,
+    ColdStartLimit,
+    NotRunAccuracy,
+    NoWorkAfterTakeOut,
+    NoWorkWhileLeaving,
 )
 
-PROVES_SOMETHING: Final = "the history is whole and somebody got an answer"
+COMPLETE_HISTORY: Final = "the history is complete and contains an answer"
 
 
 def checkers(bounds: Bounds | None = None) -> tuple[Checker, ...]:
-    """Return one checker for each promise."""
-    within = bounds if bounds is not None else Bounds()
+    """Return one checker for each guarantee."""
+    limits = bounds if bounds is not None else Bounds()
     return (
-        OneSnapshot(),
-        TrueCoverage(),
-        ColdCap(),
-        OutMeansOut(within),
-        OwnWholeAnswer(),
-        NotRunIsTrue(),
+        SnapshotConsistency(),
+        CoverageAccuracy(),
+        ColdStartLimit(),
+        NoWorkAfterTakeOut(limits),
+        AnswerIntegrity(),
+        NotRunAccuracy(),
         AtMostOnce(),
-        LeavingLeftAlone(within),
+        NoWorkWhileLeaving(limits),
         GracefulShutdown(),
-        RevisionsHold(within),
+        RevisionPropagation(limits),
     )
 
 
 def judge(history: History, bounds: Bounds | None = None) -> tuple[Violation, ...]:
-    """Return every violation that the checkers find."""
+    """Return all violations that the checkers find in a history."""
     found = [each for checker in checkers(bounds) for each in checker.find(history)]
-    answered = sum(one.told is Told.ANSWER for one in history.tries)
+    answered = sum(one.told is OutcomeKind.ANSWER for one in history.tries)
     if not answered or history.dropped:
-        said = f"{answered} answers, {history.dropped} records dropped"
-        found.append(Violation(promise=PROVES_SOMETHING, said=said))
+        description = f"{answered} answers, {history.dropped} records dropped"
+        found.append(Violation(guarantee=COMPLETE_HISTORY, description=description))
     return tuple(found)
--- a/libs/bench/berylspindle_bench/history_work.py
+++ b/libs/bench/berylspindle_bench/history_work.py
@@ -1,12 +1,10 @@
-"""Checkers of what work reached the backend servers, by the log of the stand-ins.
+"""Checkers of the work that reached backend servers, based on the call log of the stand-ins.
 
 Terms:
-  arrival   a call that reached a server, whether the server let it in or turned it away
-  excused   a call too many that nobody could know of: the server had just turned cold unannounced
-            and had given no sign of it yet
+  arrival   a call that reached a server, whether the server admitted or refused it
 
-Flow: the log is in order of time for each server; tries tell what callers were told. Each checker
-compares the two.
+Flow: the call log is in order of time for each server. The checkers compare it with the outcomes of
+tries, with the steps of faults, and with the slots of servers.
 """
 
 from __future__ import annotations
@@ -31,16 +29,16 @@
 )
 
 
-class ColdCap(Checker):
-    """A backend server in a cold start gets no more than its cold slots at once."""
+class ColdStartLimit(Checker):
+    """Check that calls in flight at a server in a cold start do not exceed its cold slots."""
 
-    promise = "a backend server in a cold start gets no more work than it bears"
+    guarantee = "a backend server in a cold start gets no more calls at once than its cold slots"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield calls too many, but for the first after an unannounced cold start.
+        """Yield excess calls, except for those between an unannounced cold start and the crash.
 
-        That one makes the server fall, which resets every connection: from then on whoever sends
-        to it has been told.
+        Callers cannot know of the cold start before the first excess call. That call crashes the
+        server, which resets all connections and so signals the cold start to every sender.
         """
         slots = {server.id: server.cold_slots for server in history.configuration.servers}
         unannounced: set[str] = set()
@@ -49,102 +47,113 @@
                 unannounced.add(call.server)
             elif call.step in (CallStep.FELL, CallStep.TURNED_WARM):
                 unannounced.discard(call.server)
-            over = call.step is CallStep.OVERRUN or (
+            over_limit = call.step is CallStep.OVERRUN or (
                 call.step is CallStep.ADMITTED
                 and call.cold
                 and call.in_flight > slots.get(call.server, call.in_flight)
             )
-            if over and call.server not in unannounced:
-                said = f"{call.server} in a cold start got its call number {call.in_flight} at once"
-                yield self.violation(history, said, server=call.server, around=call.wall)
+            if over_limit and call.server not in unannounced:
+                description = f"{call.server} in a cold start got {call.in_flight} calls at once"
+                yield self.violation(history, description, server=call.server, around=call.wall)
 
 
-class OutMeansOut(Checker):
-    """A data centre that was taken out gets no new work once the bound has passed."""
+class NoWorkAfterTakeOut(Checker):
+    """Check that a data centre that was taken out gets no new work after the bound."""
 
-    promise = "a few seconds after operators take a data centre out, it gets no new work"
+    guarantee = "a few seconds after operators take a data centre out, it gets no new work"
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds: Final = bounds
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield the first arrival at each server in each span of being out."""
+        """Yield the first late arrival at each server in each period out of service."""
         place = {server.id: server.data_centre for server in history.configuration.servers}
         for step in history.steps:
             if step.kind is not StepKind.TAKEN_OUT:
                 continue
-            begin = step.wall + self._bounds.out
+            begin = step.wall + self._bounds.take_out
             end = _next_step(history, step.begun, StepKind.RETURNING, step.subject)
-            late = _first_arrivals(history, begin, end)
-            for server, call in late.items():
+            late_arrivals = _first_arrivals(history, begin, end)
+            for server, call in late_arrivals.items():
                 if place.get(server) == step.subject:
-                    said = f"{server} got work {call.wall - step.wall:.1f} s after its data centre"
-                    said += f" {step.subject} was taken out"
-                    yield self.violation(history, said, text=call.text)
+                    description = (
+                        f"{server} got work {call.wall - step.wall:.1f} s after its data centre"
+                    )
+                    description += f" {step.subject} was taken out"
+                    yield self.violation(history, description, text=call.text)
 
 
-class LeavingLeftAlone(Checker):
-    """A backend server that drains or is retired gets no new work once the bound has passed."""
+class NoWorkWhileLeaving(Checker):
+    """Check that a draining or retired backend server gets no new work after the bound."""
 
-    promise = "a few seconds after a backend server starts leaving, it gets no new work"
+    guarantee = "a few seconds after a backend server starts leaving, it gets no new work"
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds: Final = bounds
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield the first arrival at each leaving server."""
-        for server, start, end in _leaving(history):
+        """Yield the first late arrival at each server that drains or is retired."""
+        for server, start, end in _leaving_spans(history):
             call = _first_arrivals(history, start + self._bounds.leaving, end).get(server)
             if call is not None:
-                said = f"{server} got work {call.wall - start:.1f} s after it started leaving"
-                yield self.violation(history, said, text=call.text)
+                description = (
+                    f"{server} got work {call.wall - start:.1f} s after its drain or retirement"
+                )
+                yield self.violation(history, description, text=call.text)
 
 
-class NotRunIsTrue(Checker):
-    """What callers were told did not run never started at a backend server."""
+class NotRunAccuracy(Checker):
+    """Check that requests refused as "not run" never started at a backend server."""
 
-    promise = 'a refusal that says "not run" is true'
+    guarantee = 'a refusal that says "not run" is true'
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield tries that were told "not run" and ran."""
+        """Yield tries with the outcome "not run" that ran."""
         tries: dict[str, list[Try]] = defaultdict(list)
-        for one in history.tries:
-            tries[one.text].append(one)
-        for text, calls in _started(history).items():
-            # Tries of one text can't be told apart at the server. What ran must fall to one that
-            # was not told "not run", so it can't have started before the first of those began.
-            may = min((one.start for one in tries[text] if not one.not_run), default=None)
-            early = [call for call in calls if may is None or call.wall < may]
+        for try_ in history.tries:
+            tries[try_.text].append(try_)
+        for text, calls in _started_by_text(history).items():
+            # The log does not distinguish tries with the same text. A call must belong to a try
+            # with an outcome other than "not run", so it can't precede the first such try.
+            earliest_start = min(
+                (try_.start for try_ in tries[text] if not try_.not_run), default=None
+            )
+            early = [call for call in calls if earliest_start is None or call.wall < earliest_start]
             if early and tries[text]:
-                said = f"{text!r} ran on {early[0].server} though only not-run tries had been made"
-                yield self.violation(history, said, text=text)
+                description = (
+                    f"{text!r} ran on {early[0].server} although all tries so far got not run"
+                )
+                yield self.violation(history, description, text=text)
 
 
 class AtMostOnce(Checker):
-    """One idempotency key starts at most once, and exactly once where its outcome was told."""
+    """Check that a key starts at most once, and exactly once if a caller got its outcome."""
 
-    promise = "a request that may not be repeated runs at most once"
+    guarantee = "a non-idempotent request runs at most once"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield keys that ran twice, and outcomes of what did not run there."""
+        """Yield keys that ran more than once, and outcomes from servers that did not run them."""
         started = {
             text: [call for call in calls if call.execute]
-            for text, calls in _started(history).items()
+            for text, calls in _started_by_text(history).items()
         }
         for key, calls in started.items():
             if len(calls) > 1:
                 servers = ", ".join(call.server for call in calls)
                 yield self.violation(history, f"{key!r} ran on {servers}", text=key)
-        for one in history.tries:
-            if one.executed is None:
+        for try_ in history.tries:
+            if try_.executed is None:
                 continue
-            ran_on = {call.server for call in started.get(one.text, [])}
-            if one.executed.server not in ran_on:
-                said = f"{one.text!r} was told to have run on {one.executed.server} and did not"
-                yield self.violation(history, said, text=one.text)
+            ran_on = {call.server for call in started.get(try_.text, [])}
+            if try_.executed.server not in ran_on:
+                description = (
+                    f"{try_.text!r} did not run on {try_.executed.server}, "
+                    "the server that its outcome names"
+                )
+                yield self.violation(history, description, text=try_.text)
 
 
-def _leaving(history: History) -> Iterator[tuple[str, float, float]]:
+def _leaving_spans(history: History) -> Iterator[tuple[str, float, float]]:
     for call in history.calls:
         if call.step is CallStep.DRAIN:
             ends = (
@@ -179,7 +188,7 @@
     return call.step in (CallStep.ADMITTED, CallStep.OVERRUN)
 
 
-def _started(history: History) -> dict[str, list[LoggedStep]]:
+def _started_by_text(history: History) -> dict[str, list[LoggedStep]]:
     started: dict[str, list[LoggedStep]] = defaultdict(list)
     for call in history.calls:
         if call.step is CallStep.STARTED:
--- a/libs/bench/berylspindle_bench/load.py
+++ b/libs/bench/berylspindle_bench/load.py
@@ -1,12 +1,12 @@
-"""Load as callers make it: searches at drawn times, whatever the answers do.
+"""Generate an open-loop search load and summarise its outcomes.
 
 Terms:
-  open loop   requests start at their drawn times, also while earlier ones are still out; a loop
-              that waits for answers would slow down with the system and hide how late it is
-  sample      one request and what its caller got
+  open loop   requests start at random times that do not depend on outstanding requests; a closed
+              loop would slow down with the system and so hide its latency
+  sample      one request and its outcome
 
-Flow: `run_load` draws the times, callers, services and queries from a seed, sends each request
-through the daemon that a balancer would take next, and returns all samples. `Report` sums them up.
+Flow: `run_load` derives start times, callers, services and queries from a seed, sends each request
+to the daemon that `Balancer` selects, and returns all samples. `Report` aggregates them.
 """
 
 from __future__ import annotations
@@ -33,24 +33,35 @@
 from berylspindle_wire.client import HttpClient
 from berylspindle_wire.http_client import HttpFailure
 
-_HIGHEST_US: Final = 120_000_000
-CHECK_SECONDS: Final = 0.25
-# One process of this load sends some 300 requests a second in time.
-LOADERS: Final = 3
-WORDS: Final = ("junmai", "ginjo", "lot", "kamba", "harvest", "hold", "yamahai", "rope", "batch")
+_MAX_LATENCY_US: Final = 120_000_000
+READINESS_INTERVAL_S: Final = 0.25
+# One process starts about 300 requests per second without falling behind schedule.
+LOAD_PROCESSES: Final = 3
+QUERY_WORDS: Final = (
+    "junmai",
+    "ginjo",
+    "lot",
+    "kamba",
+    "harvest",
+    "hold",
+    "yamahai",
+    "rope",
+    "batch",
+)
 
 
 @attrs.frozen(kw_only=True)
 class LoadPlan:
-    """What load to make.
+    """Parameters of a load.
 
     Attributes:
-        rate: requests a second over all callers.
-        seconds: how long requests start.
-        services: services searched, each as often.
-        callers: names of callers, each as often.
-        deadline_ms: deadline that each caller gives.
-        queries: different queries drawn from.
+        rate: requests per second over all callers.
+        seconds: time span in which requests start.
+        services: services to search, chosen with equal probability.
+        callers: names of callers, chosen with equal probability.
+        deadline_ms: deadline of each request.
+        queries: number of distinct numbers in the query texts.
+        seed: seed of the random number generator.
     """
 
     rate: float
@@ -64,7 +75,7 @@
 
 @attrs.frozen(kw_only=True)
 class Sample:
-    """One request. `started` is in seconds since the load began."""
+    """One request and its outcome. `started` is in seconds since the start of the load."""
 
     started: float
     elapsed_ms: float
@@ -74,14 +85,14 @@
 
 
 class Report:
-    """What callers got, over some samples."""
+    """Statistics over a sequence of samples."""
 
     def __init__(self, samples: Sequence[Sample]) -> None:
         self._samples: Final = tuple(samples)
         self._answers = [s for s in self._samples if isinstance(s.outcome, SearchAnswer)]
-        self._digest: Final = HdrHistogram(1, _HIGHEST_US, 3)
+        self._histogram: Final = HdrHistogram(1, _MAX_LATENCY_US, 3)
         for sample in self._answers:
-            self._digest.record_value(max(1, int(sample.elapsed_ms * 1000)))
+            self._histogram.record_value(max(1, int(sample.elapsed_ms * 1000)))
 
     @property
     def asked(self) -> int:
@@ -90,25 +101,25 @@
 
     @property
     def answered(self) -> int:
-        """Return the number of requests that got an answer, whole or partial."""
+        """Return the number of requests that got a complete or partial answer."""
         return len(self._answers)
 
     @property
     def whole(self) -> int:
-        """Return the number of answers without a missing shard."""
-        return sum(not s.outcome.coverage.missing for s in self._of_answers())
+        """Return the number of answers without missing shards."""
+        return sum(not s.outcome.coverage.missing for s in self._answered_samples())
 
     @property
     def coverage(self) -> float:
-        """Return the mean share of shards that answers speak for, 0 to 1; 0 without answers."""
+        """Return the mean share of shards that answers cover, 0 to 1; 0 without answers."""
         shares = [
-            s.outcome.coverage.answered / s.outcome.coverage.asked for s in self._of_answers()
+            s.outcome.coverage.answered / s.outcome.coverage.asked for s in self._answered_samples()
         ]
         return sum(shares) / len(shares) if shares else 0.0
 
     @property
     def kinds(self) -> Counter[str]:
-        """Return how often each kind of refusal or failure came."""
+        """Return the number of refusals and failures of each kind."""
         return Counter(
             s.outcome.kind.value if isinstance(s.outcome, Refused) else type(s.outcome).__name__
             for s in self._samples
@@ -117,25 +128,25 @@
 
     @property
     def not_run(self) -> int:
-        """Return the number of requests refused as not run."""
+        """Return the number of requests refused with the run state `NOT_RUN`."""
         return sum(
             isinstance(s.outcome, Refused) and s.outcome.run is RunState.NOT_RUN
             for s in self._samples
         )
 
     def quantile_ms(self, share: float) -> float:
-        """Return the latency of answers at a quantile, 0 without answers."""
-        return float(self._digest.get_value_at_percentile(share * 100)) / 1000
+        """Return a quantile of the latency of answers; 0 without answers. `share` is in [0, 1]."""
+        return float(self._histogram.get_value_at_percentile(share * 100)) / 1000
 
     def between(self, start: float, end: float) -> Report:
-        """Return the report of the requests that started in a span of seconds."""
+        """Return the report of the requests that started in [start, end), in seconds."""
         return Report([s for s in self._samples if start <= s.started < end])
 
     def of_caller(self, caller: str) -> Report:
         """Return the report of one caller's requests."""
         return Report([s for s in self._samples if s.caller == caller])
 
-    def _of_answers(self) -> list[_Answered]:
+    def _answered_samples(self) -> list[_Answered]:
         return [_Answered(s.outcome) for s in self._answers if isinstance(s.outcome, SearchAnswer)]
 
 
@@ -145,24 +156,27 @@
 
 
 class Balancer:
-    """What a balancer does: it sends to the next daemon that answered its last readiness check."""
+    """Round-robin load balancer over the daemons whose last readiness check succeeded.
+
+    If no daemon is ready, it uses all of them.
+    """
 
     def __init__(self, daemons: Sequence[Address]) -> None:
         self._daemons: Final = tuple(daemons)
         self._unready: set[Address] = set()
-        self._turn = 0
+        self._next_index = 0
 
     def next(self) -> Address:
-        """Return the daemon that the next request goes to."""
+        """Return the daemon for the next request."""
         usable = [one for one in self._daemons if one not in self._unready] or self._daemons
-        self._turn += 1
-        return usable[self._turn % len(usable)]
+        self._next_index += 1
+        return usable[self._next_index % len(usable)]
 
     async def check(self) -> None:
-        """Check every daemon again and again, until cancelled."""
+        """Check the readiness of all daemons periodically until cancelled."""
         while True:
             await asyncio.gather(*(self._check(daemon) for daemon in self._daemons))
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(READINESS_INTERVAL_S)
 
     async def _check(self, daemon: Address) -> None:
         async with HttpClient(daemon.host, daemon.port) as client:
@@ -175,11 +189,11 @@
 
 
 def run_loads(plan: LoadPlan, daemons: Sequence[Address]) -> list[Sample]:
-    """Make the load from several processes, since one could not send it all in time."""
-    part = attrs.evolve(plan, rate=plan.rate / LOADERS)
-    plans = [attrs.evolve(part, seed=plan.seed * LOADERS + n) for n in range(LOADERS)]
-    with ProcessPoolExecutor(LOADERS, mp_context=get_context("spawn")) as pool:
-        parts = list(pool.map(_run_part, plans, [tuple(daemons)] * LOADERS))
+    """Run the load in several processes, since one alone would fall behind schedule."""
+    part = attrs.evolve(plan, rate=plan.rate / LOAD_PROCESSES)
+    plans = [attrs.evolve(part, seed=plan.seed * LOAD_PROCESSES + n) for n in range(LOAD_PROCESSES)]
+    with ProcessPoolExecutor(LOAD_PROCESSES, mp_context=get_context("spawn")) as pool:
+        parts = list(pool.map(_run_part, plans, [tuple(daemons)] * LOAD_PROCESSES))
     return [sample for part in parts for sample in part]
 
 
@@ -188,8 +202,8 @@
 
 
 async def run_load(plan: LoadPlan, daemons: Sequence[Address]) -> list[Sample]:
-    """Make the load through a balancer's eyes and return all samples."""
-    draw = random.Random(plan.seed)
+    """Run the load through a `Balancer` and return all samples."""
+    rng = random.Random(plan.seed)
     samples: list[Sample] = []
     tasks: list[asyncio.Task[None]] = []
     async with AsyncExitStack() as stack:
@@ -205,19 +219,21 @@
         stack.callback(checking.cancel)
         begin = time.monotonic()
         due = 0.0
-        while (due := due + draw.expovariate(plan.rate)) < plan.seconds:
+        while (due := due + rng.expovariate(plan.rate)) < plan.seconds:
             await asyncio.sleep(max(0.0, begin + due - time.monotonic()))
             address = balancer.next()
-            caller = draw.choice(plan.callers)
-            service = draw.choice(plan.services)
-            query = f"{draw.choice(WORDS)} {draw.randrange(plan.queries)}"
-            work = _one(clients[address, caller], plan, begin, caller, service, query, samples)
+            caller = rng.choice(plan.callers)
+            service = rng.choice(plan.services)
+            query = f"{rng.choice(QUERY_WORDS)} {rng.randrange(plan.queries)}"
+            work = _send_request(
+                clients[address, caller], plan, begin, caller, service, query, samples
+            )
             tasks.append(asyncio.get_running_loop().create_task(work))
         await asyncio.gather(*tasks)
     return samples
 
 
-async def _one(
+async def _send_request(
     client: CallerClient,
     plan: LoadPlan,
     begin: float,
--- a/libs/bench/berylspindle_bench/main.py
+++ b/libs/bench/berylspindle_bench/main.py
@@ -1,6 +1,6 @@
 """The program berylspindle-bench: demonstration, measures, history checks, capacity.
 
-Each command is one module; this one only reads the command line.
+This module only parses the command line; other modules implement the commands.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 @app.command
 def demo(*, deployment: str = "kurabito", logs: Path | None = None) -> int:
-    """Start a deployment on this machine, use it, and check what callers got.
+    """Run a deployment on this machine, send requests and check their outcomes.
 
     Args:
         deployment: kurabito, pwani-kamba or small.
-        logs: folder for the processes' logs; a new temporary one if not given.
+        logs: folder for the logs of processes; by default a new temporary folder.
     """
     if deployment not in DEPLOYMENTS:
         print(f"unknown deployment {deployment}: use {', '.join(DEPLOYMENTS)}", file=sys.stderr)
@@ -47,7 +47,7 @@
 
 @app.command
 def measures(*, deployment: str = "kurabito", out: Path = Path("out/measures")) -> int:
-    """Measure tail latency, coverage, extra load and service while a data centre leaves.
+    """Measure tail latency, coverage, extra load, and service during a data centre take-out.
 
     Args:
         deployment: kurabito, pwani-kamba or small.
@@ -66,10 +66,10 @@
 
 @app.command
 def capacity(*, page: Path = Path("docs/MEASUREMENTS.md")) -> int:
-    """Measure the slopes of each part and write the tables of the page on capacity.
+    """Measure the cost slopes of each component and update the tables of the capacity page.
 
     Args:
-        page: the page; its points go to capacity-points.json beside it.
+        page: path of the page; the data points go to capacity-points.json in the same folder.
     """
     measured = measure_capacity()
     write_capacity(measured, page)
@@ -80,7 +80,7 @@
 
 @app.command
 def control() -> int:
-    """Measure what control costs a node, and how fast a change is in force, at 8, 32 and 128."""
+    """Measure control-plane cost per node and propagation time at 8, 32 and 128 nodes."""
     control_rates.main()
     return 0
 
@@ -89,14 +89,14 @@
 def baseline(
     *, policy: BaselinePolicy, listen_port: int, store_port: int, vms: int = 8, seed: int = 1
 ) -> int:
-    """Serve one VM of a baseline, for the measures.
+    """Run one VM of a baseline policy, for the command measures.
 
     Args:
-        policy: how replicas are chosen and bounded.
-        listen_port: port of the callers' edge.
+        policy: replica selection and concurrency limit.
+        listen_port: port for callers.
         store_port: port of the platform's store.
-        vms: number of baseline VMs, which share each server's slots.
-        seed: start of the random choice.
+        vms: number of baseline VMs, which share the slots of each server.
+        seed: seed of the random replica selection.
     """
     work = run_baseline(policy, vms=vms, listen_port=listen_port, store_port=store_port, seed=seed)
     asyncio.run(work)
@@ -114,23 +114,23 @@
     at_once: int = 4,
     out: Path = HISTORY_OUT,
 ) -> int:
-    """Run a small deployment with faults and check every promise over its history.
+    """Run a small deployment with injected faults and check every guarantee on its history.
 
     Args:
-        seed: start of all random numbers of one run.
-        seeds: several runs with these seeds, as 1-20; goes before seed.
-        faults: names with commas between; without any the callers work undisturbed.
-        scope: the named faults, every fault alone, every pair, or all of it.
-        every: the same as the scope all: every fault with 20 seeds, every pair with 3.
-        at_once: runs that go on at the same time.
-        out: folder for results, and for the histories that broke a promise.
+        seed: random seed of one run.
+        seeds: range of seeds, one run each, such as 1-20; overrides seed.
+        faults: comma-separated names of faults; by default none.
+        scope: the named faults, every fault alone, every pair, or all of these.
+        every: same as scope all: every fault with 20 seeds, every pair with 3.
+        at_once: number of concurrent runs.
+        out: folder for results, and for the histories with violations.
     """
     try:
-        plans = history_campaign.plans_of(
+        plans = history_campaign.parse_plans(
             seeds or str(seed), faults, history_campaign.Scope.ALL if every else scope
         )
     except ValueError as error:
-        print(f"cannot run that: {error}", file=sys.stderr)
+        print(f"invalid arguments: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     return history_campaign.history(plans, out, at_once)
 
@@ -139,18 +139,18 @@
 def experiment(
     day: Path, *, policy: list[str] | None = None, seeds: int = 5, plot: Path | None = None
 ) -> int:
-    """Compare policies of forwarding on a day file, on a clock of events.
+    """Compare forwarding policies on a workload from a day file, in a discrete-event simulation.
 
     Args:
-        day: the day file, such as deploy/experiments/bursts.toml.
-        policy: switches as BERYLSPINDLE_POLICY takes them; give it once for each policy to compare.
-        seeds: how many seeds each policy is played with.
-        plot: a picture of the credit by second.
+        day: day file, such as deploy/experiments/bursts.toml.
+        policy: switches in the format of BERYLSPINDLE_POLICY; repeat it to compare policies.
+        seeds: number of seeds to run each policy with.
+        plot: output path of a plot of the credit by second.
     """
     try:
         results = compare(read_day(day), policy or [""], range(1, seeds + 1))
     except (DayError, ValueError) as error:
-        print(f"cannot play that: {error}", file=sys.stderr)
+        print(f"invalid experiment: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     Console(width=120).print(experiment_table(results))
     if plot is not None:
--- a/libs/bench/berylspindle_bench/page_links.py
+++ b/libs/bench/berylspindle_bench/page_links.py
@@ -1,12 +1,12 @@
-"""Find references in the documentation to files that are not there.
+"""Find references in the documentation to files that do not exist.
 
 Terms:
   page       a Markdown file: the README, or one below docs/
   link       the target of a Markdown link, relative to its page
   path       a file of the repository named in the text, relative to the root
 
-Flow: `missing` reads every page and yields each reference without a file; `main` prints them and
-exits with 1 if there are any.
+Flow: `missing` yields each reference to a file that does not exist; `main` prints them and returns
+1 if there are any.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Reference:
-    """A file that a page names, with the page and the line; the page is relative to the root."""
+    """A reference from a line of a page to a file; `page` is relative to the root."""
 
     page: Path
     line: int
@@ -38,7 +38,7 @@
 
 
 def missing(root: Path) -> Iterator[Reference]:
-    """Yield the references of all pages below `root` to files that do not exist."""
+    """Yield the references to files that do not exist, over all pages below `root`."""
     for page in (root / "README.md", *sorted((root / "docs").rglob("*.md"))):
         for number, line in enumerate(page.read_text().splitlines(), 1):
             targets = [(page.parent, link) for link in _LINK.findall(line)]
@@ -49,7 +49,7 @@
 
 
 def main() -> int:
-    """Print what is missing below the working directory; return the exit code."""
+    """Print the dangling references below the working directory; return the exit code."""
     found = list(missing(Path.cwd()))
     for reference in found:
         print(reference)
--- a/libs/bench/berylspindle_bench/plots.py
+++ b/libs/bench/berylspindle_bench/plots.py
@@ -1,8 +1,9 @@
-"""Draw the measures: what callers get by load, and while a data centre leaves and returns.
+"""Plot the results of `measures` and of experiments.
 
-Flow: `draw_measures` takes the rows of `measures` and writes two pictures beside them;
-`draw_experiment` draws what policies earn second by second. Each system has the same colour
-everywhere, and the project's own line is the thick one.
+Flow: `draw_measures` plots the rows of `measures` by load, and before, during and after the
+take-out of a data centre; `draw_experiment` plots the credit of policies by second. Systems are
+drawn in the order of the rows, so each has the same colour in all panels; the line of this project
+is thicker than the others.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from berylspindle_bench.measures import OWN, Row
 
 _PANELS: Final[tuple[tuple[str, Callable[[Row], float]], ...]] = (
-    ("whole answers a second", lambda row: row.whole),
+    ("complete answers per second", lambda row: row.whole),
     ("99th percentile, ms", lambda row: row.p99_ms),
     ("coverage of answers, %", lambda row: row.coverage * 100),
     ("extra load, %", lambda row: row.extra_load * 100),
@@ -30,7 +31,7 @@
 
 
 def draw_measures(rows: Sequence[Row], folder: Path) -> list[Path]:
-    """Write sweep.png and leave.png into a folder and return their paths."""
+    """Write sweep.png and leave.png to a folder and return their paths."""
     sweep, leave = folder / "sweep.png", folder / "leave.png"
     _draw_sweep([row for row in rows if row.scenario == "load sweep"], sweep)
     _draw_leave([row for row in rows if row.scenario == "data centre leaves"], leave)
@@ -38,12 +39,12 @@
 
 
 def draw_experiment(results: Sequence[PolicyResult], path: Path) -> None:
-    """Write a picture of the credit by second, one line a policy."""
+    """Write a plot of the credit by second, one line per policy."""
     figure, panel = plt.subplots(figsize=(9, 4), layout="constrained")
     for result in results:
-        panel.plot(result.by_second, label=result.policy or "as it is")
+        panel.plot(result.by_second, label=result.policy or "default")
     panel.set_xlabel("second")
-    panel.set_ylabel("credit, of what was owed")
+    panel.set_ylabel("credit, as a share of the maximum")
     panel.set_ylim(0.0, 1.05)
     panel.legend()
     figure.savefig(path)
@@ -54,10 +55,12 @@
     figure, axes = plt.subplots(2, 2, figsize=(10, 7), layout="constrained")
     for panel, (title, value) in zip(axes.flat, _PANELS, strict=True):
         for system in dict.fromkeys(row.system for row in rows):
-            mine = [row for row in rows if row.system == system]
+            of_system = [row for row in rows if row.system == system]
             width = 2.5 if system == OWN else 1.2
-            factors = [row.factor for row in mine]
-            panel.plot(factors, [value(row) for row in mine], marker=".", lw=width, label=system)
+            factors = [row.factor for row in of_system]
+            panel.plot(
+                factors, [value(row) for row in of_system], marker=".", lw=width, label=system
+            )
         _label(panel, title, "load, as a share of saturation")
     axes.flat[0].legend()
     figure.savefig(path)
@@ -72,10 +75,10 @@
     )
     for panel, (title, value) in zip(axes.flat, values, strict=True):
         for system in dict.fromkeys(row.system for row in rows):
-            mine = [row for row in rows if row.system == system]
+            of_system = [row for row in rows if row.system == system]
             width = 2.5 if system == OWN else 1.2
-            names = ["before", "while out", "after return"][: len(mine)]
-            panel.plot(names, [value(row) for row in mine], marker="o", lw=width, label=system)
+            names = ["before", "while out", "after return"][: len(of_system)]
+            panel.plot(names, [value(row) for row in of_system], marker="o", lw=width, label=system)
         _label(panel, title, "")
     axes.flat[0].legend()
     figure.savefig(path)
--- a/libs/bench/berylspindle_bench/process.py
+++ b/libs/bench/berylspindle_bench/process.py
@@ -1,7 +1,8 @@
-"""Programs of this project as processes, each with a log of its own.
+"""Run programs of this project as child processes, each with its own log file.
 
-Flow: `start_process` starts a program that is installed beside this interpreter; its output goes to
-NAME.log, so that a restarted one goes on in the same file. Whoever starts a process stops it.
+Flow: `start_process` starts a program from the directory of the running interpreter and appends its
+output to NAME.log, so that a restarted process continues the same file. The caller of
+`start_process` must stop the process.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from pathlib import Path
 from typing import Final
 
-STOP_SECONDS: Final = 10.0
+STOP_TIMEOUT_S: Final = 10.0
 
 
 class Process:
-    """One program with its log."""
+    """A child process and its log file."""
 
     def __init__(self, name: str, child: asyncio.subprocess.Process, log: Path) -> None:
         self.name: Final = name
@@ -32,21 +33,21 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether it has not ended."""
+        """Return whether the process has not exited."""
         return self._child.returncode is None
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code, or None while it runs."""
+        """Return the exit code, or None while the process runs."""
         return self._child.returncode
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process still runs."""
         if self.is_running:
             self._child.send_signal(number)
 
-    async def wait(self, timeout: float = STOP_SECONDS) -> int:
-        """Return the exit code; a process that does not end in time is killed."""
+    async def wait(self, timeout: float = STOP_TIMEOUT_S) -> int:
+        """Wait for the process and return its exit code; kill it after `timeout` seconds."""
         try:
             return await asyncio.wait_for(self._child.wait(), timeout)
         except TimeoutError:
@@ -54,7 +55,10 @@
             return await self._child.wait()
 
     async def stop(self) -> int:
-        """End it by SIGTERM and return its exit code."""
+        """Stop the process with SIGTERM and return its exit code.
+
+        SIGCONT comes first, since a stopped process does not handle SIGTERM.
+        """
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         return await self.wait()
@@ -63,7 +67,10 @@
 async def start_process(
     folder: Path, name: str, program: str, flags: Sequence[str], environment: Mapping[str, str]
 ) -> Process:
-    """Start a program with flags and variables of its own, and none of those it might inherit."""
+    """Start a program with the given flags and environment.
+
+    Inherited variables with the prefix BERYLSPINDLE_ are dropped.
+    """
     log = folder / f"{name}.log"
     path = Path(sys.executable).parent / program
     inherited = {k: v for k, v in os.environ.items() if not k.startswith("BERYLSPINDLE_")}
--- a/tests/history/test_checkers.py
+++ b/tests/history/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker passes a good history and finds exactly the one planted violation of a bad one."""
+"""Checkers accept a valid history and find exactly the one violation of an invalid one."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     Confirmed,
     History,
     Life,
+    OutcomeKind,
     Step,
     StepKind,
-    Told,
     Try,
     write_history,
 )
@@ -35,7 +35,7 @@
 
 CONFIGURATION = small(17000)
 FIRST, SECOND = Snapshot(1, 1), Snapshot(1, 2)
-AWAY = "test-a"
+TAKEN_OUT = "test-a"
 SERVER = "lots-0-0"
 
 
@@ -65,7 +65,7 @@
         request_id=f"id-{text}",
         start=start,
         end=start + 0.02,
-        told=Told.ANSWER,
+        told=OutcomeKind.ANSWER,
         answer=answer(text),
     )
     return attrs.evolve(base, **more)
@@ -73,7 +73,7 @@
 
 def refused(number: int, text: str, start: float, **more: object) -> Try:
     why = Refused(kind=ErrorKind.OVERLOADED, run=RunState.NOT_RUN)
-    base = search(number, text, start, told=Told.REFUSED, answer=None, refused=why)
+    base = search(number, text, start, told=OutcomeKind.REFUSED, answer=None, refused=why)
     return attrs.evolve(base, **more)
 
 
@@ -88,7 +88,7 @@
 
 
 class Log:
-    """Write the stand-ins' log with its sequence."""
+    """Build a call log of the stand-ins with its sequence numbers."""
 
     def __init__(self) -> None:
         self.steps: list[LoggedStep] = []
@@ -102,12 +102,12 @@
             self.add(wall, step, server, attempt=f"a-{text}", text=text, in_flight=1, **more)
 
 
-def good_calls() -> tuple[LoggedStep, ...]:
-    """Return a log with a bit of everything that must be let pass."""
+def valid_calls() -> tuple[LoggedStep, ...]:
+    """Return a log with all kinds of calls that are no violations."""
     log = Log()
     log.run(100.01, "plain")
     log.run(101.01, "hold-1", execute=True)
-    # An unannounced cold start: the first call too many is excused, and the server falls by it.
+    # The first excess call after an unannounced cold start is no violation; it crashes the server.
     log.add(102.0, CallStep.TURNED_COLD, cold=True)
     log.add(102.1, CallStep.OVERRUN, text="gone", in_flight=2, cold=True)
     log.add(102.1, CallStep.FELL, cold=True)
@@ -118,14 +118,16 @@
     return tuple(log.steps)
 
 
-def good() -> History:
-    """Return a history that keeps every promise."""
+def valid_history() -> History:
+    """Return a history without violations."""
     return History(
         configuration=CONFIGURATION,
         final=attrs.evolve(
             CONFIGURATION,
             revision=2,
-            intents=(IntentRecord(id="p", kind="take_out", subject=AWAY, operator="", revision=2),),
+            intents=(
+                IntentRecord(id="p", kind="take_out", subject=TAKEN_OUT, operator="", revision=2),
+            ),
         ),
         tries=(
             search(1, "plain", 100.0),
@@ -134,10 +136,16 @@
             refused(4, "never", 101.5),
             search(5, "last", 115.0, vm="test-b-vm1"),
         ),
-        calls=good_calls(),
+        calls=valid_calls(),
         steps=(
-            Step(wall=105.0, fault="out-back", kind=StepKind.TAKEN_OUT, subject=AWAY, begun=104.9),
-            Step(wall=114.0, fault="out-back", kind=StepKind.RETURNING, subject=AWAY),
+            Step(
+                wall=105.0,
+                fault="out-back",
+                kind=StepKind.TAKEN_OUT,
+                subject=TAKEN_OUT,
+                begun=104.9,
+            ),
+            Step(wall=114.0, fault="out-back", kind=StepKind.RETURNING, subject=TAKEN_OUT),
         ),
         lives=(
             Life(vm="test-a-vm1", vm_id="a1", start=99.0, terminated=106.0, end=108.0, exit_code=0),
@@ -152,37 +160,39 @@
 
 
 def with_tries(*tries: Try) -> History:
-    return attrs.evolve(good(), tries=(*good().tries, *tries))
+    return attrs.evolve(valid_history(), tries=(*valid_history().tries, *tries))
 
 
 def with_calls(add: Callable[[Log], None]) -> History:
     log = Log()
-    log.steps = list(good().calls)
+    log.steps = list(valid_history().calls)
     add(log)
-    return attrs.evolve(good(), calls=tuple(log.steps))
+    return attrs.evolve(valid_history(), calls=tuple(log.steps))
 
 
-def changed(text: str, **more: object) -> Try:
+def search_with_answer(text: str, **more: object) -> Try:
     return search(50, text, 100.0, answer=attrs.evolve(answer(text), **more))
 
 
 def hit_of_a_newer_version() -> History:
     hits = (shard_hits("lots", "0", SECOND, "mixed")[0], *answer("mixed").hits[1:])
     hits = tuple(sorted(hits, key=lambda hit: (-hit.score, hit.id)))
-    return with_tries(changed("mixed", hits=hits))
+    return with_tries(search_with_answer("mixed", hits=hits))
 
 
-def shard_counted_that_is_not_there() -> History:
+def missing_shard_counted_as_answered() -> History:
     hollow = answer("hollow", missing=("3",))
-    return with_tries(changed("hollow", hits=hollow.hits, coverage=Coverage(asked=4, answered=4)))
+    return with_tries(
+        search_with_answer("hollow", hits=hollow.hits, coverage=Coverage(asked=4, answered=4))
+    )
 
 
 def answer_to_another_query() -> History:
     hits: tuple[Hit, ...] = merged_hits("lots", "0123", FIRST, "other")[:10]
-    return with_tries(changed("crossed", hits=hits))
+    return with_tries(search_with_answer("crossed", hits=hits))
 
 
-def call_too_many_in_a_cold_start() -> History:
+def excess_call_in_a_cold_start() -> History:
     return with_calls(
         lambda log: log.add(103.5, CallStep.OVERRUN, text="x", in_flight=2, cold=True)
     )
@@ -205,64 +215,67 @@
     return with_calls(lambda log: log.run(109.0, "late-work", "lots-1-0"))
 
 
-def search_cut_by_a_shutdown() -> History:
-    cut = search(70, "cut", 107.0, told=Told.UNKNOWN, answer=None, detail="connection lost")
-    return with_tries(cut)
+def search_interrupted_by_a_shutdown() -> History:
+    interrupted = search(
+        70, "cut", 107.0, told=OutcomeKind.UNKNOWN, answer=None, detail="connection lost"
+    )
+    return with_tries(interrupted)
 
 
 SHUTTING_DOWN = Refused(kind=ErrorKind.SHUTTING_DOWN, run=RunState.NOT_RUN)
 
 
 def hold_refused_by_a_shutdown_alone() -> History:
-    """A caller whose only answer is the leaving daemon's has lost its request to the shutdown."""
+    """The last outcome of the caller is the refusal of the daemon that shuts down."""
     return with_tries(refused(72, "hold-72", 107.0, refused=SHUTTING_DOWN))
 
 
-def test_a_hold_that_another_vm_speaks_for_is_not_cut() -> None:
-    """A shutdown is blamed for a hold that waits for the store.
+def test_a_hold_that_another_vm_still_runs_is_not_interrupted() -> None:
+    """Guards against reporting a shutdown as the cause of an execute that waits for the store.
 
-    A claim's reply is lost, the VM that made it tells "store away", another one "in progress"; the
-    caller, which asks again everywhere, is told "not run" by the leaving daemon last.
+    The reply to a claim is lost, so one VM refuses the request because the store is unavailable
+    and another because the claim is in progress. The caller retries at all VMs, and the daemon
+    that shuts down refuses it last, as not run.
     """
-    under_way = Refused(kind=ErrorKind.IN_PROGRESS, run=RunState.MAY_HAVE_RUN)
+    in_progress = Refused(kind=ErrorKind.IN_PROGRESS, run=RunState.MAY_HAVE_RUN)
     history = with_tries(
-        refused(73, "hold-73", 106.9, vm="test-b-vm1", refused=under_way),
+        refused(73, "hold-73", 106.9, vm="test-b-vm1", refused=in_progress),
         refused(73, "hold-73", 107.0, refused=SHUTTING_DOWN),
     )
     assert judge(history) == ()
 
 
-def search_cut_at_another_vm() -> History:
-    """Without a fault of a server a lost connection can only be the shutdown's."""
+def search_interrupted_at_another_vm() -> History:
+    """Without a server fault, only the shutdown can have broken the connection."""
     lost = Refused(kind=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
-    cut = refused(71, "cut", 107.0, vm="test-b-vm1", refused=lost)
-    calls = tuple(call for call in good().calls if call.wall < 102.0)
-    return attrs.evolve(good(), calls=calls, tries=(*good().tries, cut))
+    interrupted = refused(71, "cut", 107.0, vm="test-b-vm1", refused=lost)
+    calls = tuple(call for call in valid_history().calls if call.wall < 102.0)
+    return attrs.evolve(valid_history(), calls=calls, tries=(*valid_history().tries, interrupted))
 
 
 def revision_that_reverts() -> History:
     back = Adoption(vm_id="b1", sequence=10, wall=107.0, revision=1)
-    return attrs.evolve(good(), adoptions=(*good().adoptions, back))
+    return attrs.evolve(valid_history(), adoptions=(*valid_history().adoptions, back))
 
 
 def daemon_that_never_adopts() -> History:
-    return attrs.evolve(good(), adoptions=good().adoptions[:1])
+    return attrs.evolve(valid_history(), adoptions=valid_history().adoptions[:1])
 
 
 def shutdown_with_a_wrong_code() -> History:
-    ended = attrs.evolve(good().lives[0], exit_code=4)
-    return attrs.evolve(good(), lives=(ended, *good().lives[1:]))
+    ended = attrs.evolve(valid_history().lives[0], exit_code=4)
+    return attrs.evolve(valid_history(), lives=(ended, *valid_history().lives[1:]))
 
 
 def confirmed_plan_that_is_lost() -> History:
-    return attrs.evolve(good(), final=CONFIGURATION)
+    return attrs.evolve(valid_history(), final=CONFIGURATION)
 
 
 def key_not_run_that_ran() -> History:
-    """A hold is refused as not run, and one server ran it all the same."""
+    """An execute is refused as not run, although a server ran it."""
     history = with_calls(lambda log: log.run(103.2, "hold-9", execute=True))
-    told = refused(61, "hold-9", 103.1, shard="0")
-    return attrs.evolve(history, tries=(*history.tries, told))
+    refusal = refused(61, "hold-9", 103.1, shard="0")
+    return attrs.evolve(history, tries=(*history.tries, refusal))
 
 
 def second_page_of_another_snapshot() -> History:
@@ -279,18 +292,18 @@
 PLANTED = {
     hit_of_a_newer_version: "one snapshot",
     second_page_of_another_snapshot: "one snapshot",
-    shard_counted_that_is_not_there: "coverage truly",
+    missing_shard_counted_as_answered: "coverage correctly",
     answer_to_another_query: "to its own request",
-    call_too_many_in_a_cold_start: "in a cold start",
+    excess_call_in_a_cold_start: "in a cold start",
     work_after_out: "take a data centre out",
     refusal_that_ran: '"not run" is true',
     key_not_run_that_ran: '"not run" is true',
     key_that_ran_twice: "at most once",
     work_for_a_draining_server: "starts leaving",
-    search_cut_by_a_shutdown: "cuts no request",
-    search_cut_at_another_vm: "cuts no request",
-    hold_refused_by_a_shutdown_alone: "cuts no request",
-    shutdown_with_a_wrong_code: "cuts no request",
+    search_interrupted_by_a_shutdown: "interrupts no request",
+    search_interrupted_at_another_vm: "interrupts no request",
+    hold_refused_by_a_shutdown_alone: "interrupts no request",
+    shutdown_with_a_wrong_code: "interrupts no request",
     revision_that_reverts: "never reverts",
     daemon_that_never_adopts: "never reverts",
     confirmed_plan_that_is_lost: "never reverts",
@@ -298,47 +311,47 @@
 
 
 @pytest.mark.parametrize("checker", checkers(), ids=lambda checker: type(checker).__name__)
-def test_a_good_history_breaks_no_promise(checker: Checker) -> None:
-    assert list(checker.find(good())) == []
+def test_a_valid_history_has_no_violations(checker: Checker) -> None:
+    assert list(checker.find(valid_history())) == []
 
 
 @pytest.mark.parametrize(
-    ("plant", "promise"), PLANTED.items(), ids=lambda each: getattr(each, "__name__", each)
+    ("plant", "guarantee"), PLANTED.items(), ids=lambda each: getattr(each, "__name__", each)
 )
-def test_one_planted_violation_is_found_once(plant: Callable[[], History], promise: str) -> None:
+def test_one_planted_violation_is_found_once(plant: Callable[[], History], guarantee: str) -> None:
     found = judge(plant())
     assert len(found) == 1, [str(each) for each in found]
-    assert promise in found[0].promise
-    assert found[0].story
+    assert guarantee in found[0].guarantee
+    assert found[0].timeline
 
 
 class Noise(enum.Enum):
-    """What may go on beside a violation without being one."""
+    """Kinds of unrelated records that are no violations."""
 
-    WHOLE = enum.auto()
+    COMPLETE = enum.auto()
     PARTIAL = enum.auto()
     REFUSED = enum.auto()
-    HOLD = enum.auto()
-    MOVED_ON = enum.auto()
-    FALL = enum.auto()
+    EXECUTE = enum.auto()
+    RETRIED = enum.auto()
+    CRASH = enum.auto()
 
 
 def with_noise(history: History, noises: list[tuple[Noise, int]]) -> History:
-    """Return the history with requests and falls before all that it holds."""
+    """Return the history with unrelated requests and crashes before all of its records."""
     log = Log()
     tries: list[Try] = []
     for number, (noise, place) in enumerate(noises):
         text, start, server = f"noise-{number}", 90.0 + number / 10, f"lots-{place}-1"
-        if noise is Noise.FALL:
+        if noise is Noise.CRASH:
             log.add(start, CallStep.TURNED_COLD, server, cold=True)
             log.add(start, CallStep.OVERRUN, server, in_flight=4, cold=True)
             log.add(start, CallStep.FELL, server, cold=True)
         elif noise is Noise.REFUSED:
             tries.append(refused(100 + number, text, start))
-        elif noise is Noise.HOLD:
+        elif noise is Noise.EXECUTE:
             log.run(start + 0.01, text, SERVER, execute=True)
             tries += [execute(100 + number, text, start), execute(100 + number, text, start + 0.05)]
-        elif noise is Noise.MOVED_ON:
+        elif noise is Noise.RETRIED:
             log.run(start + 0.06, text, SERVER, execute=True)
             tries.append(refused(100 + number, text, start, shard="0"))
             tries.append(execute(100 + number, text, start + 0.05))
@@ -354,25 +367,25 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
 @given(noises=NOISES, plant=st.sampled_from([None, *PLANTED]))
-def test_noise_neither_hides_nor_makes_a_violation(
+def test_unrelated_records_neither_hide_nor_cause_a_violation(
     noises: list[tuple[Noise, int]], plant: Callable[[], History] | None
 ) -> None:
-    found = judge(with_noise(plant() if plant is not None else good(), noises))
-    assert [PLANTED[plant] in each.promise for each in found] == [True] if plant else found == ()
+    found = judge(with_noise(plant() if plant is not None else valid_history(), noises))
+    assert [PLANTED[plant] in each.guarantee for each in found] == [True] if plant else found == ()
 
 
 def test_every_checker_has_a_planted_violation() -> None:
     for checker in checkers():
-        assert any(part in checker.promise for part in PLANTED.values()), checker.promise
+        assert any(part in checker.guarantee for part in PLANTED.values()), checker.guarantee
 
 
-def test_a_history_without_answers_proves_nothing() -> None:
-    found = judge(attrs.evolve(good(), tries=()))
-    assert any("somebody got an answer" in each.promise for each in found)
+def test_a_history_without_answers_is_a_violation() -> None:
+    found = judge(attrs.evolve(valid_history(), tries=()))
+    assert any("contains an answer" in each.guarantee for each in found)
 
 
 def test_a_history_is_written_line_by_line(tmp_path: Path) -> None:
-    history = good()
+    history = valid_history()
     write_history(history, tmp_path / "run" / "history.jsonl")
     lines = (tmp_path / "run" / "history.jsonl").read_text().splitlines()
     assert len(lines) == 1 + sum(
