--- a/libs/forwarding/berylspindle_forwarding/catalogue.py
+++ b/libs/forwarding/berylspindle_forwarding/catalogue.py
@@ -1,21 +1,21 @@
-"""What the store says of routes, replicas and data centres, followed by one task.
+"""Follow the store's entries of routes, replicas and data centres in one task.
 
 Terms:
-  change      one entry of the store, read by a `CatalogueReader` into what it means
-  settling    the time after an outage of the store in which entries that have gone are kept:
-              whoever is alive announces itself again within it
-  doubt       another call to the store went unanswered while a watch waits there
-
-Flow: `run` lists all that there is, then watches what comes after, and hands each change to a
-`CatalogueListener`, and each entry to this VM's own mirror. Whom it follows, the store or a peer,
-is the choice of a `UpstreamSelector`. Every failure is followed by another try, later and later.
-
-Guards: leases of live replicas lapse while the store is away, and their entries go. Taken at its
-word, the store would leave a service without a replica just when it is back. So an entry that goes
-within `SETTLE_S` of an outage is kept until that time is over, and dropped only if it hasn't come
-back. An entry that can't be read names nothing and changes nothing else. A watch that waited when
-the store fell silent is answered never, nor is its connection broken; it would hide all changes for
-as long as it may wait. So a watch is given up as soon as any other call goes unanswered (`doubt`).
+  change     the meaning of one entry of the store, decoded by a `CatalogueReader`
+  settling   the time after an outage of the store in which deleted entries are kept: every live
+             process announces itself again within it
+
+Flow: `run` lists all entries, then watches for changes. It passes each change to a
+`CatalogueListener` and each entry to this VM's own mirror. An `UpstreamSelector` selects whether
+the store or a peer is followed. Failed calls are retried with exponential backoff.
+
+Guards: leases of live replicas expire while the store is unavailable, and their entries are
+deleted. If these deletions were applied, a service would be left without a replica just when the
+store is back. So a deletion within `SETTLE_S` of an outage is deferred until that time is over, and
+applied only if the entry has not been written again. An entry that can't be read is ignored and
+affects no other entry. If the store stops responding while a watch is pending, the watch is neither
+answered nor is its connection closed, and would hide all changes for as long as it may wait. So a
+pending watch is aborted as soon as any other call is not answered (`doubt`).
 """
 
 from __future__ import annotations
@@ -39,45 +39,45 @@
 from berylspindle_model.routing import Replica, RoutingTable
 from berylspindle_store.store import StoreAway, StoredValue, StoreUnsure, WatchResult
 
-WATCH_S: Final = 28.0
-"""Seconds that a watch waits: the longest that the store takes, less its way there."""
+STORE_WATCH_WAIT_S: Final = 28.0
+"""Longest wait of a watch, in seconds: the store's maximum, less the round-trip time."""
 
-COLLECT_S: Final = 0.5
-"""Seconds between the answer to a watch and the next one, in which changes collect: each call to
-the store costs, and a release changes tens of entries one by one. The bounds on following a change
-are six times as long."""
+BATCH_INTERVAL_S: Final = 0.5
+"""Seconds between the response to a watch and the next watch, which then returns several changes at
+once. Each call to the store has a cost, and a release changes tens of entries one by one. The limit
+on the delay of a change is six times as long."""
 
-COLLECT_UNUSED_S: Final = 1.5
-"""The same while this VM has had no request of a caller for some seconds, as right after its start,
+IDLE_BATCH_INTERVAL_S: Final = 1.5
+"""The same while this VM has had no caller's request for some seconds, as right after its start,
 when all replicas announce themselves."""
 
 SETTLE_S: Final = 2.5
 VM_SETTLE_S: Final = 13.0
-"""Seconds after an outage of the store in which entries of replicas, and of VMs, that have gone are
-kept. A VM whose lease has lapsed writes its entry again at its next renewal."""
+"""Seconds after an outage of the store in which deletions of replicas, and of VMs, are deferred. A
+VM whose lease has expired writes its entry again at its next renewal."""
 
-START_LISTS: Final = 4
-START_COLLECT_S: Final = 1.0
-"""Lists, and seconds between two of them, more or less by half, where all VMs start for the first
-time and this one knows nobody to follow yet. Each would else watch the store to see the others
-come."""
+STARTUP_LISTS: Final = 4
+STARTUP_LIST_INTERVAL_S: Final = 1.0
+"""Number of lists, and seconds between two of them, with a jitter of 50%, where all VMs start for
+the first time and this one knows no VM to follow yet. With a watch instead, each VM would receive
+the announcement of every other."""
 
-RETRY_FIRST_S: Final = 0.2
-RETRY_MOST_S: Final = 0.8
-"""Longest pause, more or less by half, before the next try. A VM that was cut off from all others
-has four seconds after the cut until it is held to the newest table."""
+RETRY_MIN_S: Final = 0.2
+RETRY_MAX_S: Final = 0.8
+"""Shortest and longest pause before the next retry, with a jitter of 50%. A VM that was cut off
+from all others has to apply the newest table within four seconds of the end of the cut."""
 
 
 @attrs.frozen
 class TableChange:
-    """A routing table is in force."""
+    """A routing table has come into force."""
 
     table: RoutingTable
 
 
 @attrs.frozen
 class ReplicaChange:
-    """A replica has announced itself, or has gone."""
+    """A replica has announced itself, or its entry was deleted."""
 
     id: str
     replica: Replica | None
@@ -85,7 +85,7 @@
 
 @attrs.frozen
 class OutChange:
-    """A data centre is taken out, or is back."""
+    """A data centre was excluded, or included again."""
 
     data_centre: str
     is_out: bool
@@ -93,14 +93,14 @@
 
 @attrs.frozen(kw_only=True)
 class VmEntry:
-    """Where the peers of a VM reach it; its own form in the store, as JSON.
+    """Address of a VM for its peers; stored as JSON with these names.
 
     Attributes:
         port: where its mirror is read.
-        callers_port: where it takes requests, also of other VMs; 0 where it takes none of those.
-        bears: what it can work on (`decisions.relay_choice`).
-        followers: VMs that follow this one and have no entry of their own; `follower_bears` is the
-            least that one of them bears.
+        callers_port: where it accepts requests, also from other VMs; 0 if none from them.
+        bears: its capacity in cores (`decisions.relay_choice`).
+        followers: number of VMs that follow this one and have no entry of their own.
+        follower_bears: the smallest capacity among these followers.
     """
 
     host: str
@@ -114,7 +114,7 @@
 
 @attrs.frozen
 class VmChange:
-    """A VM of the system is there, or has gone."""
+    """A VM has announced itself, or its entry was deleted."""
 
     id: str
     vm: VmEntry | None
@@ -122,14 +122,14 @@
 
 @attrs.frozen
 class SuspectChange:
-    """Another VM has found a request that crashes replicas."""
+    """Another VM has recorded a request that crashes replicas."""
 
     record: SuspectRecord
 
 
 @attrs.frozen
 class OrderChange:
-    """The operator has ordered a rollout, or the order has gone."""
+    """The operator has ordered a rollout, or the order was deleted."""
 
     service: str
     order: RolloutOrder | None
@@ -137,7 +137,7 @@
 
 @attrs.frozen
 class StatusChange:
-    """The system has told the operator of a rollout, or the entry has gone."""
+    """The status of a rollout was reported to the operator, or the entry was deleted."""
 
     service: str
     status: RolloutStatus | None
@@ -145,7 +145,7 @@
 
 @attrs.frozen
 class ShiftChange:
-    """All requests to a service go to the version that is rolled out, or the word has gone."""
+    """All requests to a service go to the new version, or the entry was deleted."""
 
     service: str
     shift: RolloutShift | None
@@ -153,7 +153,7 @@
 
 @attrs.frozen
 class AnswersChange:
-    """A data centre has counted the answers of a rollout, or the entry has gone."""
+    """A data centre has recorded the responses of a rollout, or the entry was deleted."""
 
     service: str
     data_centre: str
@@ -165,7 +165,7 @@
 
 @attrs.frozen
 class Unreadable:
-    """An entry that names nothing; the reason is for the log."""
+    """An entry that can't be decoded; the reason is logged."""
 
     key: str
     reason: str
@@ -177,53 +177,53 @@
 
 
 class CatalogueReader(abc.ABC):
-    """Say what an entry of the store means."""
+    """Decode entries of the store."""
 
     @property
     @abc.abstractmethod
     def prefix(self) -> str:
-        """Return the prefix of all keys that matter."""
+        """Return the common prefix of all relevant keys."""
 
     @property
     @abc.abstractmethod
     def parts(self) -> tuple[str, ...]:
-        """Return the prefixes to list at the start; together they hold all that matters."""
+        """Return the prefixes to list at the start, which cover all relevant keys."""
 
     @abc.abstractmethod
     def is_vm(self, key: str) -> bool:
-        """Return whether a key is that of a VM's entry."""
+        """Return whether a key belongs to a VM's entry."""
 
     @abc.abstractmethod
     def read(self, entry: StoredValue) -> Change | None:
-        """Return what an entry means, or None for one that is no matter of the catalogue's."""
+        """Decode an entry; return None for one that is not relevant to the catalogue."""
 
 
 class CatalogueListener(abc.ABC):
-    """Who follows the catalogue."""
+    """Receive the changes of the catalogue."""
 
     @abc.abstractmethod
     def on_change(self, change: Change) -> None:
-        """Take one change."""
+        """Handle one change."""
 
     @abc.abstractmethod
     def on_listed(self) -> None:
-        """Take that all that there is has been told."""
+        """Handle the end of a complete list."""
 
     @abc.abstractmethod
     def on_told_cut_off(self, cut_off: bool, source: object) -> None:
-        """Take whether the VM whose mirror, `source`, is followed is cut off from others."""
+        """Handle a report of whether the VM of the followed mirror, `source`, is cut off."""
 
     @abc.abstractmethod
     def on_store(self, reached: bool, detail: str) -> None:
-        """Take whether the store answers."""
+        """Handle whether the store answered; `detail` is the error if not."""
 
 
 class Catalogue:
-    """Follow the store, or a peer's mirror; `run` is the task that owns all state here."""
+    """Follow the store or a peer's mirror; all state belongs to the task of `run`."""
 
     def __init__(
         self,
-        choice: UpstreamSelector,
+        selector: UpstreamSelector,
         reader: CatalogueReader,
         listener: CatalogueListener,
         mirror: Mirror,
@@ -233,157 +233,159 @@
         now: Callable[[], float],
         u: Callable[[], float],
     ) -> None:
-        self._choice: Final = choice
+        self._selector: Final = selector
         self._reader: Final = reader
         self._listener: Final = listener
         self._mirror: Final = mirror
-        self._cached_lists = START_LISTS if first_start else 1
-        self._is_used: Final = is_used
+        self._cached_lists_left = STARTUP_LISTS if first_start else 1
+        self._has_recent_requests: Final = is_used
         self._now: Final = now
-        self._u: Final = u
-        self._known: dict[str, int] = {}
-        self._going: dict[str, StoredValue] = {}
+        self._uniform: Final = u
+        self._revisions: dict[str, int] = {}
+        self._deferred_deletions: dict[str, StoredValue] = {}
         self._settled_at = 0.0
         self._vms_settled_at = 0.0
-        self._watching: asyncio.Timeout | None = None
+        self._watch_timeout: asyncio.Timeout | None = None
 
     def doubt(self) -> None:
-        """Give up a watch of the store that is waiting, and ask anew."""
-        if self._watching is not None:
-            self._watching.reschedule(asyncio.get_running_loop().time())
+        """Abort a pending watch of the store and retry."""
+        if self._watch_timeout is not None:
+            self._watch_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
         after: int | None = None
-        pause = RETRY_FIRST_S
+        pause = RETRY_MIN_S
         while True:
-            followed = self._choice.pick()
+            upstream = self._selector.pick()
             try:
-                after = await self._step(followed, after)
+                after = await self._step(upstream, after)
             except (StoreAway, StoreUnsure) as error:
-                await self._choice.failed(followed)
-                if not followed.is_mirror:
-                    self._mirror.set_in_step(False)
+                await self._selector.record_failure(upstream)
+                if not upstream.is_mirror:
+                    self._mirror.set_in_sync(False)
                     self._listener.on_store(False, str(error))
-                await asyncio.sleep(pause * (0.5 + self._u()))
-                pause = min(RETRY_MOST_S, 2 * pause)
+                await asyncio.sleep(pause * (0.5 + self._uniform()))
+                pause = min(RETRY_MAX_S, 2 * pause)
                 continue
-            pause = RETRY_FIRST_S
-            if followed.is_mirror:
+            pause = RETRY_MIN_S
+            if upstream.is_mirror:
                 continue
-            if self._cached_lists and not self._choice.has_watchers:
+            if self._cached_lists_left and not self._selector.has_watchers:
                 after = None
-                await asyncio.sleep(START_COLLECT_S * (0.5 + self._u()))
+                await asyncio.sleep(STARTUP_LIST_INTERVAL_S * (0.5 + self._uniform()))
             else:
-                await asyncio.sleep(COLLECT_S if self._is_used() else COLLECT_UNUSED_S)
+                await asyncio.sleep(
+                    BATCH_INTERVAL_S if self._has_recent_requests() else IDLE_BATCH_INTERVAL_S
+                )
 
-    async def _step(self, followed: Upstream, after: int | None) -> int:
+    async def _step(self, upstream: Upstream, after: int | None) -> int:
         if after is not None:
-            return await self._watch(followed, after)
-        # The first watch finds what a cached list lacks.
-        revision = await self._list(followed, cached=self._cached_lists > 0)
-        self._cached_lists = max(0, self._cached_lists - 1)
+            return await self._watch(upstream, after)
+        # The first watch returns the changes that a cached list lacks.
+        revision = await self._list(upstream, cached=self._cached_lists_left > 0)
+        self._cached_lists_left = max(0, self._cached_lists_left - 1)
         return revision
 
-    async def _list(self, followed: Upstream, *, cached: bool = False) -> int:
+    async def _list(self, upstream: Upstream, *, cached: bool = False) -> int:
         revision: int | None = None
         found: dict[str, StoredValue] = {}
         for part in self._reader.parts:
             if cached:
-                listed = await followed.store.list_cached(part)
+                listed = await upstream.store.list_cached(part)
             else:
-                listed = await followed.store.list(part)
-            # What changes between two lists is found by the watch after the first one.
+                listed = await upstream.store.list(part)
+            # The watch starts at the first list and returns the changes between the lists.
             revision = listed.revision if revision is None else min(revision, listed.revision)
             found.update((entry.key, entry) for entry in listed.entries)
         assert revision is not None
-        await self._reached(followed)
-        self._mirror.set_listed(found.values(), revision)
+        await self._on_success(upstream)
+        self._mirror.replace_entries(found.values(), revision)
         for entry in found.values():
-            self._take(entry)
-        for key in [key for key in self._known if key not in found]:
-            self._take(StoredValue(key=key, value=None, revision=revision))
+            self._apply(entry)
+        for key in [key for key in self._revisions if key not in found]:
+            self._apply(StoredValue(key=key, value=None, revision=revision))
         self._listener.on_listed()
         return revision
 
-    async def _watch(self, followed: Upstream, after: int) -> int:
-        wait = WATCH_S if followed.wait is None else followed.wait
-        if self._going:
-            settled_at = min(map(self._settles_at, self._going))
+    async def _watch(self, upstream: Upstream, after: int) -> int:
+        wait = STORE_WATCH_WAIT_S if upstream.wait is None else upstream.wait
+        if self._deferred_deletions:
+            settled_at = min(map(self._settles_at, self._deferred_deletions))
             wait = min(wait, max(0.05, settled_at - self._now()))
-        result = await self._watched(followed, after, wait)
-        await self._reached(followed)
+        result = await self._call_watch(upstream, after, wait)
+        await self._on_success(upstream)
         if result.compacted:
-            # Of the same one: a mirror that lags would be listed as old as before.
-            return await self._list(followed)
-        self._mirror.add(result.entries, result.revision)
+            # List the same upstream: a lagging mirror would return outdated entries.
+            return await self._list(upstream)
+        self._mirror.apply_changes(result.entries, result.revision)
         for entry in result.entries:
-            self._take(entry)
-        self._drop_gone()
+            self._apply(entry)
+        self._apply_settled_deletions()
         return result.revision
 
-    async def _watched(self, followed: Upstream, after: int, wait: float) -> WatchResult:
-        if followed.is_mirror:
-            return await followed.store.watch(self._reader.prefix, after=after, wait=wait)
+    async def _call_watch(self, upstream: Upstream, after: int, wait: float) -> WatchResult:
+        if upstream.is_mirror:
+            return await upstream.store.watch(self._reader.prefix, after=after, wait=wait)
         try:
-            async with asyncio.timeout(None) as self._watching:
-                return await followed.store.watch(self._reader.prefix, after=after, wait=wait)
+            async with asyncio.timeout(None) as self._watch_timeout:
+                return await upstream.store.watch(self._reader.prefix, after=after, wait=wait)
         except TimeoutError as error:
-            raise StoreAway("another call went unanswered") from error
+            raise StoreAway("watch aborted: another call to the store was not answered") from error
         finally:
-            self._watching = None
+            self._watch_timeout = None
 
-    async def _reached(self, followed: Upstream) -> None:
+    async def _on_success(self, upstream: Upstream) -> None:
         now = self._now()
-        if followed.is_mirror:
-            # Whether its deletions are of an outage's making only the mirror can tell.
-            settling = SETTLE_S if followed.behind_ms else followed.settling_ms / 1000
+        if upstream.is_mirror:
+            # Only the mirror knows whether its deletions result from an outage.
+            settling = SETTLE_S if upstream.behind_ms else upstream.settling_ms / 1000
             self._settled_at = max(self._settled_at, now + settling) if settling else 0.0
-        elif self._choice.store_away:
+        elif self._selector.store_unavailable:
             self._settled_at = now + SETTLE_S
         if self._settled_at:
             vms_settled_at = self._settled_at + VM_SETTLE_S - SETTLE_S
             self._vms_settled_at = max(self._vms_settled_at, vms_settled_at)
-        self._mirror.set_settled(self._settled_at)
-        self._mirror.set_in_step(not followed.behind_ms and not followed.is_stopgap)
-        if followed.is_mirror:
-            self._listener.on_told_cut_off(followed.cut_off, followed.store)
+        self._mirror.set_settled_at(self._settled_at)
+        self._mirror.set_in_sync(not upstream.behind_ms and not upstream.is_fallback)
+        if upstream.is_mirror:
+            self._listener.on_told_cut_off(upstream.cut_off, upstream.store)
         else:
             self._listener.on_store(True, "")
-        await self._choice.worked(followed)
+        await self._selector.record_success(upstream)
 
-    def _take(self, entry: StoredValue) -> None:
-        known = self._known.get(entry.key, 0)
+    def _apply(self, entry: StoredValue) -> None:
+        known_revision = self._revisions.get(entry.key, 0)
         if entry.value is None:
-            if entry.key in self._known and entry.revision >= known:
-                self._note_gone(entry)
+            if entry.key in self._revisions and entry.revision >= known_revision:
+                self._on_deleted(entry)
             return
-        self._going.pop(entry.key, None)
-        if entry.revision <= known:
+        self._deferred_deletions.pop(entry.key, None)
+        if entry.revision <= known_revision:
             return
-        self._known[entry.key] = entry.revision
-        self._tell(entry)
+        self._revisions[entry.key] = entry.revision
+        self._notify(entry)
 
-    def _note_gone(self, entry: StoredValue) -> None:
+    def _on_deleted(self, entry: StoredValue) -> None:
         if self._now() < self._settles_at(entry.key):
-            self._going[entry.key] = entry
+            self._deferred_deletions[entry.key] = entry
             return
-        del self._known[entry.key]
-        self._tell(entry)
+        del self._revisions[entry.key]
+        self._notify(entry)
 
     def _settles_at(self, key: str) -> float:
         return self._vms_settled_at if self._reader.is_vm(key) else self._settled_at
 
-    def _drop_gone(self) -> None:
-        if not self._going:
+    def _apply_settled_deletions(self) -> None:
+        if not self._deferred_deletions:
             return
         now = self._now()
-        settled = [key for key in self._going if now >= self._settles_at(key)]
+        settled = [key for key in self._deferred_deletions if now >= self._settles_at(key)]
         for key in settled:
-            self._known.pop(key, None)
-            self._tell(self._going.pop(key))
+            self._revisions.pop(key, None)
+            self._notify(self._deferred_deletions.pop(key))
 
-    def _tell(self, entry: StoredValue) -> None:
+    def _notify(self, entry: StoredValue) -> None:
         change = self._reader.read(entry)
         if change is not None:
             self._listener.on_change(change)
--- a/libs/forwarding/berylspindle_forwarding/forward_daemon.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_daemon.py
@@ -1,23 +1,22 @@
-"""The forwarding daemon of one VM: its edges, and its graceful shutdown in stages.
+"""The forwarding daemon of one VM: its edges and its graceful shutdown.
 
 Terms:
-  edge    an address that the daemon listens on: callers', the balancer's and the collector's
+  edge    an address that the daemon listens on: for callers, the balancer, metrics and peers
   stage   a step of the shutdown
 
 Flow: `run_forward_daemon` opens the store's client, the forwarder and the edges, all owned by one
-exit stack, and waits to be told to stop. The shutdown then goes through these stages:
-
-  unready   readiness fails, answers ask callers to go; all that still comes is served, for the
-  balancer
-            takes a second or two to notice and callers hold connections open
-  drain     nothing has come for a while, or the time for it is over: the callers' port is closed,
-  what
-            is under way is finished
+exit stack, and waits for a signal to stop. The shutdown has these stages:
+
+  unready   readiness fails and responses ask callers to close their connections; new requests are
+            served, since the balancer takes one or two seconds to notice and callers keep
+            connections open
+  drain     no request has come for a while, or the time for it is over: the callers' port is
+            closed, and pending requests are finished
   close     everything is closed
 
-Guard: callers whose connection is open send on it until they are told to go. Each answer says so
-from the first stage on, and idle connections are closed only once nothing has come over them for a
-while.
+Guard: callers with an open connection send on it until they are asked to close it. Each response
+asks them from the first stage on, and an idle connection is closed only after a period without
+requests.
 """
 
 from __future__ import annotations
@@ -46,16 +45,16 @@
 from berylspindle_wire.http_head import read_raw_head
 from berylspindle_wire.http_server import HttpServer, serve
 
-BALANCER_S: Final = 2.6
-"""Seconds after which a balancer that asks every second and counts two misses sends nothing more,
-and some tenths for what it sent just before."""
+BALANCER_DETECTION_S: Final = 2.6
+"""Seconds after which a balancer with a check interval of one second and a threshold of two
+failures sends no more requests, and some tenths for those that it sent just before."""
 
-LAST_PART: Final = 1.0
-"""Seconds of the grace that are left for closing."""
+CLOSE_RESERVE_S: Final = 1.0
+"""Seconds of the grace period that are reserved for closing."""
 
-LEAVE_S: Final = 0.4
-"""Seconds for telling the store that this VM goes: a store that is silent would hold the process
-beyond its grace."""
+WITHDRAW_TIMEOUT_S: Final = 0.4
+"""Time-out in seconds for withdrawing this VM's announcement: a store that does not respond would
+keep the process running beyond its grace period."""
 
 
 @attrs.frozen
@@ -71,12 +70,12 @@
     """The edges of one daemon.
 
     Attributes:
-        callers: where callers' requests arrive; `bound` is a socket that listens there already.
-        ready: where the balancer asks, or None; `ready_path` is what it asks for.
+        callers: where callers' requests arrive; `bound` is a socket that already listens there.
+        ready: where the balancer checks readiness, or None; `ready_path` is the path of the check.
         metrics: where metrics are read, or None; `metrics_path` likewise.
         peers: where other VMs read this one's mirror, or None.
-        grace_s: seconds between the order to stop and the end of the process.
-        connections: callers' connections at a time.
+        grace_s: seconds between the signal to stop and the end of the process.
+        connections: maximum number of callers' connections.
     """
 
     callers: Endpoint
@@ -91,19 +90,19 @@
 
 
 class ForwardDaemon:
-    """The edges over one forwarder."""
+    """The edges of one forwarder."""
 
     def __init__(self, edges: EdgeOptions, forwarder: Forwarder, metrics: Metrics) -> None:
         self._edges: Final = edges
         self._forwarder: Final = forwarder
         self._metrics: Final = metrics
         self._log: Final = logger("daemon")
-        self._lines: Final = LogRateLimiter()
+        self._log_limiter: Final = LogRateLimiter()
         self._stack: Final = AsyncExitStack()
         self._callers: HttpServer
 
     async def start(self) -> None:
-        """Open the edges; raises OSError where an address can't be bound."""
+        """Open the edges; raises OSError if an address can't be bound."""
         limits = HttpLimits(connections=self._edges.connections)
         self._callers = await serve(
             self._forwarder.front.handle,
@@ -119,36 +118,40 @@
         self._forwarder.on_limits = self._set_limits
         self._forwarder.on_cut_off = self._callers.ask_to_go
         if self._edges.peers is not None:
-            await self._serve_page(self._edges.peers, self._forwarder.mirror.answer)
+            await self._serve_edge(self._edges.peers, self._forwarder.mirror.answer)
         if self._edges.ready is not None:
-            await self._serve_page(self._edges.ready, self._answer_ready)
+            await self._serve_edge(self._edges.ready, self._answer_ready)
         if self._edges.metrics is not None:
-            await self._serve_page(self._edges.metrics, self._answer_metrics)
+            await self._serve_edge(self._edges.metrics, self._answer_metrics)
 
     async def shut_down(self) -> None:
-        """End in stages; all that has come is answered, as far as the grace allows."""
+        """Shut down in stages; accepted requests are answered as far as the grace period allows."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + self._edges.grace_s - LAST_PART
-        self._stage("unready")
+        deadline = loop.time() + self._edges.grace_s - CLOSE_RESERVE_S
+        self._log_stage("unready")
         self._forwarder.begin_shutdown()
         self._callers.begin_drain()
-        await asyncio.sleep(min(BALANCER_S, max(0.0, ends - loop.time())))
-        self._stage("drain")
-        await self._callers.close(max(0.1, ends - loop.time()))
-        self._stage("close")
+        await asyncio.sleep(min(BALANCER_DETECTION_S, max(0.0, deadline - loop.time())))
+        self._log_stage("drain")
+        await self._callers.close(max(0.1, deadline - loop.time()))
+        self._log_stage("close")
         try:
-            async with asyncio.timeout(LEAVE_S):
+            async with asyncio.timeout(WITHDRAW_TIMEOUT_S):
                 await self._forwarder.leave()
         except TimeoutError:
-            self._log.warning("not withdrawn", extra={"reason": "the store did not answer in time"})
+            self._log.warning(
+                "announcement not withdrawn", extra={"reason": "the store did not answer in time"}
+            )
         await self.close()
 
     async def close(self) -> None:
         """Close all edges at once."""
         await self._stack.aclose()
 
-    async def _serve_page(self, at: Endpoint, answer: Handler) -> None:
-        server = await serve(answer, host=at.host, port=at.port, on_fault=self._on_fault)
+    async def _serve_edge(self, endpoint: Endpoint, handler: Handler) -> None:
+        server = await serve(
+            handler, host=endpoint.host, port=endpoint.port, on_fault=self._on_fault
+        )
         self._stack.push_async_callback(server.close, 0.0)
 
     async def _answer_ready(self, request: HttpRequest) -> HttpResponse:
@@ -169,11 +172,12 @@
         )
 
     def _refuse_unread(self, refusal: Refusal) -> HttpResponse:
-        """Answer what never became a request, and what the shutdown has cut short."""
+        """Answer input that never became a request, or that the shutdown interrupted."""
         self._metrics.count(names.FORWARD_REQUESTS, route="-", result=refusal.kind.value)
-        if self._lines.may_write(asyncio.get_running_loop().time(), LineKind.REFUSED):
+        if self._log_limiter.may_write(asyncio.get_running_loop().time(), LineKind.REFUSED):
             self._log.info(
-                "refused unread", extra={"kind": refusal.kind.value, "detail": refusal.detail}
+                "request refused before it was read",
+                extra={"kind": refusal.kind.value, "detail": refusal.detail},
             )
         else:
             self._metrics.count(names.LOG_LEFT_OUT, kind=LineKind.REFUSED.value)
@@ -186,7 +190,7 @@
         self._metrics.count(names.FORWARD_REQUESTS, route="-", result="fault")
         self._log.error("internal fault", exc_info=(type(error), error, error.__traceback__))
 
-    def _stage(self, name: str) -> None:
+    def _log_stage(self, name: str) -> None:
         self._log.info("shutdown", extra={"stage": name})
 
 
@@ -202,7 +206,7 @@
     """Run one daemon until SIGTERM or SIGINT; `on_reload` is called for each SIGHUP."""
 
     def reload() -> None:
-        logger("forwarding").info("reload asked for", extra={"done": on_reload is not None})
+        logger("forwarding").info("reload requested", extra={"done": on_reload is not None})
         if on_reload is not None:
             on_reload()
 
--- a/libs/forwarding/berylspindle_forwarding/mirror.py
+++ b/libs/forwarding/berylspindle_forwarding/mirror.py
@@ -1,18 +1,18 @@
-"""What this VM knows of the store, for peers that can't reach it.
+"""A VM's copy of the store's entries, for peers that can't reach the store.
 
 Terms:
-  mirror   the entries that one VM holds, with the store's own revisions, and its latest changes
-  follow   to list and watch a mirror in place of the store
-  in step  the mirror's own following of the store has not failed since its last answer
-
-Flow: the catalogue hands each list and each change to the `Mirror`; the peers' edge answers from
-it. `MirrorStore` is a peer's mirror as a `Store` that can only be read, so that whoever follows the
-store follows a mirror by the same code. A mirror that is not in step says how long it has not been,
-and its reader decides.
-
-Guard: a VM that starts while the store is away, or turned away by it, would know no route and no
-replica, though the VMs beside it know all. What a mirror tells may be old; revisions are the
-store's own, so that nothing older than what the reader has already is ever taken.
+  mirror   the entries that one VM holds, with the store's revisions, and the latest changes
+  follow   list and watch a mirror instead of the store
+  in sync  the last call to the mirror's own upstream has succeeded
+
+Flow: the catalogue passes each list and each change to the `Mirror`; the edge for peers serves
+requests from it. `MirrorStore` is a read-only `Store` over a peer's mirror, so that the same code
+follows the store or a mirror. A mirror that is out of sync reports for how long, and the reader
+decides whether to use it.
+
+Guard: a VM that starts while the store is unavailable, or that the store rejects, would know no
+route and no replica, although the VMs beside it know all. A mirror may be outdated; entries keep
+the store's revisions, so that an older entry never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -43,19 +43,21 @@
 
 LIST_PATH: Final = "/mirror/entries"
 WATCH_PATH: Final = "/mirror/changes"
-PACK_TYPE: Final = "application/msgpack"
+CONTENT_TYPE: Final = "application/msgpack"
 
-MOST_CHANGES: Final = 4000
-"""Changes that a mirror keeps; who lags further lists anew."""
+MAX_CHANGES: Final = 4000
+"""Changes that a mirror keeps; a reader that lags further lists again."""
 
-MOST_BYTES: Final = 16 * 1024 * 1024
-"""Longest answer of a mirror that is taken: 5,200 replicas are 1.4 MB, a configuration up to 1."""
+MAX_RESPONSE_BYTES: Final = 16 * 1024 * 1024
+"""Longest accepted response of a mirror: the entries of 5,200 replicas take 1.4 MB, a configuration
+up to 1 MB."""
 
-MOST_WAIT_S: Final = 5.0
-CALL_S: Final = 1.0
-WATCH_SLACK_S: Final = 0.6
-"""Seconds that a mirror's answer may take beyond its wait. It is a millisecond away; one that is
-silent is left early enough that the store can still be asked within the bounds on changes."""
+MAX_WAIT_S: Final = 5.0
+LIST_TIMEOUT_S: Final = 1.0
+WATCH_TIMEOUT_MARGIN_S: Final = 0.6
+"""Seconds that a mirror's response may take beyond the wait of its watch. The round trip takes
+about a millisecond; a mirror that does not respond is left early enough that the store can still be
+called within the limit on the delay of a change."""
 
 
 @attrs.frozen(kw_only=True)
@@ -63,9 +65,9 @@
     """All entries of a mirror.
 
     Attributes:
-        behind_ms: how long it has not been in step.
-        settling_ms: for how long entries that have gone may come back, after an outage.
-        cut_off: whether its VM reaches no other data centre and needs one.
+        behind_ms: how long it has been out of sync.
+        settling_ms: for how long deletions may still be reverted after an outage of the store.
+        cut_off: whether its VM reaches no other data centre and can't serve all routes locally.
     """
 
     revision: int
@@ -77,10 +79,10 @@
 
 @attrs.frozen(kw_only=True)
 class MirrorChanges:
-    """What changed after a revision; `compacted` where the mirror no longer knows.
+    """The changes after a revision; `compacted` if the mirror no longer has all of them.
 
-    `cut_off` says that its VM reaches no other data centre and needs one; `losses` are replicas
-    that have lost answers, with ages in milliseconds (`decisions.loss_reports`).
+    `cut_off` is as in `MirrorList`; `losses` maps replicas that lost responses to the age of the
+    loss in milliseconds (`decisions.loss_reports`).
     """
 
     revision: int
@@ -93,15 +95,15 @@
 
 
 class Mirror:
-    """The entries that this VM holds."""
+    """The store's entries known to this VM."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now: Final = now
         self._entries: dict[str, StoredValue] = {}
-        self._changes: Final[deque[StoredValue]] = deque(maxlen=MOST_CHANGES)
-        self._oldest = 0
+        self._changes: Final[deque[StoredValue]] = deque(maxlen=MAX_CHANGES)
+        self._oldest_revision = 0
         self._revision = 0
-        self._behind_since: float | None = now()
+        self._out_of_sync_since: float | None = now()
         self._changed = asyncio.Event()
         self._settled_at = 0.0
         self._cut_off = False
@@ -111,56 +113,56 @@
 
     @property
     def revision(self) -> int:
-        """Return the store's revision up to which all is known; 0 before anything is."""
+        """Return the store's revision that the entries reflect; 0 before the first list."""
         return self._revision
 
     def entry(self, key: str) -> StoredValue | None:
-        """Return an entry as this VM knows it."""
+        """Return an entry by its key."""
         return self._entries.get(key)
 
-    def set_listed(self, entries: Iterable[StoredValue], revision: int) -> None:
-        """Take all that there is as of a revision."""
+    def replace_entries(self, entries: Iterable[StoredValue], revision: int) -> None:
+        """Replace all entries by those of a list at a revision."""
         if revision < self._revision:
             return
         self._entries = {entry.key: entry for entry in entries}
         self._changes.clear()
-        self._oldest = self._revision = revision
-        self._wake()
+        self._oldest_revision = self._revision = revision
+        self._notify_watches()
 
-    def add(self, entries: Iterable[StoredValue], revision: int) -> None:
-        """Take changes up to a revision."""
+    def apply_changes(self, entries: Iterable[StoredValue], revision: int) -> None:
+        """Apply changes up to a revision."""
         for entry in entries:
             if entry.value is None:
                 self._entries.pop(entry.key, None)
             else:
                 self._entries[entry.key] = entry
-            if len(self._changes) == MOST_CHANGES:
-                self._oldest = self._changes[0].revision
+            if len(self._changes) == MAX_CHANGES:
+                self._oldest_revision = self._changes[0].revision
             self._changes.append(entry)
         if revision > self._revision:
             self._revision = revision
-            self._wake()
+            self._notify_watches()
 
-    def set_in_step(self, in_step: bool) -> None:
-        """Note whether following the store works just now."""
-        if in_step:
-            self._behind_since = None
-        elif self._behind_since is None:
-            self._behind_since = self._now()
+    def set_in_sync(self, in_sync: bool) -> None:
+        """Record whether this mirror is in sync with the store."""
+        if in_sync:
+            self._out_of_sync_since = None
+        elif self._out_of_sync_since is None:
+            self._out_of_sync_since = self._now()
 
     def set_cut_off(self, cut_off: bool) -> None:
-        """Tell all that follow whether this VM is cut off from other data centres."""
+        """Record whether this VM is cut off, and notify all followers."""
         self._cut_off = cut_off
-        self._wake()
+        self._notify_watches()
 
-    def set_settled(self, at: float) -> None:
-        """Note until when entries that have gone may come back, after an outage of the store."""
+    def set_settled_at(self, at: float) -> None:
+        """Record until when deletions may be reverted after an outage of the store."""
         self._settled_at = at
 
     async def answer(self, request: HttpRequest) -> HttpResponse:
-        """Answer a peer that lists or follows this mirror."""
+        """Handle a peer's list or watch."""
         if request.path == LIST_PATH:
-            return self._packed(
+            return self._to_response(
                 MirrorList(
                     revision=self._revision,
                     behind_ms=self._behind_ms(),
@@ -177,7 +179,7 @@
                 self.followers.seen(self._now(), follower, bears=bears)
             if report := request.query.get("rollouts"):
                 self.on_rollouts(request.query.get("vm", ""), report)
-            return self._packed(await self._watch(request.query))
+            return self._to_response(await self._watch(request.query))
         return HttpResponse(status=404)
 
     async def _watch(self, query: dict[str, str]) -> MirrorChanges:
@@ -185,12 +187,12 @@
         known_cut_off = query.get("cut_off") == "1"
         if self._revision <= after:
             try:
-                async with asyncio.timeout(min(wait, MOST_WAIT_S)):
+                async with asyncio.timeout(min(wait, MAX_WAIT_S)):
                     while self._revision <= after and self._cut_off == known_cut_off:
                         await self._changed.wait()
             except TimeoutError:
                 pass
-        compacted = after < self._oldest
+        compacted = after < self._oldest_revision
         return MirrorChanges(
             revision=max(self._revision, after),
             behind_ms=self._behind_ms(),
@@ -205,29 +207,29 @@
             ),
         )
 
-    def _packed(self, message: MirrorList | MirrorChanges) -> HttpResponse:
+    def _to_response(self, message: MirrorList | MirrorChanges) -> HttpResponse:
         return HttpResponse(
-            status=200, body=codec.to_pack(message), headers={"content-type": PACK_TYPE}
+            status=200, body=codec.to_pack(message), headers={"content-type": CONTENT_TYPE}
         )
 
     def _behind_ms(self) -> int:
-        if self._behind_since is None:
+        if self._out_of_sync_since is None:
             return 0
-        return 1 + int((self._now() - self._behind_since) * 1000)
+        return 1 + int((self._now() - self._out_of_sync_since) * 1000)
 
     def _settling_ms(self) -> int:
         return max(0, int((self._settled_at - self._now()) * 1000))
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
 
 class MirrorStore(Store):
-    """A peer's mirror, read as the store.
+    """Read-only access to a peer's mirror as a `Store`.
 
-    `behind_ms` and `settling_ms` are what it said last of itself. `introduction` returns what the
-    peer is told of this VM with each read.
+    `behind_ms`, `settling_ms` and `cut_off` are as the mirror reported them last. `introduction`
+    returns the query parameters that describe this VM, sent with each watch and probe.
     """
 
     def __init__(
@@ -240,7 +242,7 @@
     ) -> None:
         self._introduction: Final = introduction
         self._on_losses: Final = on_losses
-        limits = HttpLimits(body_bytes=MOST_BYTES)
+        limits = HttpLimits(body_bytes=MAX_RESPONSE_BYTES)
         self._client: Final = HttpClient(host, port, limit=2, connect_timeout=0.5, limits=limits)
         self.behind_ms = 0
         self.settling_ms = 0
@@ -251,59 +253,61 @@
         await self._client.close()
 
     async def list(self, prefix: str) -> ListResult:
-        """Return all entries under a prefix."""
-        told: MirrorList = await self._get(LIST_PATH, {}, CALL_S, MirrorList)
-        if not told.revision:
-            raise StoreAway("the mirror knows nothing")
-        self.behind_ms, self.settling_ms = told.behind_ms, told.settling_ms
-        self.cut_off = told.cut_off
-        found = tuple(entry for entry in told.entries if entry.key.startswith(prefix))
-        return ListResult(revision=told.revision, entries=found)
+        """Return all entries under a prefix. Raises StoreAway if the mirror has none yet."""
+        response: MirrorList = await self._request(LIST_PATH, {}, LIST_TIMEOUT_S, MirrorList)
+        if not response.revision:
+            raise StoreAway("the mirror has not been filled yet")
+        self.behind_ms, self.settling_ms = response.behind_ms, response.settling_ms
+        self.cut_off = response.cut_off
+        matching = tuple(entry for entry in response.entries if entry.key.startswith(prefix))
+        return ListResult(revision=response.revision, entries=matching)
 
     async def watch(self, prefix: str, *, after: int, wait: float) -> WatchResult:
         """Wait for changes under a prefix."""
-        wait = min(wait, MOST_WAIT_S)
+        wait = min(wait, MAX_WAIT_S)
         query = {"after": str(after), "wait": f"{wait:.3f}", **self._introduction()}
         if self.cut_off:
             query["cut_off"] = "1"
-        told: MirrorChanges = await self._get(
-            WATCH_PATH, query, wait + WATCH_SLACK_S, MirrorChanges
+        response: MirrorChanges = await self._request(
+            WATCH_PATH, query, wait + WATCH_TIMEOUT_MARGIN_S, MirrorChanges
+        )
+        self.behind_ms, self.settling_ms = response.behind_ms, response.settling_ms
+        self.cut_off = response.cut_off
+        self._on_losses(response.losses)
+        matching = tuple(entry for entry in response.entries if entry.key.startswith(prefix))
+        return WatchResult(
+            revision=response.revision, entries=matching, compacted=response.compacted
         )
-        self.behind_ms, self.settling_ms = told.behind_ms, told.settling_ms
-        self.cut_off = told.cut_off
-        self._on_losses(told.losses)
-        found = tuple(entry for entry in told.entries if entry.key.startswith(prefix))
-        return WatchResult(revision=told.revision, entries=found, compacted=told.compacted)
 
     async def probe(self, timeout: float) -> None:
-        """Ask for nothing but an answer within `timeout` seconds. Raises StoreAway."""
+        """Check that the mirror responds within `timeout` seconds. Raises StoreAway."""
         query = {"after": "0", "wait": "0", **self._introduction()}
-        told: MirrorChanges = await self._get(WATCH_PATH, query, timeout, MirrorChanges)
-        self._on_losses(told.losses)
+        response: MirrorChanges = await self._request(WATCH_PATH, query, timeout, MirrorChanges)
+        self._on_losses(response.losses)
 
     async def get(self, key: str) -> StoredValue | None:
-        """Mirrors are listed and watched only."""
-        raise StoreAway("a mirror is listed and watched only")
+        """Raise StoreAway: a mirror supports lists and watches only."""
+        raise StoreAway("a mirror supports lists and watches only")
 
     async def compare_and_swap(
         self, key: str, value: bytes | None, *, expect: int, lease: str | None = None
     ) -> StoredValue:
-        """Mirrors are never written."""
-        raise StoreAway("a mirror is never written")
+        """Raise StoreAway: a mirror is read-only."""
+        raise StoreAway("a mirror is read-only")
 
     async def grant_lease(self, ttl: float) -> Lease:
-        """Mirrors are never written."""
-        raise StoreAway("a mirror is never written")
+        """Raise StoreAway: a mirror is read-only."""
+        raise StoreAway("a mirror is read-only")
 
     async def keep_alive(self, lease: str) -> Lease:
-        """Mirrors are never written."""
-        raise StoreAway("a mirror is never written")
+        """Raise StoreAway: a mirror is read-only."""
+        raise StoreAway("a mirror is read-only")
 
     async def revoke(self, lease: str) -> None:
-        """Mirrors are never written."""
-        raise StoreAway("a mirror is never written")
+        """Raise StoreAway: a mirror is read-only."""
+        raise StoreAway("a mirror is read-only")
 
-    async def _get(self, path: str, query: dict[str, str], timeout: float, kind: type[T]) -> T:
+    async def _request(self, path: str, query: dict[str, str], timeout: float, kind: type[T]) -> T:
         try:
             response = await self._client.get(path, query=query, timeout=timeout)
         except HttpFailure as failure:
@@ -317,11 +321,11 @@
 
 
 def pack_losses(losses: Mapping[str, int]) -> str:
-    """Return a report of losses as it stands in a query."""
+    """Encode a report of lost responses as a query parameter."""
     return ",".join(f"{replica}:{age_ms}" for replica, age_ms in losses.items())
 
 
 def unpack_losses(text: str) -> dict[str, int]:
-    """Return the report that `pack_losses` has packed, without what can't be read."""
+    """Decode the query parameter of `pack_losses`; malformed parts are skipped."""
     pairs = (part.rpartition(":") for part in text.split(","))
     return {replica: int(age) for replica, _, age in pairs if replica and age.isdecimal()}
--- a/libs/forwarding/berylspindle_forwarding/outside.py
+++ b/libs/forwarding/berylspindle_forwarding/outside.py
@@ -1,21 +1,21 @@
 """Detect that this VM is cut off from the other data centres, and set its readiness.
 
 Terms:
-  probe     a short question to a peer in another data centre, to see whether it can be reached
-  again at home   a route whose shards, enough of them, have a replica in this VM's own data centre
-
-Flow: `run` looks ten times a second, twice as often while an attempt elsewhere is out. A VM that is
-cut off says so at once, unless all routes can be served at home, and probes peers elsewhere until
-one answers. While all is well only a VM that no other one watches for probes, two data centres at a
-time, and so sees a cut before callers' requests show it. A VM that others follow also probes as
-soon as an attempt is overdue. A VM that follows the mirror of one that is cut off is `told`, and
-suspects that it is too.
-
-Guards: where twenty VMs share a data centre's callers, most of them see too few requests to notice
-a cut themselves; the balancer goes on sending callers to each that is ready, and needs all of them
-unready to send any elsewhere. A balancer sends callers of a data centre whose VMs are all unready
-to another one. A VM that is cut off and stays ready keeps them, and can answer only what its own
-data centre holds.
+  probe           a short request to a peer in another data centre that checks reachability
+  served locally  said of a route with enough shards that have a replica in this VM's data centre
+
+Flow: `run` checks reachability at fixed intervals, more often while an attempt at another data
+centre is pending. A VM that is cut off becomes unready at once, unless all routes can be served
+locally, and probes peers in other data centres until one responds. In normal operation only a VM
+that follows the store directly probes, two data centres at a time, and so detects a cut before
+callers' requests are affected. A VM that has followers also probes as soon as an attempt is
+overdue. `told` passes on that the followed mirror's VM is cut off; this VM then suspects that it is
+cut off too.
+
+Guards: where twenty VMs share a data centre's callers, most of them see too few requests to detect
+a cut themselves. The balancer sends callers to each VM that is ready, and diverts them to another
+data centre only once all VMs of this one are unready. A VM that is cut off and stays ready keeps
+its callers, and can answer only what its own data centre holds.
 """
 
 from __future__ import annotations
@@ -31,32 +31,33 @@
 from berylspindle_forwarding.vm_probe import Prober
 from berylspindle_model.routing import Route, RoutingTable
 
-LOOK_S: Final = 0.1
-LOOK_OUT_S: Final = 0.05
-"""Seconds between two looks, and while an attempt elsewhere is out."""
+CHECK_INTERVAL_S: Final = 0.1
+PENDING_CHECK_INTERVAL_S: Final = 0.05
+"""Seconds between two checks, and the same while an attempt at another data centre is pending."""
 
-CONFIRM_S: Final = 0.2
+CONFIRM_INTERVAL_S: Final = 0.2
 CONFIRM_PROBES: Final = 2
-"""Seconds between two rounds of probes for overdue attempts, and VMs of each data centre that are
-probed: one may have just died."""
+"""Seconds between two rounds of probes for overdue attempts, and the VMs probed in each data
+centre: a single one may have just crashed."""
 
-SUSPECT_S: Final = 2.5
-"""Seconds for which a suspicion lasts: the next word of a VM that is cut off comes within one."""
+SUSPICION_S: Final = 2.5
+"""Seconds for which a suspicion lasts. The next report of a VM that is cut off arrives within one
+second."""
 
-PROBE_S: Final = 0.25
+PROBE_TIMEOUT_S: Final = 0.25
 
-WATCH_S: Final = 0.4
-WATCHED: Final = 2
-"""Seconds between two rounds of probes while all is well, and data centres that are probed in each:
-as many as have to be dark for a VM that is cut off."""
+IDLE_PROBE_INTERVAL_S: Final = 0.4
+IDLE_PROBE_DATA_CENTRES: Final = 2
+"""Seconds between two rounds of probes in normal operation, and the data centres probed in each
+round: as many as have to be unreachable for a VM to count as cut off."""
 
-BALANCER_S: Final = 2.1
-"""Seconds after which a balancer that asks every second and counts two misses has seen that this VM
-is unready."""
+BALANCER_DETECTION_S: Final = 2.1
+"""Seconds after which a balancer with a check interval of one second and a threshold of two
+failures has detected that this VM is unready."""
 
 
 class Outside:
-    """This VM's ways to other data centres, and what follows for its readiness."""
+    """Track the reachability of other data centres, and derive this VM's readiness from it."""
 
     def __init__(
         self,
@@ -72,11 +73,15 @@
         now: Callable[[], float],
         on_change: Callable[[bool], None],
     ) -> None:
-        """Take also whether this VM probes while all is well, and for overdue attempts."""
-        self._watches: Final = watches
+        """Initialize the monitor.
+
+        `watches` returns whether this VM probes in normal operation, and `is_followed` whether it
+        probes for overdue attempts.
+        """
+        self._probes_when_idle: Final = watches
         self._is_followed: Final = is_followed
-        self._watch_at = 0.0
-        self._confirm_at = 0.0
+        self._idle_probe_at = 0.0
+        self._next_confirm_at = 0.0
         self._prober: Final = prober
         self._reach: Final = reach
         self._registry: Final = registry
@@ -85,60 +90,62 @@
         self._table: Final = table
         self._now: Final = now
         self._on_change: Final = on_change
-        self._since: float | None = None
+        self._cut_off_since: float | None = None
         self._suspected_by: object = None
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether this VM is cut off and can't serve all routes at home."""
-        return self._since is not None
+        """Return whether this VM is cut off and can't serve all routes locally."""
+        return self._cut_off_since is not None
 
     def until_elsewhere(self, now: float) -> float:
-        """Return in how many seconds the balancer sends callers elsewhere; 0 where it does."""
-        if self._since is None:
+        """Return the seconds until the balancer diverts callers; 0 if it already does."""
+        if self._cut_off_since is None:
             return 0.0
-        return max(0.0, self._since + BALANCER_S - now)
+        return max(0.0, self._cut_off_since + BALANCER_DETECTION_S - now)
 
     def told(self, cut_off: bool, *, source: object) -> None:
-        """Take from another VM of this data centre whether it is cut off.
+        """Record whether another VM of this data centre reports that it is cut off.
 
-        Only the one that raised a suspicion ends it: others may not have seen the cut yet.
+        Only the VM that raised a suspicion ends it: others may not have detected the cut yet.
         """
         now = self._now()
         if cut_off:
             self._suspected_by = source
-            self._reach.suspect(now, until=now + SUSPECT_S)
+            self._reach.suspect(now, until=now + SUSPICION_S)
         elif source is self._suspected_by:
             self._suspected_by = None
             self._reach.end_suspicion()
         self._update(now)
 
     async def run(self) -> None:
-        """Look and probe until cancelled."""
+        """Check and probe until cancelled."""
         async with asyncio.TaskGroup() as probes:
             while True:
-                await asyncio.sleep(LOOK_OUT_S if self._reach.is_waiting else LOOK_S)
+                await asyncio.sleep(
+                    PENDING_CHECK_INTERVAL_S if self._reach.is_waiting else CHECK_INTERVAL_S
+                )
                 now = self._now()
                 self._update(now)
                 if self._reach.should_probe(now):
                     await self._probe(self._peers())
                 elif self._reach.is_quiet(now) and self._may_confirm(now):
                     probes.create_task(self._confirm())
-                elif self._watches() and now >= self._watch_at:
-                    self._watch_at = now + WATCH_S
-                    probes.create_task(self._watch())
+                elif self._probes_when_idle() and now >= self._idle_probe_at:
+                    self._idle_probe_at = now + IDLE_PROBE_INTERVAL_S
+                    probes.create_task(self._probe_idle())
 
     def _update(self, now: float) -> None:
-        cut_off = self._reach.is_cut_off(now) and not self._all_at_home()
+        cut_off = self._reach.is_cut_off(now) and not self._is_served_locally()
         if cut_off == self.is_cut_off:
             return
-        self._since = now if cut_off else None
+        self._cut_off_since = now if cut_off else None
         self._on_change(cut_off)
 
     def _may_confirm(self, now: float) -> bool:
-        if now < self._confirm_at or not self._is_followed():
+        if now < self._next_confirm_at or not self._is_followed():
             return False
-        self._confirm_at = now + CONFIRM_S
+        self._next_confirm_at = now + CONFIRM_INTERVAL_S
         return True
 
     async def close(self) -> None:
@@ -146,53 +153,52 @@
         await self._prober.close()
 
     def _peers(self) -> dict[str, list[VmEntry]]:
-        """Return the VMs of each other data centre."""
         peers: dict[str, list[VmEntry]] = {}
         for vm in self._vms():
             if vm.data_centre != self._data_centre:
                 peers.setdefault(vm.data_centre, []).append(vm)
         return peers
 
-    async def _watch(self) -> None:
-        """Probe a few data centres, and others of their VMs as long as none answers."""
+    async def _probe_idle(self) -> None:
+        """Probe a few data centres, and retry with other VMs while none responds."""
         peers = self._peers()
-        watched = random.sample(sorted(peers), min(WATCHED, len(peers)))
+        sampled = random.sample(sorted(peers), min(IDLE_PROBE_DATA_CENTRES, len(peers)))
         for _ in range(TRIES):
-            heard = await self._probe({name: peers[name] for name in watched})
-            if heard or not watched:
+            responded = await self._probe({name: peers[name] for name in sampled})
+            if responded or not sampled:
                 return
 
     async def _confirm(self) -> None:
-        """Ask a few VMs of each other data centre at once."""
+        """Probe a few VMs of each other data centre concurrently."""
         asked = (
             self._probe_one(vm)
-            for found in self._peers().values()
-            for vm in random.sample(found, min(CONFIRM_PROBES, len(found)))
+            for vms in self._peers().values()
+            for vm in random.sample(vms, min(CONFIRM_PROBES, len(vms)))
         )
         await asyncio.gather(*asked)
 
     async def _probe(self, peers: Mapping[str, list[VmEntry]]) -> bool:
-        """Ask one VM of each of these data centres at once; return whether any has answered."""
-        asked = [self._probe_one(self._choose(found)) for found in peers.values()]
+        """Probe one VM of each data centre concurrently; return whether any responded."""
+        asked = [self._probe_one(self._choose(vms)) for vms in peers.values()]
         return any(await asyncio.gather(*asked))
 
     def _choose(self, vms: list[VmEntry]) -> VmEntry:
-        known = [vm for vm in vms if self._prober.knows(vm.host, vm.port)]
-        return random.choice(known or vms)
+        connected = [vm for vm in vms if self._prober.knows(vm.host, vm.port)]
+        return random.choice(connected or vms)
 
     async def _probe_one(self, vm: VmEntry) -> bool:
         self._reach.probed(self._now(), vm.data_centre)
-        if not await self._prober.answers(vm.host, vm.port, timeout=PROBE_S):
+        if not await self._prober.answers(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
             return False
         self._reach.heard(self._now(), vm.data_centre)
         return True
 
-    def _all_at_home(self) -> bool:
+    def _is_served_locally(self) -> bool:
         table = self._table()
-        return table is not None and all(self._is_at_home(route) for route in table.routes)
+        return table is not None and all(self._is_route_local(route) for route in table.routes)
 
-    def _is_at_home(self, route: Route) -> bool:
-        held = sum(map(self._registry.has_at_home, route.services))
+    def _is_route_local(self, route: Route) -> bool:
+        local = sum(map(self._registry.has_at_home, route.services))
         if route.shard_set is not None:
-            return held >= route.shard_set.least
-        return held == len(route.services)
+            return local >= route.shard_set.least
+        return local == len(route.services)
--- a/libs/forwarding/berylspindle_forwarding/rollout_changes.py
+++ b/libs/forwarding/berylspindle_forwarding/rollout_changes.py
@@ -1,4 +1,4 @@
-"""Hand the catalogue's changes to the rollouts of this VM, and show in metrics what is known."""
+"""Apply the catalogue's changes to the rollouts of this VM, and export their answers as metrics."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 def take_change(rollouts: Rollouts, change: RolloutChange, *, is_new: bool) -> None:
-    """Take an entry of the store; `is_new` if it was written just now."""
+    """Apply an entry of the store; `is_new` if it has just been written."""
     if isinstance(change, OrderChange):
-        rollouts.take_order(change.service, change.order, is_new=is_new)
+        rollouts.apply_order(change.service, change.order, is_new=is_new)
     elif isinstance(change, StatusChange):
-        rollouts.take_status(change.service, change.status)
+        rollouts.apply_status(change.service, change.status)
     elif isinstance(change, ShiftChange):
-        rollouts.take_shift(change.service, change.shift)
+        rollouts.apply_shift(change.service, change.shift)
     else:
-        rollouts.take_record(change.service, change.data_centre, change.answers)
+        rollouts.apply_record(change.service, change.data_centre, change.answers)
 
 
 def show_answers(metrics: Metrics, rollouts: Rollouts, service: str) -> None:
     """Set the metrics of the answers by which a service's new version is judged."""
     total = AnswerCounts()
-    for counts in rollouts.counted(service).values():
+    for counts in rollouts.answer_counts(service).values():
         total.join(counts)
     old = total.old.values()
     for version, result, value in (
--- a/libs/forwarding/berylspindle_forwarding/rollouts.py
+++ b/libs/forwarding/berylspindle_forwarding/rollouts.py
@@ -1,20 +1,21 @@
-"""The rollouts that this VM takes part in: which version a request goes to, and what came of it.
+"""Track the rollouts of services: which version receives requests, and how its requests end.
 
 Terms:
   order, status, answers  as in `berylspindle_model.rollout`
-  stage                   how far a rollout has come (`decisions.rollout_plan`)
-  report                  answers as one VM tells them to the VM that it follows
+  stage                   progress of a rollout (`decisions.rollout_plan`)
+  trial                   the stage in which a small share of the requests goes to the new version
+  report                  answers that a VM sends to the VM that it follows
   record                  answers of a whole data centre, an entry in the store
 
-Flow: the forwarder hands over each entry of the store that concerns a rollout. `rule` says which
-replicas of a service get requests, `takes_trial` whether a request goes to the new version instead;
-the attempts of requests report their answers. Reports go up to the first watcher of the data centre
-by the reads of mirrors (`report`, `take_report`); it writes the record, by which the watchers of
-all data centres decide (`rollout_keeper`).
+Flow: the forwarder passes each entry of the store that concerns a rollout. `rule` returns which
+replicas of a service receive requests, and `takes_trial` whether a request goes to the new version
+instead; attempts report their responses. Reports are sent with the reads of mirrors (`report`,
+`take_report`) up to the first watcher of the data centre. It writes the record, from which the
+watchers of all data centres decide (`rollout_keeper`).
 
-Guards: a VM that has just started does not know how old an order is, and tries nothing until a
-record says so: a trial goes on no longer than its part of the term. A VM whose own answers show a
-bad version stops trying it, also where neither the store nor another VM can be reached.
+Guards: a VM that has just started does not know the age of an order, and sends no trial requests
+until a record states it: a trial must not exceed its part of the term. A VM whose own answers show
+a bad version stops its trial, also if it can reach neither the store nor another VM.
 """
 
 from __future__ import annotations
@@ -47,59 +48,58 @@
 )
 from berylspindle_model.routing import Replica
 
-REPORT_S: Final = 5.0
-"""Seconds for which a report counts; a VM reports with each read of a mirror, once a second."""
+REPORT_TTL_S: Final = 5.0
+"""Seconds for which a report is valid; a VM reports with each read of a mirror, once a second."""
 
-MOST_REPORTED: Final = 12
-"""Services in one report, the latest orders first: it is part of a request's head."""
+MAX_REPORTED_SERVICES: Final = 12
+"""Services in one report, latest orders first: the report is part of a request's head."""
 
-RATE_AFTER_MS: Final = 1000
-"""Milliseconds after an order before which its requests say nothing of their rate."""
+MIN_RATE_PERIOD_MS: Final = 1000
+"""Milliseconds after an order before its request rate is computed."""
 
 FINAL_STAGES: Final = {
     RolloutState.COMPLETED: Stage.COMPLETED,
     RolloutState.ROLLED_BACK: Stage.ROLLED_BACK,
 }
-"""The stages that the operator is told of as the end of a rollout."""
+"""Final stages by the state that is reported to the operator."""
 
 
 @attrs.frozen(kw_only=True)
 class VersionRule:
-    """Which replicas of a service get requests: those of a version, or all others."""
+    """Which replicas of a service receive requests: those of a version, or all others."""
 
     version: str
     is_used: bool
 
 
-def _counts() -> defaultdict[str, AnswerCounts]:
+def _new_counts() -> defaultdict[str, AnswerCounts]:
     return defaultdict(AnswerCounts)
 
 
-def _profiles() -> defaultdict[str, LatencyProfile]:
+def _new_profiles() -> defaultdict[str, LatencyProfile]:
     return defaultdict(LatencyProfile)
 
 
 @attrs.define(kw_only=True)
 class _Rollout:
-    """One service; `seen_at` is None while the age of the order isn't known."""
+    """One service; `ordered_at` is the time of the order, None while it isn't known."""
 
     order: RolloutOrder | None = None
     status: RolloutStatus | None = None
     shift: RolloutShift | None = None
-    seen_at: float | None = None
-    shift_at: float = 0.0
+    ordered_at: float | None = None
+    shifted_at: float = 0.0
     requests: int = 0
     tried: int = 0
-    routes: defaultdict[str, AnswerCounts] = attrs.field(factory=_counts)
-    usual: defaultdict[str, LatencyProfile] = attrs.field(factory=_profiles)
+    routes: defaultdict[str, AnswerCounts] = attrs.field(factory=_new_counts)
+    baselines: defaultdict[str, LatencyProfile] = attrs.field(factory=_new_profiles)
     records: dict[str, RolloutAnswers] = attrs.field(factory=dict)
-    is_stopped: bool = False
+    is_trial_stopped: bool = False
 
     @property
     def stage(self) -> Stage:
-        """Return how far the rollout has come."""
         order, status = self.order, self.status
-        if status is not None and status.state in FINAL_STAGES and _is_of(status, order):
+        if status is not None and status.state in FINAL_STAGES and _status_matches(status, order):
             return FINAL_STAGES[status.state]
         if order is None:
             return Stage.ROLLED_BACK
@@ -109,35 +109,35 @@
 
     @property
     def is_active(self) -> bool:
-        """Return whether something is still to be decided."""
+        """Return whether a decision is still pending."""
         return self.order is not None and not self.stage.is_final
 
     @property
     def version(self) -> str:
-        """Return the version that is ordered, or was last."""
+        """Return the ordered version, or that of the last status if no order exists."""
         if self.order is not None:
             return self.order.version
         return self.status.version if self.status is not None else ""
 
     def is_slow(self, route: str, ms: float) -> bool:
-        """Return whether an answer is slow beside those of the old version."""
-        usual = self.usual[route]
-        return usual.known and ms >= SLOW_RATIO * usual.quantile(0.5)
+        """Return whether a response is slow in comparison with the old version."""
+        baseline = self.baselines[route]
+        return baseline.known and ms >= SLOW_RATIO * baseline.quantile(0.5)
 
-    def begin(self, order: RolloutOrder | None, seen_at: float | None) -> None:
-        """Take a new order, or that there is none any more."""
-        self.order, self.seen_at = order, seen_at
+    def reset(self, order: RolloutOrder | None, ordered_at: float | None) -> None:
+        """Reset to a new order, or to none."""
+        self.order, self.ordered_at = order, ordered_at
         self.requests = self.tried = 0
-        self.is_stopped = False
+        self.is_trial_stopped = False
         self.routes.clear()
-        self.usual.clear()
+        self.baselines.clear()
         self.records.clear()
 
 
 class Rollouts:
-    """All rollouts that one VM knows; times are in seconds of its clock.
+    """All rollouts known to one VM; times are in seconds of its clock.
 
-    `on_change` is called when the replicas that get requests may have changed.
+    `on_change` is called when the replicas that receive requests may have changed.
     """
 
     def __init__(
@@ -148,7 +148,10 @@
         on_change: Callable[[], None],
         dither: float = 0.0,
     ) -> None:
-        """Take also a random number in [0, 1) of this VM's own (`rollout_plan.may_try`)."""
+        """Initialize without rollouts.
+
+        `dither` is a random number in [0, 1), drawn once by each VM (`rollout_plan.may_try`).
+        """
         self._dither: Final = dither
         self._bounds: Final = bounds
         self._now: Final = now
@@ -160,48 +163,48 @@
 
     @property
     def active(self) -> frozenset[str]:
-        """Return the services for which something is still to be decided."""
+        """Return the services with a pending decision."""
         return self._active
 
     async def wait_active(self) -> None:
-        """Wait until there is a rollout to decide on."""
+        """Wait until a rollout has a pending decision."""
         await self._some_active.wait()
 
-    def take_order(self, service: str, order: RolloutOrder | None, *, is_new: bool) -> None:
-        """Take an order, None where it is gone; `is_new` if it was written just now."""
-        known = self._of(service)
-        if known.order != order:
-            known.begin(order, self._now() if is_new else None)
-        self._changed()
-
-    def take_status(self, service: str, status: RolloutStatus | None) -> None:
-        """Take what the system has told the operator."""
-        self._of(service).status = status
-        self._changed()
-
-    def take_shift(self, service: str, shift: RolloutShift | None) -> None:
-        """Take the word that a service's requests go to the new version."""
-        known = self._of(service)
-        known.shift, known.shift_at = shift, self._now()
-        self._changed()
-
-    def take_record(self, service: str, data_centre: str, record: RolloutAnswers | None) -> None:
-        """Take the answers of a data centre."""
-        known = self._of(service)
-        if known.order is None or record is None or record.order != known.order.revision:
-            known.records.pop(data_centre, None)
+    def apply_order(self, service: str, order: RolloutOrder | None, *, is_new: bool) -> None:
+        """Apply an order, None if it was deleted; `is_new` if it has just been written."""
+        rollout = self._state_of(service)
+        if rollout.order != order:
+            rollout.reset(order, self._now() if is_new else None)
+        self._on_state_changed()
+
+    def apply_status(self, service: str, status: RolloutStatus | None) -> None:
+        """Apply the status last reported to the operator."""
+        self._state_of(service).status = status
+        self._on_state_changed()
+
+    def apply_shift(self, service: str, shift: RolloutShift | None) -> None:
+        """Apply the entry that moves all requests of a service to the new version."""
+        rollout = self._state_of(service)
+        rollout.shift, rollout.shifted_at = shift, self._now()
+        self._on_state_changed()
+
+    def apply_record(self, service: str, data_centre: str, record: RolloutAnswers | None) -> None:
+        """Apply the record of a data centre."""
+        rollout = self._state_of(service)
+        if rollout.order is None or record is None or record.order != rollout.order.revision:
+            rollout.records.pop(data_centre, None)
             return
-        known.records[data_centre] = record
+        rollout.records[data_centre] = record
         began = self._now() - record.elapsed_ms / 1000
-        known.seen_at = began if known.seen_at is None else min(known.seen_at, began)
+        rollout.ordered_at = began if rollout.ordered_at is None else min(rollout.ordered_at, began)
 
     def rule(self, service: str) -> VersionRule | None:
-        """Return which replicas of a service get its requests; None where any may."""
-        known = self._services.get(service)
-        if known is None or not known.version:
+        """Return which replicas of a service receive its requests; None if any may."""
+        rollout = self._services.get(service)
+        if rollout is None or not rollout.version:
             return None
-        is_used = known.stage in (Stage.SHIFT, Stage.COMPLETED)
-        return VersionRule(version=known.version, is_used=is_used)
+        is_used = rollout.stage in (Stage.SHIFT, Stage.COMPLETED)
+        return VersionRule(version=rollout.version, is_used=is_used)
 
     def takes_trial(self, service: str, *, u: float) -> bool:
         """Count a request to a service; return whether it goes to the new version on trial.
@@ -210,82 +213,99 @@
         """
         if service not in self._active:
             return False
-        known = self._services[service]
-        known.requests += 1
-        order, elapsed = known.order, self.elapsed(service)
-        if order is None or elapsed is None or known.stage is not Stage.TRIAL or known.is_stopped:
+        rollout = self._services[service]
+        rollout.requests += 1
+        order, elapsed = rollout.order, self.elapsed(service)
+        if (
+            order is None
+            or elapsed is None
+            or rollout.stage is not Stage.TRIAL
+            or rollout.is_trial_stopped
+        ):
             return False
-        share = trial_share(self._bounds, term=order.term, rate=self._rate(known), elapsed=elapsed)
-        takes = u < share and may_try(
+        share = trial_share(
+            self._bounds, term=order.term, rate=self._rate(rollout), elapsed=elapsed
+        )
+        is_admitted = u < share and may_try(
             self._bounds,
             elapsed=elapsed,
-            requests=known.requests,
-            tried=known.tried,
-            of_all=sum(record.requests for record in known.records.values()),
+            requests=rollout.requests,
+            tried=rollout.tried,
+            of_all=sum(record.requests for record in rollout.records.values()),
             dither=self._dither,
         )
-        known.tried += takes
-        return takes
+        rollout.tried += is_admitted
+        return is_admitted
 
     def note_answer(self, replica: Replica, route: str, ms: float | None) -> None:
-        """Count an answer of a replica.
+        """Count a response of a replica.
 
-        `ms` is what it took beside the queue that it met; None where it failed. It is slow beside
-        answers of the old version of the same service: services of one route may differ.
+        `ms` is the latency without queueing delay, or None if the request failed. Latencies are
+        compared with those of the old version of the same service, since services of one route may
+        differ.
         """
-        known = self._counting(replica.service)
-        if known is None:
+        rollout = self._active_rollout(replica.service)
+        if rollout is None:
             return
-        is_bad = ms is None or known.is_slow(route, ms)
-        if ms is not None and replica.version != known.version:
-            known.usual[route].add(ms)
-        self._count(known, route, replica, is_bad=is_bad)
+        is_bad = ms is None or rollout.is_slow(route, ms)
+        if ms is not None and replica.version != rollout.version:
+            rollout.baselines[route].add(ms)
+        self._count(rollout, route, replica, is_bad=is_bad)
 
     def note_abandoned(self, replica: Replica, route: str, ms: float) -> None:
-        """Count an attempt that nobody waited for any more, if it was slow by then."""
-        known = self._counting(replica.service)
-        if known is not None and known.is_slow(route, ms):
-            self._count(known, route, replica, is_bad=True)
+        """Count an abandoned attempt if it was already slow."""
+        rollout = self._active_rollout(replica.service)
+        if rollout is not None and rollout.is_slow(route, ms):
+            self._count(rollout, route, replica, is_bad=True)
 
-    def _counting(self, service: str) -> _Rollout | None:
+    def _active_rollout(self, service: str) -> _Rollout | None:
         return self._services[service] if service in self._active else None
 
-    def _count(self, known: _Rollout, route: str, replica: Replica, *, is_bad: bool) -> None:
-        is_new = replica.version == known.version
-        known.routes[route].add(replica.id, is_new=is_new, is_bad=is_bad)
+    def _count(self, rollout: _Rollout, route: str, replica: Replica, *, is_bad: bool) -> None:
+        is_new = replica.version == rollout.version
+        rollout.routes[route].add(replica.id, is_new=is_new, is_bad=is_bad)
         if is_new and is_bad:
-            known.is_stopped = known.is_stopped or judge(known.routes) is Verdict.BAD
+            rollout.is_trial_stopped = (
+                rollout.is_trial_stopped or judge(rollout.routes) is Verdict.BAD
+            )
 
     def report(self, *, for_others: bool) -> str:
-        """Return what the VM that this one follows is told, empty where there is nothing to tell.
+        """Return the report for the VM that this one follows; empty without active rollouts.
 
-        With `for_others` that includes what others have reported here.
+        With `for_others` it includes the reports that this VM has received.
         """
         if not self._active:
             return ""
-        latest = sorted(self._active, key=self._order_revision, reverse=True)[:MOST_REPORTED]
+        latest = sorted(self._active, key=self._order_revision, reverse=True)[
+            :MAX_REPORTED_SERVICES
+        ]
         services = {name: self.answers(name, for_others=for_others) for name in latest}
         report = RolloutReport(is_sum=for_others, services=services)
         return codec.to_json(report).decode()
 
     def take_report(self, vm: str, text: str) -> None:
-        """Take what a VM that follows this one tells. Raises MalformedError."""
+        """Merge the report of a VM that follows this one. Raises MalformedError."""
         self._reports[vm] = (self._now(), codec.from_json(text.encode(), RolloutReport))
 
-    def answers(self, service: str, *, for_others: bool, with_sums: bool = False) -> RolloutAnswers:
-        """Return what this VM has seen of a rollout, and what others have reported to it.
+    def answers(
+        self, service: str, *, for_others: bool, include_sums: bool = False
+    ) -> RolloutAnswers:
+        """Return the answers of a rollout that this VM has counted.
 
-        Reports that are sums themselves count only `with_sums`; else two VMs that follow each other
-        for a while would count the same answers again and again.
+        With `for_others` they include those reported to it. Reports that are sums themselves count
+        only with `include_sums`; else two VMs that temporarily follow each other would count the
+        same answers repeatedly.
         """
-        known = self._services[service]
-        order = known.order
+        rollout = self._services[service]
+        order = rollout.order
         assert order is not None
-        requests, routes = known.requests, _counts()
-        _join(routes, known.routes)
-        for told in self._told(service, order.revision, with_sums) if for_others else ():
-            requests += told.requests
-            _join(routes, told.routes)
+        requests, routes = rollout.requests, _new_counts()
+        _merge_counts(routes, rollout.routes)
+        for reported in (
+            self._reported_answers(service, order.revision, include_sums) if for_others else ()
+        ):
+            requests += reported.requests
+            _merge_counts(routes, reported.routes)
         return RolloutAnswers(
             order=order.revision,
             elapsed_ms=int((self.elapsed(service) or 0.0) * 1000),
@@ -294,83 +314,92 @@
         )
 
     def record(self, service: str, data_centre: str) -> RolloutAnswers:
-        """Return the record of a data centre: what its VMs tell, and no less than what it holds.
+        """Return the record of a data centre.
 
-        Guard: a writer that has restarted knows little of what came before. Evidence of a bad
-        version would be gone, and with fewer requests counted the trial would take a larger share.
+        It holds the reported answers, and no less than the stored record.
+
+        Guard: a writer that has restarted lacks the earlier answers. Without the stored record,
+        evidence of a bad version would be lost, and with fewer requests counted the trial would
+        take a larger share.
         """
-        told = self.answers(service, for_others=True, with_sums=True)
-        rate = 1000 * told.requests / told.elapsed_ms if told.elapsed_ms > RATE_AFTER_MS else 0.0
-        held = self._services[service].records.get(data_centre)
-        if held is None:
-            return attrs.evolve(told, rate=rate)
-        for name, counts in held.routes.items():
-            told.routes.setdefault(name, AnswerCounts()).raise_to(counts)
+        reported = self.answers(service, for_others=True, include_sums=True)
+        rate = (
+            1000 * reported.requests / reported.elapsed_ms
+            if reported.elapsed_ms > MIN_RATE_PERIOD_MS
+            else 0.0
+        )
+        stored = self._services[service].records.get(data_centre)
+        if stored is None:
+            return attrs.evolve(reported, rate=rate)
+        for name, counts in stored.routes.items():
+            reported.routes.setdefault(name, AnswerCounts()).raise_to(counts)
         return attrs.evolve(
-            told,
-            requests=max(told.requests, held.requests),
-            rate=max(rate, held.rate),
+            reported,
+            requests=max(reported.requests, stored.requests),
+            rate=max(rate, stored.rate),
         )
 
     def elapsed(self, service: str) -> float | None:
-        """Return how many seconds ago the order was given, None where that isn't known."""
-        seen_at = self._services[service].seen_at
-        return None if seen_at is None else self._now() - seen_at
+        """Return the age of the order in seconds, None if it isn't known."""
+        ordered_at = self._services[service].ordered_at
+        return None if ordered_at is None else self._now() - ordered_at
 
-    def in_stage(self, service: str) -> float:
-        """Return for how many seconds a rollout has been in the shift."""
-        return self._now() - self._services[service].shift_at
+    def stage_elapsed(self, service: str) -> float:
+        """Return the seconds since the shift entry of a service last changed."""
+        return self._now() - self._services[service].shifted_at
 
     def order(self, service: str) -> RolloutOrder | None:
-        """Return the order for a service."""
+        """Return the current order for a service."""
         return self._services[service].order
 
     def status(self, service: str) -> RolloutStatus | None:
-        """Return what the operator was told last of a service."""
+        """Return the status of a service last reported to the operator."""
         return self._services[service].status
 
     def stage(self, service: str) -> Stage:
-        """Return how far a rollout has come."""
+        """Return the stage of a rollout."""
         return self._services[service].stage
 
-    def counted(self, service: str) -> dict[str, AnswerCounts]:
+    def answer_counts(self, service: str) -> dict[str, AnswerCounts]:
         """Return the answers of all data centres by route."""
-        return dict(self._recorded(service))
+        return dict(self._recorded_counts(service))
 
     def verdict(self, service: str) -> Verdict:
-        """Return what the answers of all data centres say."""
-        known = self._services[service]
-        term = known.order.term if known.order is not None else 0.0
-        care = caution(self._bounds, term=term, rate=self._rate(known))
-        return judge(self._recorded(service), care)
-
-    def _recorded(self, service: str) -> defaultdict[str, AnswerCounts]:
-        routes = _counts()
+        """Return the verdict on the answers of all data centres."""
+        rollout = self._services[service]
+        term = rollout.order.term if rollout.order is not None else 0.0
+        required_caution = caution(self._bounds, term=term, rate=self._rate(rollout))
+        return judge(self._recorded_counts(service), required_caution)
+
+    def _recorded_counts(self, service: str) -> defaultdict[str, AnswerCounts]:
+        routes = _new_counts()
         for record in self._services[service].records.values():
-            _join(routes, record.routes)
+            _merge_counts(routes, record.routes)
         return routes
 
-    def _told(self, service: str, order: int, with_sums: bool) -> Iterable[RolloutAnswers]:
-        oldest = self._now() - REPORT_S
+    def _reported_answers(
+        self, service: str, order: int, include_sums: bool
+    ) -> Iterable[RolloutAnswers]:
+        oldest = self._now() - REPORT_TTL_S
         for at, report in self._reports.values():
-            told = report.services.get(service)
-            if told is None or at < oldest or told.order != order:
+            reported = report.services.get(service)
+            if reported is None or at < oldest or reported.order != order:
                 continue
-            if with_sums or not report.is_sum:
-                yield told
+            if include_sums or not report.is_sum:
+                yield reported
 
-    def _rate(self, known: _Rollout) -> float:
-        """Return the requests of all VMs to a service a second, 0 while that isn't known."""
-        return sum(record.rate for record in known.records.values())
+    def _rate(self, rollout: _Rollout) -> float:
+        """Return the requests per second of all VMs to a service; 0 if it isn't known."""
+        return sum(record.rate for record in rollout.records.values())
 
     def _order_revision(self, service: str) -> int:
         order = self._services[service].order
         return order.revision if order is not None else 0
 
-    def _of(self, service: str) -> _Rollout:
+    def _state_of(self, service: str) -> _Rollout:
         return self._services.setdefault(service, _Rollout())
 
-    def _changed(self) -> None:
+    def _on_state_changed(self) -> None:
         self._active = frozenset(name for name, one in self._services.items() if one.is_active)
         if self._active:
             self._some_active.set()
@@ -380,13 +409,13 @@
         self._on_change()
 
 
-def _is_of(status: RolloutStatus, order: RolloutOrder | None) -> bool:
-    """Return whether a status is that of an order, or of the last one where none stands."""
+def _status_matches(status: RolloutStatus, order: RolloutOrder | None) -> bool:
+    """Return whether a status belongs to an order; without an order any status does."""
     if order is None:
         return True
     return status.version == order.version and status.revision > order.revision
 
 
-def _join(routes: defaultdict[str, AnswerCounts], more: Mapping[str, AnswerCounts]) -> None:
+def _merge_counts(routes: defaultdict[str, AnswerCounts], more: Mapping[str, AnswerCounts]) -> None:
     for name, counts in more.items():
         routes[name].join(counts)
--- a/libs/forwarding/berylspindle_forwarding/vm_probe.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_probe.py
@@ -1,4 +1,4 @@
-"""Ask other VMs whether they answer at all, and exchange reports of lost answers with them."""
+"""Check whether other VMs respond, and exchange reports of lost responses with them."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 
 async def answers(host: str, port: int, *, timeout: float) -> bool:
-    """Return whether the VM whose mirror is read there answers within `timeout` seconds."""
+    """Return whether the VM whose mirror has this address responds within `timeout` seconds."""
     mirror = MirrorStore(host, port)
     try:
-        return await _ask(mirror, timeout)
+        return await _responds(mirror, timeout)
     finally:
         await mirror.close()
 
 
 class Prober:
-    """Probes of a few VMs over connections that stay open while they answer.
+    """Probe a few VMs over connections that stay open while they respond.
 
-    `introduction` returns what they are told of this VM; `on_losses` takes what they report.
+    `introduction` returns the query parameters that describe this VM; `on_losses` receives the
+    reports of lost responses.
     """
 
     def __init__(
@@ -34,16 +35,16 @@
         self._mirrors: Final[dict[tuple[str, int], MirrorStore]] = {}
 
     async def answers(self, host: str, port: int, *, timeout: float) -> bool:
-        """Return whether the VM whose mirror is read there answers within `timeout` seconds."""
+        """Return whether the VM whose mirror has this address responds within `timeout` seconds."""
         mirror = self._mirrors.get((host, port))
         if mirror is None:
             mirror = MirrorStore(
                 host, port, introduction=self._introduction, on_losses=self._on_losses
             )
             self._mirrors[host, port] = mirror
-        if await _ask(mirror, timeout):
+        if await _responds(mirror, timeout):
             return True
-        await self._drop((host, port))
+        await self._disconnect((host, port))
         return False
 
     def knows(self, host: str, port: int) -> bool:
@@ -53,18 +54,18 @@
     async def close(self) -> None:
         """Close all connections."""
         for address in tuple(self._mirrors):
-            await self._drop(address)
+            await self._disconnect(address)
 
-    async def _drop(self, address: tuple[str, int]) -> None:
+    async def _disconnect(self, address: tuple[str, int]) -> None:
         mirror = self._mirrors.pop(address, None)
         if mirror is not None:
             await mirror.close()
 
 
-async def _ask(mirror: MirrorStore, timeout: float) -> bool:
+async def _responds(mirror: MirrorStore, timeout: float) -> bool:
     try:
         await mirror.probe(timeout)
     except StoreAway:
-        # Silence is what is asked about; the caller counts it.
+        # A missing response is a result of the probe, not an error.
         return False
     return True
--- a/libs/forwarding/berylspindle_forwarding/vm_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_registry.py
@@ -1,7 +1,7 @@
 """Registry of the other VMs, from their announcements.
 
-Flow: the forwarder hands each announcement to `take`; who follows whom, whom searches are passed
-to, and by how many VMs shared bounds are divided, is answered from here.
+Flow: the forwarder passes each announcement to `take`. The registry answers which VMs are followed,
+which VMs may merge searches, and by how many VMs cluster-wide limits are divided.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class VmRegistry:
-    """All VMs that this one knows, itself among them once it is announced."""
+    """All VMs known to this one, itself among them once it is announced."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         self._seeds: Final = seeds
         self._expected_vms: Final = expected_vms
         self._vms: dict[str, VmEntry] = {}
-        self._others_here: Mapping[str, VmEntry] = {}
-        self._alike = 1
-        self._least_merger = 0.0
+        self._local_peers: Mapping[str, VmEntry] = {}
+        self._share_divisor = 1
+        self._min_merger_capacity = 0.0
         self._mergers: Mapping[str, VmEntry] = {}
 
     def __len__(self) -> int:
@@ -46,22 +46,22 @@
 
     @property
     def entries(self) -> tuple[VmEntry, ...]:
-        """Return all VMs."""
+        """Return the entries of all known VMs."""
         return tuple(self._vms.values())
 
     @property
     def alike(self) -> int:
-        """Return by how many VMs like this one what all VMs share is divided."""
-        return max(self._alike, self._expected_vms)
+        """Return the divisor of cluster-wide limits, counted in VMs of this one's capacity."""
+        return max(self._share_divisor, self._expected_vms)
 
     def take(self, change: VmChange) -> None:
-        """Take an announcement, or that one has gone."""
+        """Apply an announcement, or its deletion."""
         if change.vm is not None:
             self._vms[change.id] = change.vm
         else:
             self._vms.pop(change.id, None)
-        self._count()
-        self._others_here = {
+        self._recount()
+        self._local_peers = {
             name: vm
             for name, vm in self._vms.items()
             if vm.data_centre == self._data_centre and name != self._vm
@@ -71,31 +71,31 @@
             for name, vm in self._vms.items()
             if name != self._vm
             and vm.callers_port > 0
-            and (vm.data_centre == self._data_centre or vm.bears >= self._least_merger)
+            and (vm.data_centre == self._data_centre or vm.bears >= self._min_merger_capacity)
         }
 
-    def needs_me(self, enough: int) -> bool:
-        """Return whether fewer than `enough` other VMs here, each at least as big, are known."""
-        bigger = [vm for vm in self._others_here.values() if vm.bears >= self._bears]
-        return len(bigger) < enough
+    def needs_me(self, required: int) -> bool:
+        """Return whether fewer than `required` other local VMs, each at least as big, are known."""
+        bigger = [vm for vm in self._local_peers.values() if vm.bears >= self._bears]
+        return len(bigger) < required
 
     def size_here(self) -> int:
-        """Return how many VMs the data centre has, with those that have no entry."""
-        here = [vm for vm in self._vms.values() if vm.data_centre == self._data_centre]
-        return max(1, sum(1 + vm.followers for vm in here))
+        """Return the number of VMs in the data centre, including those without an entry."""
+        local = [vm for vm in self._vms.values() if vm.data_centre == self._data_centre]
+        return max(1, sum(1 + vm.followers for vm in local))
 
-    def _count(self) -> None:
-        others: Counter[float] = Counter()
+    def _recount(self) -> None:
+        others_by_capacity: Counter[float] = Counter()
         for name, vm in self._vms.items():
             if name != self._vm:
-                others[vm.bears] += 1
+                others_by_capacity[vm.bears] += 1
             if vm.followers:
-                others[vm.follower_bears] += vm.followers
-        self._alike = count_alike(self._bears, others)
-        self._least_merger = least_merger([self._bears, *others])
+                others_by_capacity[vm.follower_bears] += vm.followers
+        self._share_divisor = count_alike(self._bears, others_by_capacity)
+        self._min_merger_capacity = least_merger([self._bears, *others_by_capacity])
 
     def mirrors(self) -> tuple[MirrorAddress, ...]:
-        """Return where peers' mirrors are read: of VMs that are known, and of seeds."""
+        """Return the addresses of peers' mirrors: those of known VMs and the seeds."""
         known = {
             (vm.host, vm.port): MirrorAddress(vm.host, vm.port, vm.data_centre == self._data_centre)
             for vm in self._vms.values()
@@ -107,36 +107,37 @@
         return tuple(known.values())
 
     def watchers(self) -> tuple[MirrorAddress, ...]:
-        """Return whose mirrors this VM follows; none where it follows the store itself.
+        """Return the mirrors that this VM follows; none if it follows the store itself.
 
-        The first watcher follows the store, each other one those before it, and all other VMs any
-        of them. A VM whose own entry isn't known is a watcher only where there are too few.
+        The first watcher follows the store, each other watcher those ranked before it, and all
+        other VMs any of them. A VM whose own entry isn't known is a watcher only if there are too
+        few.
         """
-        first = self._ranked_watchers()
-        if self._vm in first:
-            first = first[: first.index(self._vm)]
-        here = (self._vms[name] for name in first)
-        return tuple(MirrorAddress(vm.host, vm.port, True) for vm in here)
+        watchers = self._ranked_watchers()
+        if self._vm in watchers:
+            watchers = watchers[: watchers.index(self._vm)]
+        local = (self._vms[name] for name in watchers)
+        return tuple(MirrorAddress(vm.host, vm.port, True) for vm in local)
 
     def is_watcher(self) -> bool:
         """Return whether other VMs follow this one's mirror."""
         return self._vm in self._ranked_watchers()
 
     def _ranked_watchers(self) -> tuple[str, ...]:
-        near = {name: vm for name, vm in self._vms.items() if vm.data_centre == self._data_centre}
-        bears = {name: vm.bears for name, vm in near.items()}
-        if len(near) < LEAST:
+        local = {name: vm for name, vm in self._vms.items() if vm.data_centre == self._data_centre}
+        bears = {name: vm.bears for name, vm in local.items()}
+        if len(local) < LEAST:
             bears[self._vm] = self._bears
         return watchers_of(
             bears,
             data_centre=self._data_centre,
-            unannounced=sum(vm.followers for vm in near.values()),
+            unannounced=sum(vm.followers for vm in local.values()),
         )
 
     def mergers(self) -> Mapping[str, VmEntry]:
         """Return the VMs that may merge this one's requests; a new mapping after each change."""
         return self._mergers
 
-    def others_here(self) -> Mapping[str, VmEntry]:
+    def local_peers(self) -> Mapping[str, VmEntry]:
         """Return the other VMs of this one's data centre; a new mapping after each change."""
-        return self._others_here
+        return self._local_peers
--- a/tests/forwarding/test_crash_watch.py
+++ b/tests/forwarding/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A request that crashes the replicas that run it, sent again through many VMs."""
+"""A request that crashes replicas is sent repeatedly through many VMs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from berylspindle_decisions.quarantine import SuspectRecord
 from berylspindle_forwarding.catalogue import SuspectChange
-from berylspindle_forwarding.crash_watch import MOST_WRITES
+from berylspindle_forwarding.crash_watch import MAX_WRITES
 from berylspindle_model import codec
 from berylspindle_standins.forward_replica import Spoil
 from berylspindle_store.store import Lease, StoreAway, StoreConflict, StoredValue
@@ -21,7 +21,7 @@
 
 
 class RecordStore(NoStore):
-    """Keeps records and hands each to all VMs, as their watches would; perhaps away."""
+    """Store records and pass each to all VMs, as watches would; `away` rejects new leases."""
 
     def __init__(self) -> None:
         self.sites: list[Site] = []
@@ -46,8 +46,8 @@
 
 
 @asynccontextmanager
-async def fleet(vms: int) -> AsyncIterator[tuple[RecordStore, list[Site]]]:
-    """Return sites that know the same replicas, all of which crash on the poison."""
+async def open_fleet(vms: int) -> AsyncIterator[tuple[RecordStore, list[Site]]]:
+    """Yield VMs that know the same replicas, all of which crash on `POISON`."""
     async with AsyncExitStack() as stack:
         store = RecordStore()
         for number in range(vms):
@@ -65,38 +65,38 @@
         yield store, store.sites
 
 
-def crashes(sites: list[Site]) -> int:
+def count_crashes(sites: list[Site]) -> int:
     return sum(replica.counts.crashes for replica in sites[0].replicas.values())
 
 
-async def revive(sites: list[Site], site: Site) -> None:
-    """Start the replicas again, once a VM has looked at those that it lost."""
+async def revive_replicas(sites: list[Site], site: Site) -> None:
+    """Restart the replicas after a VM has checked those that it lost."""
     while site.forwarder._crashes._tasks:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
     for replica in sites[0].replicas.values():
         await replica.revive()
 
 
-async def test_a_request_sent_through_eight_vms_crashes_no_more_after_three_tries() -> None:
-    """Guards against a request that takes a replica of each shard down at each VM."""
-    async with fleet(8) as (_, sites):
+async def test_request_sent_through_eight_vms_is_refused_after_three_attempts() -> None:
+    """Guards against a request that crashes a replica of each shard again through each VM."""
+    async with open_fleet(8) as (_, sites):
         for site in sites[:3]:
             await site.ask(f"/lots/{POISON}", left_ms=1500)
-            await revive(sites, site)
-        before = crashes(sites)
+            await revive_replicas(sites, site)
+        before = count_crashes(sites)
         for site in (*sites, *sites):
-            told = await site.ask(f"/lots/{POISON}", left_ms=1500)
-            assert told.status == 503
-            assert float(told.headers["retry-after"]) > 0
-        assert crashes(sites) == before
-        # A suspect runs on one shard first: its second and third try cost one replica each.
+            response = await site.ask(f"/lots/{POISON}", left_ms=1500)
+            assert response.status == 503
+            assert float(response.headers["retry-after"]) > 0
+        assert count_crashes(sites) == before
+        # A suspect runs on one shard first: its second and third attempt crash one replica each.
         assert before <= 2 * len(SHARDS) + 2
         assert (await sites[0].ask("/lots/sound")).status == 200
 
 
-async def test_a_request_whose_answers_are_lost_is_held_for_no_crash() -> None:
-    """Guards against callers refused for a minute because a sound replica lost their answer."""
-    async with fleet(2) as (store, sites):
+async def test_lost_responses_do_not_count_as_crashes() -> None:
+    """Guards against a request refused for a minute after healthy replicas lost its responses."""
+    async with open_fleet(2) as (store, sites):
         for replica in sites[0].replicas.values():
             replica.behaviour.spoil, replica.behaviour.spoiled = Spoil.LOST, 1
         await sites[0].ask("/lots/1", left_ms=1500)
@@ -106,22 +106,22 @@
             assert (await site.ask("/lots/1")).status == 200
 
 
-async def test_a_vm_without_the_store_holds_off_what_it_has_seen_crash() -> None:
-    """Guards against a cut off VM that goes on crashing the replicas that it reaches."""
-    async with fleet(1) as (store, sites):
+async def test_vm_without_the_store_refuses_requests_that_crashed_its_replicas() -> None:
+    """Guards against a VM without the store that keeps crashing the replicas it reaches."""
+    async with open_fleet(1) as (store, sites):
         store.away = True
         for _ in range(3):
             await sites[0].ask(f"/booking/{POISON}", left_ms=1500)
-            await revive(sites, sites[0])
-        before = crashes(sites)
+            await revive_replicas(sites, sites[0])
+        before = count_crashes(sites)
         assert (await sites[0].ask(f"/booking/{POISON}")).status == 503
-        assert crashes(sites) == before
+        assert count_crashes(sites) == before
 
 
-async def test_what_a_vm_tells_of_crashes_is_bounded() -> None:
-    """Guards against a store flooded by a caller whose every request crashes replicas."""
-    async with fleet(1) as (store, sites):
-        for number in range(MOST_WRITES + 4):
+async def test_number_of_crash_records_is_limited() -> None:
+    """Guards against a store overloaded by a caller whose requests all crash replicas."""
+    async with open_fleet(1) as (store, sites):
+        for number in range(MAX_WRITES + 4):
             await sites[0].ask(f"/booking/{POISON}-{number}", left_ms=500)
-            await revive(sites, sites[0])
-        assert 0 < store.writes <= MOST_WRITES
+            await revive_replicas(sites, sites[0])
+        assert 0 < store.writes <= MAX_WRITES
--- a/tests/forwarding/test_silent_store.py
+++ b/tests/forwarding/test_silent_store.py
@@ -1,4 +1,4 @@
-"""The store falls silent for a moment under a watch that waits."""
+"""The store stops responding briefly while a watch is pending."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from berylspindle_store.store import Lease, ListResult, StoredValue, StoreUnsure, WatchResult
 from berylspindle_telemetry.metrics import Metrics
 
-CALL_S = 0.2
+CALL_TIMEOUT_S = 0.2
 
 
 class TableReader(CatalogueReader):
-    """Each entry is a routing table whose version is its revision."""
+    """Decode each entry as a routing table whose version is its revision."""
 
     prefix = ""
     parts = ("",)
@@ -34,7 +34,7 @@
 
 
 class SilentStore(NoStore):
-    """A store of one entry. Calls that wait or come while it is silent are never answered."""
+    """A store of one entry. Calls pending or made while it is silent are never answered."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -55,11 +55,11 @@
         self._is_silent = False
 
     async def list(self, prefix: str) -> ListResult:
-        await self._answer_or_not()
+        await self._answer_unless_silent()
         return ListResult(revision=self.revision, entries=(self._entry(),))
 
     async def watch(self, prefix: str, *, after: int, wait: float) -> WatchResult:
-        await self._answer_or_not()
+        await self._answer_unless_silent()
         self.watches += 1
         silences = self._silences
         while self.revision <= after:
@@ -69,22 +69,22 @@
         return WatchResult(revision=self.revision, entries=(self._entry(),))
 
     async def grant_lease(self, ttl: float) -> Lease:
-        await self._answer_or_not()
+        await self._answer_unless_silent()
         return Lease(id="1", ttl=ttl)
 
     async def compare_and_swap(self, key, value, *, expect, lease=None) -> StoredValue:
         return StoredValue(key=key, value=value, revision=self.revision)
 
     async def keep_alive(self, lease: str) -> Lease:
-        await self._answer_or_not()
+        await self._answer_unless_silent()
         return Lease(id=lease, ttl=15.0)
 
     async def revoke(self, lease: str) -> None:
         pass
 
-    async def _answer_or_not(self) -> None:
+    async def _answer_unless_silent(self) -> None:
         if self._is_silent:
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_TIMEOUT_S)
             raise StoreUnsure("no answer")
 
     def _entry(self) -> StoredValue:
@@ -92,7 +92,7 @@
 
 
 @asynccontextmanager
-async def following(store: SilentStore) -> AsyncIterator[Forwarder]:
+async def open_following_forwarder(store: SilentStore) -> AsyncIterator[Forwarder]:
     async with AsyncExitStack() as stack:
         options = ForwardOptions(
             vm="vm-1",
@@ -106,37 +106,40 @@
         )
 
 
-async def until(forwarder: Forwarder, version: int, seconds: float) -> None:
+async def wait_for_version(forwarder: Forwarder, version: int, seconds: float) -> None:
     async with asyncio.timeout(seconds):
         while forwarder.table_version < version:  # noqa: ASYNC110
             await asyncio.sleep(0.02)
 
 
 @pytest.mark.parametrize("seconds", [1.8, 2.4])
-async def test_a_change_after_a_silent_outage_is_followed_though_a_watch_was_lost(
+async def test_change_after_an_outage_is_applied_although_the_watch_was_lost(
     seconds: float,
 ) -> None:
-    """Callers of a new route are told 404 by some VMs for up to half a minute.
+    """Guards against VMs that answer 404 to requests of a new route for up to half a minute.
 
-    A watch waits; the store falls silent for two seconds and forgets it, without a sign on its
-    connection; the operator then adds the route. The store is well, other calls are answered, and
-    the watch goes on waiting until its time is over.
+    The store stops responding for two seconds and drops a pending watch without closing its
+    connection. The route is added afterwards; other calls are answered, but the watch waits until
+    its time-out.
     """
     store = SilentStore()
-    async with following(store) as forwarder:
-        await until(forwarder, 1, 2.0)
-        # The next watch waits once the changes of the start have been collected.
+    async with open_following_forwarder(store) as forwarder:
+        await wait_for_version(forwarder, 1, 2.0)
+        # The next watch begins after the batching interval of the start.
         while store.watches < 1:  # noqa: ASYNC110
             await asyncio.sleep(0.02)
         await store.fall_silent(seconds)
         store.write()
-        await until(forwarder, 2, 4.0)
+        await wait_for_version(forwarder, 2, 4.0)
 
 
-async def test_a_watch_of_a_store_that_answers_is_left_alone() -> None:
-    """Each renewal that is answered must not cost a watch too: calls to the store are counted."""
+async def test_watch_is_not_restarted_while_the_store_answers() -> None:
+    """Guards against a watch that is restarted at each renewal.
+
+    Each call to the store has a cost.
+    """
     store = SilentStore()
-    async with following(store) as forwarder:
-        await until(forwarder, 1, 2.0)
+    async with open_following_forwarder(store) as forwarder:
+        await wait_for_version(forwarder, 1, 2.0)
         await asyncio.sleep(4.0)
         assert store.watches == 1
--- a/tests/forwarding/test_vm_announcer.py
+++ b/tests/forwarding/test_vm_announcer.py
@@ -1,4 +1,4 @@
-"""A VM's entry in the store, through restarts, lapsed leases and entries that vanish."""
+"""A VM's entry in the store after restarts, expired leases and deletions."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 @pytest.fixture(autouse=True)
-def no_delays(monkeypatch) -> None:
-    monkeypatch.setattr(vm_announcer, "LOOK_S", 0.01)
+def shorten_need_check(monkeypatch) -> None:
+    monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 0.01)
 
 
 class LeaseStore(NoStore):
-    """One key and its leases."""
+    """A store of one key and its leases."""
 
     def __init__(self) -> None:
         self.entry: StoredValue | None = None
@@ -80,8 +80,8 @@
     task.cancel()
 
 
-async def test_a_restarted_vm_renews_the_lease_of_its_last_process_and_writes_nothing() -> None:
-    """Guards against four calls a VM when a data centre has its power back."""
+async def test_restarted_vm_renews_the_lease_of_its_previous_process() -> None:
+    """Guards against four calls by each VM when a data centre's power returns."""
     store = LeaseStore()
     store.leases.add("old")
     store.entry = StoredValue(key=KEY, value=VALUE, revision=7, lease="old")
@@ -90,8 +90,8 @@
     assert store.calls == {"renew": 1}
 
 
-async def test_an_entry_whose_lease_has_ended_is_replaced_under_its_revision() -> None:
-    """Guards against a VM that renews a lease that is gone, again and again, and is unknown."""
+async def test_entry_with_an_expired_lease_is_replaced_under_its_revision() -> None:
+    """Guards against a VM that repeatedly renews an expired lease and remains unannounced."""
     store = LeaseStore()
     store.entry = StoredValue(key=KEY, value=VALUE, revision=7, lease="ended")
     async with announcing(store):
@@ -100,21 +100,21 @@
     assert store.entry.lease in store.leases
 
 
-async def test_a_vm_that_is_not_needed_asks_the_store_nothing() -> None:
-    """Guards against 940 leases where 15 do."""
+async def test_vm_that_need_not_be_announced_does_not_call_the_store() -> None:
+    """Guards against 940 leases where 15 are enough."""
     store = LeaseStore()
     async with announcing(store, is_needed=False):
         await asyncio.sleep(0.3)
     assert store.calls == {}
 
 
-async def test_a_restarted_vm_says_how_many_followed_its_last_process(monkeypatch) -> None:
-    """Guards against budgets shared by few VMs in the first seconds after power is back."""
-    monkeypatch.setattr(vm_announcer, "RENEW_S", 0.01)
+async def test_restarted_vm_keeps_the_follower_count_of_its_previous_process(monkeypatch) -> None:
+    """Guards against budgets divided by too few VMs in the first seconds after a loss of power."""
+    monkeypatch.setattr(vm_announcer, "RENEW_INTERVAL_S", 0.01)
     store, followers = LeaseStore(), FollowerCount()
     store.leases.add("old")
-    told = attrs.evolve(ENTRY, followers=30, follower_bears=0.5)
-    store.entry = StoredValue(key=KEY, value=codec.to_json(told), revision=7, lease="old")
+    vm = attrs.evolve(ENTRY, followers=30, follower_bears=0.5)
+    store.entry = StoredValue(key=KEY, value=codec.to_json(vm), revision=7, lease="old")
     async with announcing(store, followers=followers):
         await asyncio.sleep(0.1)
         assert store.calls["write"] == 0
@@ -127,8 +127,8 @@
         assert store.calls["write"] == 1
 
 
-async def test_an_entry_of_other_content_is_replaced() -> None:
-    """Guards against a VM that is known by the address of its last process."""
+async def test_entry_with_another_address_is_replaced() -> None:
+    """Guards against a VM that is known by the address of its previous process."""
     store = LeaseStore()
     store.leases.add("old")
     store.entry = StoredValue(
@@ -140,9 +140,9 @@
     assert store.calls == {"grant": 1, "write": 1}
 
 
-async def test_an_entry_that_has_gone_or_has_another_lease_is_written_again(monkeypatch) -> None:
-    """Guards against a VM that keeps a lease alive to which its entry is not bound."""
-    monkeypatch.setattr(vm_announcer, "RENEW_S", 0.01)
+async def test_missing_entry_or_one_with_another_lease_is_written_again(monkeypatch) -> None:
+    """Guards against a VM that renews a lease to which its entry is not bound."""
+    monkeypatch.setattr(vm_announcer, "RENEW_INTERVAL_S", 0.01)
     store = LeaseStore()
     async with announcing(store):
         await asyncio.sleep(0.3)
--- a/tests/forwarding/test_watchers.py
+++ b/tests/forwarding/test_watchers.py
@@ -1,4 +1,4 @@
-"""VMs that follow a watcher's mirror in place of the store."""
+"""VMs that follow a watcher's mirror instead of the store."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Reader(CatalogueReader):
-    """Keys are `table`, `replicas/ID` and `vms/NAME`."""
+    """Decode the keys `table`, `replicas/ID` and `vms/NAME`."""
 
     prefix = ""
     parts = ("",)
@@ -59,7 +59,7 @@
 
 
 class SharedStore:
-    """The store behind all VMs; `away` holds the VMs that it does not answer."""
+    """State of the store for all VMs; `away` holds the VMs whose calls it rejects."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -70,8 +70,8 @@
         self.changed = asyncio.Event()
         self.oldest = 0
 
-    def forget(self) -> None:
-        """Drop the history; watches that wait are cut."""
+    def drop_history(self) -> None:
+        """Drop the history and break pending watches."""
         self.oldest = self.revision
         self.history.clear()
         changed, self.changed = self.changed, asyncio.Event()
@@ -89,7 +89,7 @@
 
 
 class VmStore(NoStore):
-    """The store as one VM calls it."""
+    """The store as called by one VM."""
 
     def __init__(self, shared: SharedStore, vm: str) -> None:
         self._shared = shared
@@ -176,14 +176,14 @@
         async with asyncio.timeout(20):
             while not all(f.vms.size_here() >= VMS for f in forwarders.values()):  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
-        # Watches of the start that still wait are answered once more.
+        # Watches that are still pending from the start are answered once more.
         shared.put("table", b"")
         await asyncio.sleep(2.0)
         yield shared, forwarders, servers
 
 
-def watchers(forwarders: dict[str, Forwarder]) -> tuple[str, str]:
-    """Return the VM that follows the store, and the one that follows it for the others."""
+def find_watchers(forwarders: dict[str, Forwarder]) -> tuple[str, str]:
+    """Return the watcher that follows the store, and the one that follows the first watcher."""
     by_port = {f._options.peers: name for name, f in forwarders.items()}
     (first,) = (name for name, forwarder in forwarders.items() if not forwarder.vms.watchers())
     (second,) = (name for name, f in forwarders.items() if len(f.vms.watchers()) == 1)
@@ -197,61 +197,67 @@
     return first, second
 
 
-async def all_at(forwarders: dict[str, Forwarder], version: int, seconds: float) -> None:
+async def wait_for_version(forwarders: dict[str, Forwarder], version: int, seconds: float) -> None:
     async with asyncio.timeout(seconds):
         while any(f.table_version < version for f in forwarders.values()):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
 
 
-async def test_a_change_costs_the_store_one_watch_and_reaches_all_within_the_bound() -> None:
-    """At eighty VMs a watch for each of them takes more of a day's worth than all failures."""
+async def test_change_takes_one_watch_of_the_store_and_reaches_all_vms_in_time() -> None:
+    """Guards against a watch of the store by each VM.
+
+    At eighty VMs the cost of these watches exceeds that of all failures.
+    """
     async with fleet() as (shared, forwarders, _):
-        watchers(forwarders)
+        find_watchers(forwarders)
         shared.calls.clear()
         for _ in range(3):
             shared.put("table", b"")
-            await all_at(forwarders, shared.revision, 2.5)
+            await wait_for_version(forwarders, shared.revision, 2.5)
         assert shared.calls["answered"] <= 3
         assert shared.calls["list"] == 0
 
 
 async def test_most_vms_need_no_entry_and_are_counted_all_the_same(monkeypatch) -> None:
-    """Guards against a lease and an entry of each of 940 VMs, and against budgets shared by few."""
-    monkeypatch.setattr(vm_announcer, "LOOK_S", 5.0)
+    """Guards against an entry and a lease for each of 940 VMs, and against uncounted followers.
+
+    Without the count budgets would be divided by too few VMs.
+    """
+    monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 5.0)
     async with fleet(announced=2) as (shared, forwarders, _):
         entries = [key for key in shared.entries if key.startswith("vms/")]
         assert 2 <= len(entries) < VMS
         assert all(VMS <= f.vms.alike <= VMS + 2 for f in forwarders.values())
-        # A change still reaches all of them by the watchers.
+        # A change still reaches all VMs through the watchers.
         shared.calls.clear()
         shared.put("table", b"")
-        await all_at(forwarders, shared.revision, 2.5)
+        await wait_for_version(forwarders, shared.revision, 2.5)
         assert shared.calls["answered"] <= 2
 
 
-async def test_others_come_forward_when_the_announced_vms_are_gone(monkeypatch) -> None:
-    """Guards against a data centre that follows nobody after its watchers have died."""
-    monkeypatch.setattr(vm_announcer, "LOOK_S", 5.0)
+async def test_other_vms_are_announced_when_the_announced_vms_disappear(monkeypatch) -> None:
+    """Guards against a data centre that follows no VM after its watchers have crashed."""
+    monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 5.0)
     async with fleet(announced=2) as (shared, forwarders, servers):
         announced = {key.removeprefix("vms/") for key in shared.entries if key.startswith("vms/")}
         for name in announced:
             await servers[name].close(0.0)
             shared.away.add(name)
             shared.put(f"vms/{name}", None)
-        monkeypatch.setattr(vm_announcer, "LOOK_S", 1.0)
+        monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 1.0)
         rest = {name: f for name, f in forwarders.items() if name not in announced}
         async with asyncio.timeout(10):
             while not any(key.startswith("vms/") for key in shared.entries):  # noqa: ASYNC110
                 await asyncio.sleep(0.1)
         shared.put("table", b"")
-        await all_at(rest, shared.revision, 6.0)
+        await wait_for_version(rest, shared.revision, 6.0)
 
 
-async def test_a_replica_that_is_gone_is_dropped_by_followers_at_once() -> None:
-    """A replica gets requests for seconds after it has gone, from VMs that follow a mirror.
+async def test_followers_drop_a_removed_replica_at_once() -> None:
+    """Guards against followers that send requests to a replica for seconds after its removal.
 
-    What goes in an outage of the store is kept for a while, as it may come back; a follower that
-    can't tell such a time from others keeps all that goes, always.
+    Deletions after an outage of the store are deferred, since they may be reverted. A follower that
+    can't distinguish such a time from normal operation would defer all deletions.
     """
     async with fleet() as (shared, forwarders, _):
         assert all(f.registry.get("i-1") is not None for f in forwarders.values())
@@ -261,124 +267,124 @@
         assert kept == []
 
 
-async def test_followers_go_on_when_a_watcher_dies_or_is_turned_away() -> None:
-    """A data centre keeps old routes because the VM that it followed is gone, or lags."""
+async def test_followers_stay_current_when_a_watcher_crashes_or_is_rejected() -> None:
+    """Guards against outdated routes in a data centre whose watcher has crashed, or lags."""
     async with fleet() as (shared, forwarders, servers):
-        dead, refused = watchers(forwarders)
+        dead, refused = find_watchers(forwarders)
         await servers[dead].close(0.0)
         shared.put("table", b"")
         rest = {name: f for name, f in forwarders.items() if name != dead}
-        await all_at(rest, shared.revision, 4.0)
+        await wait_for_version(rest, shared.revision, 4.0)
         shared.away.add(refused)
         shared.put("table", b"")
-        await all_at(rest, shared.revision, 9.0)
+        await wait_for_version(rest, shared.revision, 9.0)
 
 
-async def test_followers_of_watchers_that_lag_follow_the_store_though_its_history_is_gone() -> None:
-    """A data centre routes by an old table for seconds after the store has dropped its history.
+async def test_followers_of_lagging_watchers_use_the_store_after_its_history_was_dropped() -> None:
+    """Guards against an outdated table for seconds after the store has dropped its history.
 
-    Both watchers are cut off from the store, the others are not. These ask the store now and then,
-    hear that its history is gone, and list a watcher's mirror anew, which is as old as before.
+    Both watchers are cut off from the store, the other VMs are not. These probe the store, are told
+    that its history is compacted, and would list a watcher's mirror, which is outdated.
     """
     async with fleet() as (shared, forwarders, _):
-        lagging = set(watchers(forwarders))
+        lagging = set(find_watchers(forwarders))
         rest = {name: f for name, f in forwarders.items() if name not in lagging}
         shared.away |= lagging
         shared.put("table", b"")
-        shared.forget()
-        await all_at(rest, shared.revision, 4.0)
+        shared.drop_history()
+        await wait_for_version(rest, shared.revision, 4.0)
         for _ in range(3):
             await asyncio.sleep(1.0)
             shared.put("table", b"")
-            shared.forget()
-            await all_at(rest, shared.revision, 3.0)
+            shared.drop_history()
+            await wait_for_version(rest, shared.revision, 3.0)
         shared.away.clear()
         await asyncio.sleep(4.0)
         shared.calls.clear()
         shared.put("table", b"")
-        await all_at(forwarders, shared.revision, 2.5)
+        await wait_for_version(forwarders, shared.revision, 2.5)
         assert shared.calls["answered"] <= 4
 
 
-async def test_followers_hear_at_once_that_their_data_centre_is_cut_off() -> None:
-    """Callers of a cut off data centre are refused for as long as the cut lasts.
+async def test_followers_are_notified_at_once_that_their_data_centre_is_cut_off() -> None:
+    """Guards against callers that are refused for as long as their data centre is cut off.
 
-    Most of its VMs see no request in the first seconds and stay ready; the balancer sends callers
-    to another data centre only when all of them are unready.
+    Most of its VMs receive no request in the first seconds and stay ready; the balancer sends
+    callers to another data centre only when all of them are unready.
     """
     async with fleet() as (_, forwarders, _):
-        told = watchers(forwarders)
-        followers = [f for name, f in forwarders.items() if name not in told]
+        watcher_names = find_watchers(forwarders)
+        followers = [f for name, f in forwarders.items() if name not in watcher_names]
         assert all(f.unready() is None for f in forwarders.values())
-        for watcher in told:
+        for watcher in watcher_names:
             forwarders[watcher].mirror.set_cut_off(True)
         await asyncio.sleep(0.4)
         assert [f.unready() is None for f in followers] == [False] * len(followers)
         await asyncio.sleep(2.0)
         assert [f.unready() is None for f in followers] == [False] * len(followers)
-        for watcher in told:
+        for watcher in watcher_names:
             forwarders[watcher].mirror.set_cut_off(False)
         await asyncio.sleep(0.4)
         assert all(f.unready() is None for f in followers)
 
 
-async def test_a_vm_that_was_cut_off_from_all_is_up_to_date_soon_after() -> None:
-    """A VM routes by an old table four seconds after the cut that hid the change has ended.
+async def test_vm_is_up_to_date_soon_after_a_complete_cut() -> None:
+    """Guards against a table that is outdated four seconds after the end of a cut.
 
-    While neither the store nor any VM can be reached it tries ever more seldom, and the store only
-    now and then; so it may come to either of them seconds after both are there again.
+    While a VM reaches neither the store nor another VM, its retries back off and the store is
+    probed at longer intervals, so that it may call either of them only seconds after both are back.
     """
     async with fleet() as (shared, forwarders, _):
         dead = MirrorAddress("127.0.0.1", 1, True)
         cut = dict(sorted(forwarders.items()))
-        ways = {name: (f._choice._watchers, f._choice._mirrors) for name, f in cut.items()}
+        addresses = {name: (f._choice._watchers, f._choice._mirrors) for name, f in cut.items()}
         for name, forwarder in cut.items():
             shared.away.add(name)
-            known = (dead,) if ways[name][0]() else ()
+            known = (dead,) if addresses[name][0]() else ()
             forwarder._choice._watchers = lambda known=known: known  # type: ignore[misc]
             forwarder._choice._mirrors = lambda: (dead,)  # type: ignore[misc]
-        # Watches that wait are cut as well.
-        shared.forget()
+        # Pending watches are broken as well.
+        shared.drop_history()
         for _ in range(3):
             await asyncio.sleep(3.0)
             shared.put("table", b"")
         for name, forwarder in cut.items():
-            forwarder._choice._watchers, forwarder._choice._mirrors = ways[name]  # type: ignore[misc]
+            forwarder._choice._watchers, forwarder._choice._mirrors = addresses[name]  # type: ignore[misc]
         shared.away.clear()
-        await all_at(forwarders, shared.revision, 2.2)
+        await wait_for_version(forwarders, shared.revision, 2.2)
 
 
-async def test_watchers_that_lag_are_followed_on_and_the_store_is_asked_now_and_then() -> None:
-    """Eighty VMs ask a store that is away each second, each call with its price."""
+async def test_lagging_watchers_are_followed_and_the_store_is_probed_at_intervals() -> None:
+    """Guards against eighty VMs that each call an unavailable store every second."""
     clock = [0.0]
     one, two = MirrorAddress("127.0.0.1", 1, True), MirrorAddress("127.0.0.1", 2, True)
     store = NoStore()
-    choice = UpstreamSelector(
+    selector = UpstreamSelector(
         store,
         mirrors=lambda: (one, two),
         now=lambda: clock[0],
         rng=random.Random(3),
         watchers=lambda: (one, two),
     )
-    tries = 0
+    probes = 0
     for _ in range(60):
-        followed = choice.pick()
-        tries += not followed.is_mirror
-        await choice.failed(followed)
+        upstream = selector.pick()
+        probes += not upstream.is_mirror
+        await selector.record_failure(upstream)
         clock[0] += 0.5
-    # Thirty seconds, a try in one and a half of them or so, less the pauses between.
-    assert 10 <= tries <= 30
-    await choice.close()
+    # In thirty seconds there is a probe about every 1.5 s, less for the pauses between calls.
+    assert 10 <= probes <= 30
+    await selector.close()
 
 
-async def test_followers_stay_with_watchers_that_are_in_step_soon_after_an_outage() -> None:
-    """Guards against hundreds of VMs on the store for seconds after each outage."""
+async def test_followers_return_to_watchers_soon_after_an_outage() -> None:
+    """Guards against hundreds of VMs that follow the store for seconds after each outage."""
     clock = [0.0]
     one, two = MirrorAddress("127.0.0.1", 1, True), MirrorAddress("127.0.0.1", 2, True)
     calls = 0
     for seed in range(30):
         clock[0] = 0.0
-        choice = UpstreamSelector(
+        selector = UpstreamSelector(
             NoStore(),
             mirrors=lambda: (one, two),
             now=lambda: clock[0],
@@ -387,33 +393,33 @@
             vms_here=lambda: 33,
         )
         while clock[0] < 12.0:
-            followed = choice.pick()
-            if followed.is_mirror:
-                # The store is away for four seconds; the watchers lag for a second more.
-                followed.store.behind_ms = 500 if clock[0] < 5.0 else 0  # type: ignore[attr-defined]
-                await choice.worked(followed)
+            upstream = selector.pick()
+            if upstream.is_mirror:
+                # The store is unavailable for four seconds; the watchers lag for one second more.
+                upstream.store.behind_ms = 500 if clock[0] < 5.0 else 0  # type: ignore[attr-defined]
+                await selector.record_success(upstream)
             elif clock[0] < 4.0:
-                await choice.failed(followed)
+                await selector.record_failure(upstream)
             else:
                 calls += 1
-                await choice.worked(followed)
+                await selector.record_success(upstream)
             clock[0] += 0.3
-        await choice.close()
+        await selector.close()
     assert calls <= 10
 
 
 @pytest.mark.parametrize("lag", [0, 500])
-async def test_a_watcher_that_says_that_it_lags_is_passed_over(lag: int) -> None:
+async def test_watcher_that_reports_a_lag_is_excluded(lag: int) -> None:
     one, two = MirrorAddress("127.0.0.1", 1, True), MirrorAddress("127.0.0.1", 2, True)
-    choice = UpstreamSelector(
+    selector = UpstreamSelector(
         NoStore(),
         mirrors=tuple,
         now=lambda: 1.0,
         rng=random.Random(3),
         watchers=lambda: (one, two),
     )
-    first = choice.pick()
+    first = selector.pick()
     first.store.behind_ms = lag  # type: ignore[attr-defined]
-    await choice.worked(first)
-    assert (choice.pick().store is first.store) == (lag == 0)
-    await choice.close()
+    await selector.record_success(first)
+    assert (selector.pick().store is first.store) == (lag == 0)
+    await selector.close()
