--- a/libs/forwarding/berylspindle_forwarding/outside.py
+++ b/libs/forwarding/berylspindle_forwarding/outside.py
@@ -9,8 +9,8 @@
 locally, and probes peers in other data centres until one responds. In normal operation only a VM
 that follows the store directly probes, two data centres at a time, and so detects a cut before
 callers' requests are affected. A VM that has followers also probes as soon as an attempt is
-overdue. `told` passes on that the followed mirror's VM is cut off; this VM then suspects that it is
-cut off too.
+overdue. `told` reports whether the followed mirror's VM is cut off; if so, this VM suspects that it
+is cut off too.
 
 Guards: where twenty VMs share a data centre's callers, most of them see too few requests to detect
 a cut themselves. The balancer sends callers to each VM that is ready, and diverts them to another
@@ -170,17 +170,17 @@
 
     async def _confirm(self) -> None:
         """Probe a few VMs of each other data centre concurrently."""
-        asked = (
+        probes = (
             self._probe_one(vm)
             for vms in self._peers().values()
             for vm in random.sample(vms, min(CONFIRM_PROBES, len(vms)))
         )
-        await asyncio.gather(*asked)
+        await asyncio.gather(*probes)
 
     async def _probe(self, peers: Mapping[str, list[VmEntry]]) -> bool:
         """Probe one VM of each data centre concurrently; return whether any responded."""
-        asked = [self._probe_one(self._choose(vms)) for vms in peers.values()]
-        return any(await asyncio.gather(*asked))
+        probes = [self._probe_one(self._choose(vms)) for vms in peers.values()]
+        return any(await asyncio.gather(*probes))
 
     def _choose(self, vms: list[VmEntry]) -> VmEntry:
         connected = [vm for vm in vms if self._prober.knows(vm.host, vm.port)]
--- a/libs/forwarding/berylspindle_forwarding/vm_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_registry.py
@@ -17,7 +17,11 @@
 
 
 class VmRegistry:
-    """All VMs known to this one, itself among them once it is announced."""
+    """All VMs known to this one, itself among them once it is announced.
+
+    `bears` is this VM's capacity in cores, `peers` the address of its own mirror, and `seeds` are
+    mirrors that are known without an announcement.
+    """
 
     def __init__(
         self,
@@ -31,8 +35,8 @@
     ) -> None:
         self._vm: Final = vm
         self._data_centre: Final = data_centre
-        self._bears: Final = bears
-        self._peers: Final = peers
+        self._capacity: Final = bears
+        self._own_mirror: Final = peers
         self._seeds: Final = seeds
         self._expected_vms: Final = expected_vms
         self._vms: dict[str, VmEntry] = {}
@@ -76,7 +80,7 @@
 
     def needs_me(self, required: int) -> bool:
         """Return whether fewer than `required` other local VMs, each at least as big, are known."""
-        bigger = [vm for vm in self._local_peers.values() if vm.bears >= self._bears]
+        bigger = [vm for vm in self._local_peers.values() if vm.bears >= self._capacity]
         return len(bigger) < required
 
     def size_here(self) -> int:
@@ -91,8 +95,8 @@
                 others_by_capacity[vm.bears] += 1
             if vm.followers:
                 others_by_capacity[vm.follower_bears] += vm.followers
-        self._share_divisor = count_alike(self._bears, others_by_capacity)
-        self._min_merger_capacity = least_merger([self._bears, *others_by_capacity])
+        self._share_divisor = count_alike(self._capacity, others_by_capacity)
+        self._min_merger_capacity = least_merger([self._capacity, *others_by_capacity])
 
     def mirrors(self) -> tuple[MirrorAddress, ...]:
         """Return the addresses of peers' mirrors: those of known VMs and the seeds."""
@@ -102,8 +106,8 @@
         }
         for seed in self._seeds:
             known.setdefault((seed.host, seed.port), seed)
-        if self._peers is not None:
-            known.pop((self._peers.host, self._peers.port), None)
+        if self._own_mirror is not None:
+            known.pop((self._own_mirror.host, self._own_mirror.port), None)
         return tuple(known.values())
 
     def watchers(self) -> tuple[MirrorAddress, ...]:
@@ -125,11 +129,11 @@
 
     def _ranked_watchers(self) -> tuple[str, ...]:
         local = {name: vm for name, vm in self._vms.items() if vm.data_centre == self._data_centre}
-        bears = {name: vm.bears for name, vm in local.items()}
+        capacities = {name: vm.bears for name, vm in local.items()}
         if len(local) < LEAST:
-            bears[self._vm] = self._bears
+            capacities[self._vm] = self._capacity
         return watchers_of(
-            bears,
+            capacities,
             data_centre=self._data_centre,
             unannounced=sum(vm.followers for vm in local.values()),
         )
--- a/tests/forwarding/test_crash_watch.py
+++ b/tests/forwarding/test_crash_watch.py
@@ -21,17 +21,17 @@
 
 
 class RecordStore(NoStore):
-    """Store records and pass each to all VMs, as watches would; `away` rejects new leases."""
+    """Store records and pass each to all VMs, as watches would; or fail if `is_unavailable`."""
 
     def __init__(self) -> None:
         self.sites: list[Site] = []
         self.entries: dict[str, StoredValue] = {}
         self.writes = 0
-        self.away = False
+        self.is_unavailable = False
 
     async def grant_lease(self, ttl: float) -> Lease:
-        if self.away:
-            raise StoreAway("away")
+        if self.is_unavailable:
+            raise StoreAway("unavailable")
         return Lease(id="1", ttl=ttl)
 
     async def compare_and_swap(self, key, value, *, expect, lease=None) -> StoredValue:
@@ -109,7 +109,7 @@
 async def test_vm_without_the_store_refuses_requests_that_crashed_its_replicas() -> None:
     """Guards against a VM without the store that keeps crashing the replicas it reaches."""
     async with open_fleet(1) as (store, sites):
-        store.away = True
+        store.is_unavailable = True
         for _ in range(3):
             await sites[0].ask(f"/booking/{POISON}", left_ms=1500)
             await revive_replicas(sites, sites[0])
--- a/tests/forwarding/test_watchers.py
+++ b/tests/forwarding/test_watchers.py
@@ -59,14 +59,14 @@
 
 
 class SharedStore:
-    """State of the store for all VMs; `away` holds the VMs whose calls it rejects."""
+    """State of the store for all VMs; calls of `rejected_vms` fail."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.entries: dict[str, StoredValue] = {}
         self.history: list[StoredValue] = []
         self.calls: Counter[str] = Counter()
-        self.away: set[str] = set()
+        self.rejected_vms: set[str] = set()
         self.changed = asyncio.Event()
         self.oldest = 0
 
@@ -134,7 +134,7 @@
         pass
 
     def _count(self, what: str) -> None:
-        if self._vm in self._shared.away:
+        if self._vm in self._shared.rejected_vms:
             raise StoreAway("refused")
         self._shared.calls[what] += 1
 
@@ -242,7 +242,7 @@
         announced = {key.removeprefix("vms/") for key in shared.entries if key.startswith("vms/")}
         for name in announced:
             await servers[name].close(0.0)
-            shared.away.add(name)
+            shared.rejected_vms.add(name)
             shared.put(f"vms/{name}", None)
         monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 1.0)
         rest = {name: f for name, f in forwarders.items() if name not in announced}
@@ -270,12 +270,12 @@
 async def test_followers_stay_current_when_a_watcher_crashes_or_is_rejected() -> None:
     """Guards against outdated routes in a data centre whose watcher has crashed, or lags."""
     async with fleet() as (shared, forwarders, servers):
-        dead, refused = find_watchers(forwarders)
-        await servers[dead].close(0.0)
+        crashed, rejected = find_watchers(forwarders)
+        await servers[crashed].close(0.0)
         shared.put("table", b"")
-        rest = {name: f for name, f in forwarders.items() if name != dead}
+        rest = {name: f for name, f in forwarders.items() if name != crashed}
         await wait_for_version(rest, shared.revision, 4.0)
-        shared.away.add(refused)
+        shared.rejected_vms.add(rejected)
         shared.put("table", b"")
         await wait_for_version(rest, shared.revision, 9.0)
 
@@ -289,7 +289,7 @@
     async with fleet() as (shared, forwarders, _):
         lagging = set(find_watchers(forwarders))
         rest = {name: f for name, f in forwarders.items() if name not in lagging}
-        shared.away |= lagging
+        shared.rejected_vms |= lagging
         shared.put("table", b"")
         shared.drop_history()
         await wait_for_version(rest, shared.revision, 4.0)
@@ -298,7 +298,7 @@
             shared.put("table", b"")
             shared.drop_history()
             await wait_for_version(rest, shared.revision, 3.0)
-        shared.away.clear()
+        shared.rejected_vms.clear()
         await asyncio.sleep(4.0)
         shared.calls.clear()
         shared.put("table", b"")
@@ -335,14 +335,14 @@
     probed at longer intervals, so that it may call either of them only seconds after both are back.
     """
     async with fleet() as (shared, forwarders, _):
-        dead = MirrorAddress("127.0.0.1", 1, True)
+        unreachable = MirrorAddress("127.0.0.1", 1, True)
         cut = dict(sorted(forwarders.items()))
         addresses = {name: (f._choice._watchers, f._choice._mirrors) for name, f in cut.items()}
         for name, forwarder in cut.items():
-            shared.away.add(name)
-            known = (dead,) if addresses[name][0]() else ()
+            shared.rejected_vms.add(name)
+            known = (unreachable,) if addresses[name][0]() else ()
             forwarder._choice._watchers = lambda known=known: known  # type: ignore[misc]
-            forwarder._choice._mirrors = lambda: (dead,)  # type: ignore[misc]
+            forwarder._choice._mirrors = lambda: (unreachable,)  # type: ignore[misc]
         # Pending watches are broken as well.
         shared.drop_history()
         for _ in range(3):
@@ -350,7 +350,7 @@
             shared.put("table", b"")
         for name, forwarder in cut.items():
             forwarder._choice._watchers, forwarder._choice._mirrors = addresses[name]  # type: ignore[misc]
-        shared.away.clear()
+        shared.rejected_vms.clear()
         await wait_for_version(forwarders, shared.revision, 2.2)
 
 
