--- a/libs/cli/berylspindle_cli/__init__.py
+++ b/libs/cli/berylspindle_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line tool berylspindle."""
+"""The operators' command-line tool `berylspindle`."""
--- a/libs/cli/berylspindle_cli/caller_commands.py
+++ b/libs/cli/berylspindle_cli/caller_commands.py
@@ -1,4 +1,4 @@
-"""The commands `search`, `execute` and `outcome`, which go to the callers' edge."""
+"""The commands `search`, `execute` and `outcome`, which use the callers' edge."""
 
 from __future__ import annotations
 
@@ -14,8 +14,14 @@
 from rich.text import Text
 
 from berylspindle_cli.exit_codes import ExitCode
-from berylspindle_cli.output import fail, show, table_of
-from berylspindle_cli.settings import CallerSettings, OutputFlag, ToolError, calling, read_file
+from berylspindle_cli.output import make_table, print_answer, print_failure
+from berylspindle_cli.settings import (
+    CallerSettings,
+    OutputFlag,
+    ToolError,
+    caller_client,
+    read_file,
+)
 from berylspindle_model.messages import ExecuteAnswer, SearchAnswer
 
 _DEFAULT: Final = CallerSettings()
@@ -26,21 +32,21 @@
     query: str,
     /,
     *,
-    limit: Annotated[int, Parameter(help="Hits on one page, 1 to 100.")] = 10,
-    page: Annotated[str | None, Parameter(help="The next page of an earlier answer.")] = None,
+    limit: Annotated[int, Parameter(help="Hits per page, 1 to 100.")] = 10,
+    page: Annotated[str | None, Parameter(help="Page token from an earlier answer.")] = None,
     output: OutputFlag = "table",
     settings: CallerSettings = _DEFAULT,
 ) -> ExitCode:
-    """Search a service; exit 7 where shards are missing from the answer."""
-    async with calling(settings) as client:
+    """Search a service; exit 7 if the answer is partial."""
+    async with caller_client(settings) as client:
         answer = await client.search(
             service, query, limit=limit, page=page, deadline_ms=settings.deadline_ms
         )
     if not isinstance(answer, SearchAnswer):
-        return fail(answer, output)
-    show(answer, output, lambda: _hits(answer))
-    whole = not answer.coverage.missing and not answer.coverage.partial
-    return ExitCode.OK if whole else ExitCode.INCOMPLETE
+        return print_failure(answer, output)
+    print_answer(answer, output, lambda: _hits_table(answer))
+    is_complete = not answer.coverage.missing and not answer.coverage.partial
+    return ExitCode.OK if is_complete else ExitCode.INCOMPLETE
 
 
 async def execute(
@@ -50,24 +56,24 @@
     /,
     *,
     key: Annotated[
-        str | None, Parameter(help="Idempotency key; without one, one is made and printed.")
+        str | None, Parameter(help="Idempotency key; if not given, one is made and printed.")
     ] = None,
     output: OutputFlag = "table",
     settings: CallerSettings = _DEFAULT,
 ) -> ExitCode:
-    """Run a request at most once; PAYLOAD is a JSON object, or @FILE that holds one."""
-    body = _payload(payload)
-    chosen = key or uuid.uuid4().hex
+    """Run a request at most once; PAYLOAD is a JSON object, or @FILE to read it from a file."""
+    body = _parse_payload(payload)
+    idempotency_key = key or uuid.uuid4().hex
     if key is None:
-        # Before the call: without the key nobody could ask for the outcome of a lost answer.
-        print(f"berylspindle: idempotency key {chosen}", file=sys.stderr)
-    async with calling(settings) as client:
+        # Printed before the call: the key is needed to query the outcome if the answer is lost.
+        print(f"berylspindle: idempotency key {idempotency_key}", file=sys.stderr)
+    async with caller_client(settings) as client:
         answer = await client.execute(
-            service, shard, chosen, body, deadline_ms=settings.deadline_ms
+            service, shard, idempotency_key, body, deadline_ms=settings.deadline_ms
         )
     if not isinstance(answer, ExecuteAnswer):
-        return fail(answer, output)
-    show(answer, output, lambda: _executed(answer))
+        return print_failure(answer, output)
+    print_answer(answer, output, lambda: _outcome_table(answer))
     return ExitCode.OK
 
 
@@ -79,16 +85,16 @@
     output: OutputFlag = "table",
     settings: CallerSettings = _DEFAULT,
 ) -> ExitCode:
-    """Ask what became of an earlier execute, by its idempotency key."""
-    async with calling(settings) as client:
+    """Query the outcome of an earlier execute by its idempotency key."""
+    async with caller_client(settings) as client:
         answer = await client.outcome(service, key, deadline_ms=settings.deadline_ms)
     if not isinstance(answer, ExecuteAnswer):
-        return fail(answer, output)
-    show(answer, output, lambda: _executed(answer))
+        return print_failure(answer, output)
+    print_answer(answer, output, lambda: _outcome_table(answer))
     return ExitCode.OK
 
 
-def _payload(text: str) -> dict[str, Any]:
+def _parse_payload(text: str) -> dict[str, Any]:
     data = read_file(Path(text[1:]), "the payload") if text.startswith("@") else text.encode()
     try:
         payload = json.loads(data)
@@ -99,10 +105,10 @@
     return payload
 
 
-def _hits(answer: SearchAnswer) -> Rows:
+def _hits_table(answer: SearchAnswer) -> Rows:
     coverage = answer.coverage
     title = f"snapshot {answer.snapshot}, {coverage.answered} of {coverage.asked} shards"
-    table = table_of(title, "id", "score", "fields")
+    table = make_table(title, "id", "score", "fields")
     for hit in answer.hits:
         fields = json.dumps(hit.fields, ensure_ascii=False)
         table.add_row(Text(hit.id), f"{hit.score:.3f}", Text(fields))
@@ -110,15 +116,15 @@
     if coverage.missing:
         notes.append(f"missing shards: {', '.join(coverage.missing)}")
     if coverage.partial:
-        notes.append(f"shards searched in part: {', '.join(coverage.partial)}")
+        notes.append(f"partially searched shards: {', '.join(coverage.partial)}")
     if answer.next_page:
         notes.append(f"next page: --page {answer.next_page}")
     return Rows(table, *(Text(note) for note in notes))
 
 
-def _executed(answer: ExecuteAnswer) -> Table:
-    title = "ran before, this is its outcome" if answer.repeated else "ran once"
-    table = table_of(title, "key", "server", "result", "request")
+def _outcome_table(answer: ExecuteAnswer) -> Table:
+    title = "ran earlier; this is its outcome" if answer.repeated else "ran"
+    table = make_table(title, "key", "server", "result", "request")
     result = json.dumps(answer.result, ensure_ascii=False)
     table.add_row(Text(answer.key), Text(answer.server), Text(result), Text(answer.request_id))
     return table
--- a/libs/cli/berylspindle_cli/configuration_commands.py
+++ b/libs/cli/berylspindle_cli/configuration_commands.py
@@ -1,8 +1,8 @@
 """The commands `configuration export`, `check`, `diff` and `import`.
 
-Flow: all of them work on the canonical text, so that a snapshot in version control differs exactly
-where the configuration does. `check` and `diff` of two files ask no daemon. `import` changes
-nothing: it asks for the plan that would bring the file into force.
+Flow: all of them use the canonical text, so that snapshots in version control differ only where
+the configurations differ. `check` and `diff` of two files contact no daemon. `import` changes
+nothing: it requests the plan for putting the file into force.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from rich.text import Text
 
 from berylspindle_cli.exit_codes import ExitCode
-from berylspindle_cli.output import fail, show, table_of
+from berylspindle_cli.output import make_table, print_answer, print_failure
 from berylspindle_cli.settings import (
     OperatorSettings,
     OutputFlag,
     ToolError,
-    connected,
+    operator_client,
     read_file,
     write_file,
 )
@@ -38,16 +38,16 @@
 @configuration.command
 async def export(
     *,
-    file: Annotated[Path | None, Parameter(help="Where to write it; standard output if none.")] = (
+    file: Annotated[Path | None, Parameter(help="Output file; standard output if not given.")] = (
         None
     ),
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Write the configuration in force, in its canonical text."""
-    async with connected(settings) as client:
+    """Write the configuration in force as canonical text."""
+    async with operator_client(settings) as client:
         text = await client.configuration()
     if not isinstance(text, bytes):
-        return fail(text, "table")
+        return print_failure(text, "table")
     if file is None:
         sys.stdout.write(text.decode())
     else:
@@ -57,7 +57,7 @@
 
 @configuration.command
 async def check(file: Path, /, *, output: OutputFlag = "table") -> ExitCode:
-    """Say everything that is wrong with a configuration file; exit 2 where anything is."""
+    """List all faults of a configuration file; exit 2 if there are any."""
     try:
         found = parse_configuration(read_file(file, "the configuration"))
     except ConfigurationFaults as error:
@@ -65,12 +65,14 @@
     else:
         parts = ("services", "servers", "data_centres")
         counts = {part: len(getattr(found, part)) for part in parts}
-        show({"faults": [], "revision": found.revision} | counts, output, lambda: Text("no fault"))
+        print_answer(
+            {"faults": [], "revision": found.revision} | counts, output, lambda: Text("no faults")
+        )
         return ExitCode.OK
-    table = table_of(f"{len(faults)} faults", "where", "what")
+    table = make_table(f"{len(faults)} faults", "path", "fault")
     for fault in faults:
         table.add_row(Text(fault.path), Text(fault.text))
-    show({"faults": faults}, output, lambda: table)
+    print_answer({"faults": faults}, output, lambda: table)
     return ExitCode.USAGE
 
 
@@ -82,15 +84,15 @@
     *,
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Compare two files, or a file with the configuration in force; exit 8 where they differ."""
-    before = canonical(_parsed(old))
+    """Compare two files, or a file with the configuration in force; exit 8 if they differ."""
+    before = canonical(_read_configuration(old))
     if new is not None:
-        after, name = canonical(_parsed(new)), str(new)
+        after, name = canonical(_read_configuration(new)), str(new)
     else:
-        async with connected(settings) as client:
+        async with operator_client(settings) as client:
             text = await client.configuration()
         if not isinstance(text, bytes):
-            return fail(text, "table")
+            return print_failure(text, "table")
         after, name = text, "in force"
     lines = list(
         difflib.unified_diff(
@@ -102,7 +104,7 @@
     return ExitCode.DIFFERENT if lines else ExitCode.OK
 
 
-def _parsed(path: Path) -> Configuration:
+def _read_configuration(path: Path) -> Configuration:
     try:
         return parse_configuration(read_file(path, str(path)))
     except ConfigurationFaults as error:
--- a/libs/cli/berylspindle_cli/exit_codes.py
+++ b/libs/cli/berylspindle_cli/exit_codes.py
@@ -1,7 +1,7 @@
-"""The closed list of exit codes of the operators' tool, and how an outcome becomes one.
+"""The exit codes of the operators' tool, and their mapping from failures.
 
-Flow: a command prints its outcome and returns an `ExitCode`; scripts tell from it alone what to do
-next. docs/OPERATIONS.md lists them.
+Flow: a command prints its result and returns an `ExitCode`, which by itself tells a script what to
+do next. docs/OPERATIONS.md lists the codes.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 
 class ExitCode(enum.IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     OK = 0
     """Done."""
 
     REFUSED = 1
-    """A daemon refused; nothing was changed and nothing ran."""
+    """A daemon refused the request; nothing was changed and nothing ran."""
 
     USAGE = 2
-    """A flag, a variable of the environment or a file is wrong; no daemon was asked."""
+    """A flag, an environment variable or a file is invalid; no daemon was contacted."""
 
     UNREACHABLE = 3
     """No daemon could be reached; nothing ran."""
 
     CONFLICT = 4
-    """The plan is stale or conflicts with another operator's: plan again."""
+    """The plan is stale or conflicts with another operator's change: plan again."""
 
     UNSAFE = 5
-    """The plan would break a promise; it needs an explicit override."""
+    """The plan would violate a guarantee; it needs an explicit override."""
 
     UNKNOWN = 6
-    """It may have run: ask for the outcome, or confirm the same plan again."""
+    """The request may have run: query the outcome, or confirm the same plan again."""
 
     INCOMPLETE = 7
-    """Answered, but not by all: VMs can't be heard or lag, shards are missing."""
+    """The answer is partial: VMs lag or did not answer, or shards are missing."""
 
     DIFFERENT = 8
     """The compared configurations differ."""
@@ -48,7 +48,7 @@
 
 
 def exit_code_of(failure: Failure) -> ExitCode:
-    """Return the exit code of a call that got no answer."""
+    """Return the exit code for a failed call."""
     if isinstance(failure, Unreachable):
         return ExitCode.UNREACHABLE
     if not isinstance(failure, Refused):
--- a/libs/cli/berylspindle_cli/explain_command.py
+++ b/libs/cli/berylspindle_cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command `explain`: why one forwarded request was refused, failed or late, from logs alone."""
+"""The command `explain`: why one forwarded request was refused, failed or late, by the logs."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     explain_request,
     read_lines,
 )
-from berylspindle_cli.output import show, table_of
+from berylspindle_cli.output import make_table, print_answer
 from berylspindle_cli.settings import OutputFlag, ToolError
-from berylspindle_cli.timeline_page import time_text
+from berylspindle_cli.timeline_page import format_time
 from berylspindle_model import codec
 
 
 def explain(
-    request: Annotated[str, Parameter(help="The request's id, as the caller sent it.")],
-    *files: Annotated[Path, Parameter(help="Logs of daemons; standard input if there is none.")],
+    request: Annotated[str, Parameter(help="Id of the request, as sent by the caller.")],
+    *files: Annotated[Path, Parameter(help="Log files of daemons; standard input if not given.")],
     output: OutputFlag = "table",
 ) -> ExitCode:
-    """Explain a forwarded request from the daemons' JSON logs; exit 7 where they don't hold it."""
-    found = explain_request(read_lines(_texts(files)), request)
+    """Explain a forwarded request from the daemons' JSON logs; exit 7 if they lack it."""
+    explanation = explain_request(read_lines(_read_texts(files)), request)
     if output == "json":
-        print(codec.to_json(_document(found)).decode())
+        print(codec.to_json(_document(explanation)).decode())
     else:
-        show(found, "table", lambda: _page(request, found))
-    return ExitCode.OK if found.ends else ExitCode.INCOMPLETE
+        print_answer(explanation, "table", lambda: _render(request, explanation))
+    return ExitCode.OK if explanation.ends else ExitCode.INCOMPLETE
 
 
-def _texts(files: tuple[Path, ...]) -> list[str]:
+def _read_texts(files: tuple[Path, ...]) -> list[str]:
     if not files:
         return sys.stdin.readlines()
     texts: list[str] = []
@@ -51,7 +51,7 @@
     return texts
 
 
-def _document(found: Explanation) -> dict[str, Any]:
+def _document(explanation: Explanation) -> dict[str, Any]:
     return {
         "ends": [
             {
@@ -61,45 +61,47 @@
                 "inputs": end.inputs,
                 "steps": end.steps,
             }
-            for end in found.ends
+            for end in explanation.ends
         ],
         "context": [
-            {"vm": line.vm, "message": line.message, **line.fields} for line in found.context
+            {"vm": line.vm, "message": line.message, **line.fields} for line in explanation.context
         ],
     }
 
 
-def _page(request: str, found: Explanation) -> RenderableType:
-    if not found.ends:
-        return Text(f"no line of request {request}: answered in time, or its line was left out")
+def _render(request: str, explanation: Explanation) -> RenderableType:
+    if not explanation.ends:
+        return Text(
+            f"no log line of request {request}: it was answered in time, or its line was suppressed"
+        )
     rows: list[RenderableType] = []
-    for end in found.ends:
-        rows += _end_rows(request, end)
-    if found.context:
-        table = table_of("what that VM learned before", "time", "line", "fields")
-        for line in found.context:
-            table.add_row(time_text(line.at), Text(line.message), Text(_fields(line)))
+    for end in explanation.ends:
+        rows += _render_end(request, end)
+    if explanation.context:
+        table = make_table("earlier log lines of the VM", "time", "message", "fields")
+        for line in explanation.context:
+            table.add_row(format_time(line.at), Text(line.message), Text(_format_fields(line)))
         rows.append(table)
     return Rows(*rows)
 
 
-def _end_rows(request: str, end: RequestEnd) -> list[RenderableType]:
+def _render_end(request: str, end: RequestEnd) -> list[RenderableType]:
     rows: list[RenderableType] = [
-        Text(f"{request} at {end.line.vm}, {time_text(end.line.at)}: {end.line.message}")
+        Text(f"{request} at {end.line.vm}, {format_time(end.line.at)}: {end.line.message}")
     ]
     if end.cause is not None and end.text is not None:
         rows.append(Text(f"cause: {end.cause}: {end.text.meaning}"))
         rows.append(Text(f"look at: {end.text.look_at}"))
     rows.append(Text("inputs: " + ", ".join(f"{k}={v}" for k, v in end.inputs.items())))
     if end.steps:
-        table = table_of("steps", "ms", "step")
+        table = make_table("steps", "ms", "step")
         for step in end.steps:
-            at, _, what = step.partition(" ")
-            table.add_row(at, Text(what))
+            at, _, description = step.partition(" ")
+            table.add_row(at, Text(description))
         rows.append(table)
     return rows
 
 
-def _fields(line: LogLine) -> str:
-    left_out = {"time", "level"}
-    return " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in left_out)
+def _format_fields(line: LogLine) -> str:
+    omitted = {"time", "level"}
+    return " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in omitted)
--- a/libs/cli/berylspindle_cli/log_lines.py
+++ b/libs/cli/berylspindle_cli/log_lines.py
@@ -1,12 +1,12 @@
-"""Read the daemons' JSON lines, and find in them why one request failed.
+"""Parse the daemons' JSON log lines and extract the cause of one request's failure.
 
 Terms:
-  line      one JSON object of a daemon's log; whatever stands before its first brace is passed over
-  context   lines of the same VM before the request's end that tell what the VM went by: the
+  line      one JSON object of a daemon's log; text before its first brace is ignored
+  context   lines of the same VM before the end of the request that show the state it acted on: the
             replicas that the request names, routing tables, the store, the network, the shutdown
 
-Flow: `read_lines` takes any text; `explain_request` puts the lines of one request in the order of
-their stamps, finds its cause, and adds the context.
+Flow: `read_lines` parses any text and sorts the lines by stamp; `explain_request` selects the lines
+of one request, extracts their causes, and adds the context.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from berylspindle_model.causes import CAUSES, Cause, CauseText
 from berylspindle_model.stamps import Stamp
 
-CONTEXT_MS: Final = 15_000
-"""Milliseconds before a request's line whose other lines may have to do with it: as long as a VM
-that is gone is still counted, and longer than a shutdown."""
+CONTEXT_WINDOW_MS: Final = 15_000
+"""Length of the context before a request's line, in milliseconds: as long as a lost VM is still
+counted, and longer than a shutdown."""
 
-MOST_CONTEXT: Final = 20
+MAX_CONTEXT_LINES: Final = 20
 REQUEST_CHANNEL: Final = "request"
-_INPUTS: Final = (
+_INPUT_FIELDS: Final = (
     "result",
     "run_state",
     "ms",
@@ -62,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestEnd:
-    """How one request ended, as its line tells it. `cause` is None for one that was in time."""
+    """The end of one request by its log line. `cause` is None if it was answered in time."""
 
     line: LogLine
     cause: Cause | None
@@ -73,41 +73,41 @@
 
 @attrs.frozen(kw_only=True)
 class Explanation:
-    """All that the logs hold of one request."""
+    """The log lines about one request."""
 
     ends: tuple[RequestEnd, ...]
     context: tuple[LogLine, ...]
 
 
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Return the lines that are a daemon's, in the order of their stamps."""
-    found = [line for line in map(_line, texts) if line is not None]
-    found.sort(key=lambda line: line.stamp)
-    return found
+    """Return the valid log lines of daemons in the order of their stamps."""
+    parsed = [line for line in map(_parse_line, texts) if line is not None]
+    parsed.sort(key=lambda line: line.stamp)
+    return parsed
 
 
 def explain_request(lines: list[LogLine], request: str) -> Explanation:
-    """Return what the lines tell of a request; nothing where they don't name it."""
-    own = [
+    """Return the ends of a request and their context; empty if no line names the request."""
+    request_lines = [
         line
         for line in lines
         if line.channel == REQUEST_CHANNEL and line.fields.get("request") == request
     ]
-    ends = tuple(map(_end, own))
+    ends = tuple(map(_parse_end, request_lines))
     context: list[LogLine] = []
     for end in ends:
-        context += [line for line in lines if _has_to_do(line, end)]
-    return Explanation(ends=ends, context=tuple(context[-MOST_CONTEXT:]))
+        context += [line for line in lines if _is_context(line, end)]
+    return Explanation(ends=ends, context=tuple(context[-MAX_CONTEXT_LINES:]))
 
 
-def _line(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
     try:
         fields = codec.from_json(text[start:].strip().encode(), dict[str, Any])
     except codec.MalformedError:
-        # Whatever else stands in the file, such as a line that was cut.
+        # Other text in the file, such as a truncated line.
         return None
     try:
         return LogLine(
@@ -121,22 +121,25 @@
         return None
 
 
-def _end(line: LogLine) -> RequestEnd:
-    told = line.fields.get("cause")
-    cause = Cause(told) if told in set(Cause) else None
+def _parse_end(line: LogLine) -> RequestEnd:
+    cause_name = line.fields.get("cause")
+    cause = Cause(cause_name) if cause_name in set(Cause) else None
     return RequestEnd(
         line=line,
         cause=cause,
         text=CAUSES[cause] if cause is not None else None,
-        inputs={name: line.fields[name] for name in _INPUTS if name in line.fields},
+        inputs={name: line.fields[name] for name in _INPUT_FIELDS if name in line.fields},
         steps=tuple(step for step in str(line.fields.get("steps", "")).split("; ") if step),
     )
 
 
-def _has_to_do(line: LogLine, end: RequestEnd) -> bool:
+def _is_context(line: LogLine, end: RequestEnd) -> bool:
     if line.vm != end.line.vm or line.channel == REQUEST_CHANNEL:
         return False
-    if not 0 <= end.line.at.millis - line.at.millis <= CONTEXT_MS or line.stamp > end.line.stamp:
+    if (
+        not 0 <= end.line.at.millis - line.at.millis <= CONTEXT_WINDOW_MS
+        or line.stamp > end.line.stamp
+    ):
         return False
     replica = line.fields.get("replica")
     return replica is None or any(str(replica) in step for step in end.steps)
--- a/libs/cli/berylspindle_cli/main.py
+++ b/libs/cli/berylspindle_cli/main.py
@@ -1,7 +1,7 @@
-"""The command `berylspindle`: the operators' tool, and a caller for trying things out.
+"""The command `berylspindle`: the operators' tool, which can also send callers' requests.
 
-Flow: cyclopts parses flags and the environment and runs one command, which prints its answer and
-returns an `ExitCode`. Whatever is wrong with the flags becomes one line on standard error.
+Flow: cyclopts parses flags and the environment and runs one command, which prints its result and
+returns an `ExitCode`. A usage error becomes one line on standard error.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 
 PROGRAM: Final = "berylspindle"
 
-HELP: Final = """Drive the query tier: state an intent, read its plan, confirm it.
+HELP: Final = """Operate the query tier: request the plan of an intent, review it, confirm it.
 
-Every flag is also an environment variable, BERYLSPINDLE_CLI_ and its name in capitals.
+Every flag is also an environment variable: BERYLSPINDLE_CLI_ and its name in upper case.
 
 Exit codes:
 
-- 0 done;
+- 0 success;
 - 1 refused, nothing changed and nothing ran;
-- 2 a flag, variable or file is wrong;
-- 3 no daemon reached, nothing ran;
-- 4 the plan is stale or conflicts;
-- 5 the plan breaks a promise and needs an override;
-- 6 it may have run;
-- 7 not whole, or not in force everywhere;
+- 2 a flag, variable or file is invalid;
+- 3 no daemon could be reached, nothing ran;
+- 4 the plan is stale or conflicts with another change;
+- 5 the plan violates a guarantee and needs an override;
+- 6 the request may have run;
+- 7 the answer is partial, or the revision is not in force everywhere;
 - 8 the compared configurations differ.
 """
 
 
 def make_app() -> App:
-    """Return the tool with all its commands."""
+    """Return the application with all its commands."""
     app = App(
         name=PROGRAM,
         help=HELP,
@@ -72,9 +72,9 @@
     return app
 
 
-def refuse_unknown_variables(app: App, environ: Mapping[str, str]) -> None:
-    """Guard against a misspelt variable, which shows as a tool that asks the wrong daemons."""
-    known = {TOKEN_ENV} | {ENV_PREFIX + _variable(flag) for flag in _flags(app)}
+def reject_unknown_variables(app: App, environ: Mapping[str, str]) -> None:
+    """Reject unknown variables: with a misspelt one the tool would contact the wrong daemons."""
+    known = {TOKEN_ENV} | {ENV_PREFIX + _variable_name(flag) for flag in _flags(app)}
     for name in sorted(environ):
         if name.startswith(ENV_PREFIX) and name not in known:
             raise ToolError(ExitCode.USAGE, f"unknown setting in the environment: {name}")
@@ -82,16 +82,16 @@
 
 def run(arguments: Sequence[str] | None = None) -> None:
     """Run one command and exit; the entry point of the tool."""
-    given = sys.argv[1:] if arguments is None else list(arguments)
+    tokens = sys.argv[1:] if arguments is None else list(arguments)
     try:
         app = make_app()
-        refuse_unknown_variables(app, os.environ)
-        result = app(given, exit_on_error=False, print_error=False)
+        reject_unknown_variables(app, os.environ)
+        result = app(tokens, exit_on_error=False, print_error=False)
         code = result if isinstance(result, ExitCode) else ExitCode.OK
     except CycloptsError as error:
-        code = _say(ExitCode.USAGE, " ".join(str(error).split()))
+        code = _print_error(ExitCode.USAGE, " ".join(str(error).split()))
     except ToolError as error:
-        code = _say(error.code, error.line)
+        code = _print_error(error.code, error.line)
     except KeyboardInterrupt:
         code = ExitCode.OK
     sys.exit(code)
@@ -108,10 +108,10 @@
     return flags
 
 
-def _variable(flag: str) -> str:
+def _variable_name(flag: str) -> str:
     return flag.lstrip("-").replace("-", "_").upper()
 
 
-def _say(code: ExitCode, line: str) -> ExitCode:
+def _print_error(code: ExitCode, line: str) -> ExitCode:
     print(f"{PROGRAM}: {line}", file=sys.stderr)
     return code
--- a/libs/cli/berylspindle_cli/plan_commands.py
+++ b/libs/cli/berylspindle_cli/plan_commands.py
@@ -1,12 +1,12 @@
-"""The commands `plan ...`, `confirm` and `configuration import`: intents, from wish to in force.
+"""The commands `plan ...`, `confirm` and `configuration import`: plan and apply intents.
 
 Terms:
-  plan file   the plan as JSON; `confirm` sends exactly what it holds, to any daemon, so that no
-              daemon needs to remember a plan
+  plan file   the plan as JSON; `confirm` sends its contents unchanged to any daemon, so that
+              daemons need not store plans
 
-Flow: `plan` asks a daemon for the plan of an intent, prints it and writes the plan file; the
-operator reads it; `confirm` applies it, by compare-and-swap on the revision it stands on.
-Confirming the same file again finds the first confirmation.
+Flow: `plan` requests the plan of an intent from a daemon, prints it and writes the plan file; the
+operator reviews it; `confirm` applies it by compare-and-swap on its base revision. Confirming the
+same file again returns the first confirmation.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from rich.text import Text
 
 from berylspindle_cli.exit_codes import ExitCode
-from berylspindle_cli.output import fail, show, table_of
+from berylspindle_cli.output import make_table, print_answer, print_failure
 from berylspindle_cli.settings import (
     ENV_PREFIX,
     OperatorSettings,
     Output,
     OutputFlag,
     ToolError,
-    connected,
+    operator_client,
     read_file,
     write_file,
 )
@@ -45,21 +45,21 @@
 
 _DEFAULT: Final = OperatorSettings()
 OVERRIDE_ENV: Final = ENV_PREFIX + "OVERRIDE"
-_POLL_SECONDS: Final = 0.2
-# Enough of the id that two plans of one operator do not meet in one file.
-_ID_CHARS: Final = 12
+_POLL_INTERVAL_S: Final = 0.2
+# Long enough to keep the plans of one operator in distinct files.
+_ID_PREFIX_CHARS: Final = 12
 
 FileFlag = Annotated[
     Path | None,
-    Parameter(help="Plan file; plan-ID.json if none, and nothing if none with JSON output."),
+    Parameter(help="Plan file; by default plan-ID.json, or none with JSON output."),
 ]
 
-plan = App(name="plan", help="Ask what an intent would change; nothing is changed.")
+plan = App(name="plan", help="Show what an intent would change, without changing anything.")
 
 
 @attrs.frozen(kw_only=True)
 class StandUpFile:
-    """What `plan stand-up` reads: a service and its backend servers."""
+    """Input of `plan stand-up`: a service and its backend servers."""
 
     service: Service
     servers: tuple[Server, ...]
@@ -74,19 +74,19 @@
     output: OutputFlag = "table",
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Plan to stand up the search service that DEFINITION, a JSON file, describes."""
+    """Plan to add the search service defined in the JSON file DEFINITION."""
     data = read_file(definition, "the definition")
     try:
-        wanted = codec.from_json(data, StandUpFile)
+        parsed = codec.from_json(data, StandUpFile)
     except codec.MalformedError as error:
         raise ToolError(ExitCode.USAGE, f"{definition}: {error}") from None
     intent = Intent(
         kind=IntentKind.STAND_UP,
-        subject=wanted.service.name,
-        service=wanted.service,
-        servers=wanted.servers,
+        subject=parsed.service.name,
+        service=parsed.service,
+        servers=parsed.servers,
     )
-    return await _plan(intent, file, output, settings)
+    return await _request_plan(intent, file, output, settings)
 
 
 @plan.command(name="take-out")
@@ -99,7 +99,9 @@
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
     """Plan to take a data centre out of service."""
-    return await _plan(_intent(IntentKind.TAKE_OUT, data_centre), file, output, settings)
+    return await _request_plan(
+        _make_intent(IntentKind.TAKE_OUT, data_centre), file, output, settings
+    )
 
 
 @plan.command(name="return")
@@ -112,7 +114,7 @@
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
     """Plan to return a data centre to service."""
-    return await _plan(_intent(IntentKind.RETURN, data_centre), file, output, settings)
+    return await _request_plan(_make_intent(IntentKind.RETURN, data_centre), file, output, settings)
 
 
 @plan.command(name="retire")
@@ -125,7 +127,7 @@
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
     """Plan to retire a backend server."""
-    return await _plan(_intent(IntentKind.RETIRE, server), file, output, settings)
+    return await _request_plan(_make_intent(IntentKind.RETIRE, server), file, output, settings)
 
 
 async def import_(
@@ -136,11 +138,11 @@
     output: OutputFlag = "table",
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Plan to bring a whole configuration from a file into force."""
+    """Plan to replace the whole configuration by that of a file."""
     text = read_file(snapshot, "the configuration")
-    async with connected(settings) as client:
-        made = await client.plan_configuration(text)
-    return _planned(made, file, output)
+    async with operator_client(settings) as client:
+        outcome = await client.plan_configuration(text)
+    return _print_plan(outcome, file, output)
 
 
 async def confirm(
@@ -148,75 +150,81 @@
     /,
     *,
     override: Annotated[
-        bool, Parameter(help="Confirm though the plan breaks a promise.", negative="")
+        bool, Parameter(help="Confirm a plan that violates a guarantee.", negative="")
     ] = False,
     wait: Annotated[
         float,
-        Parameter(help="Longest wait until it is in force everywhere, s.", validator=Number(gte=0)),
+        Parameter(
+            help="Maximum wait for it to be in force everywhere, s.", validator=Number(gte=0)
+        ),
     ] = 0.0,
     output: OutputFlag = "table",
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Apply exactly the plan in a plan file, once.
+    """Apply the plan in a plan file, at most once.
 
-    Exit 4 where the plan is stale or conflicts with another operator's, 5 where it needs
-    --override, 6 where the answer was lost: confirm the same file again. With --wait, exit 7 where
-    it is accepted but not yet in force everywhere.
+    Exit 4 if the plan is stale or conflicts with another operator's change, 5 if it needs
+    --override, 6 if the answer was lost: confirm the same file again. With --wait, exit 7 if it is
+    accepted but not yet in force everywhere.
     """
     if OVERRIDE_ENV in os.environ:
-        # Set once and forgotten, it would override every plan of every later day.
-        raise ToolError(ExitCode.USAGE, f"an override is given by flag alone; unset {OVERRIDE_ENV}")
+        # A forgotten variable would override the checks of every later plan.
+        raise ToolError(
+            ExitCode.USAGE, f"an override must be a flag, not a variable; unset {OVERRIDE_ENV}"
+        )
     try:
-        wanted = codec.from_json(read_file(plan_file, "the plan file"), Plan)
+        parsed = codec.from_json(read_file(plan_file, "the plan file"), Plan)
     except codec.MalformedError as error:
         raise ToolError(ExitCode.USAGE, f"{plan_file}: {error}") from None
-    async with connected(settings) as client:
-        answer = await client.confirm(wanted, override=override)
+    async with operator_client(settings) as client:
+        answer = await client.confirm(parsed, override=override)
         if not isinstance(answer, Confirmation):
-            return fail(answer, output)
-        in_force = await _in_force(client, answer.revision, wait) if wait else None
-    show(_document(answer, in_force), output, lambda: Text(_sentence(answer, in_force)))
+            return print_failure(answer, output)
+        in_force = await _wait_until_in_force(client, answer.revision, wait) if wait else None
+    print_answer(
+        _document(answer, in_force), output, lambda: Text(_confirmation_text(answer, in_force))
+    )
     return ExitCode.INCOMPLETE if in_force is False else ExitCode.OK
 
 
-def _intent(kind: IntentKind, subject: str) -> Intent:
+def _make_intent(kind: IntentKind, subject: str) -> Intent:
     return Intent(kind=kind, subject=subject)
 
 
-async def _plan(
+async def _request_plan(
     intent: Intent, file: Path | None, output: Output, settings: OperatorSettings
 ) -> ExitCode:
-    async with connected(settings) as client:
-        made = await client.plan(intent)
-    return _planned(made, file, output)
+    async with operator_client(settings) as client:
+        outcome = await client.plan(intent)
+    return _print_plan(outcome, file, output)
 
 
-def _planned(made: Plan | Failure, file: Path | None, output: Output) -> ExitCode:
-    if not isinstance(made, Plan):
-        return fail(made, output)
+def _print_plan(outcome: Plan | Failure, file: Path | None, output: Output) -> ExitCode:
+    if not isinstance(outcome, Plan):
+        return print_failure(outcome, output)
     target = file
     if target is None and output == "table":
-        target = Path(f"plan-{made.id[:_ID_CHARS]}.json")
+        target = Path(f"plan-{outcome.id[:_ID_PREFIX_CHARS]}.json")
     if target is not None:
-        write_file(target, codec.to_json(made))
-    show(made, output, lambda: _plan_text(made, target))
-    return ExitCode.UNSAFE if made.needs_override else ExitCode.OK
+        write_file(target, codec.to_json(outcome))
+    print_answer(outcome, output, lambda: _render_plan(outcome, target))
+    return ExitCode.UNSAFE if outcome.needs_override else ExitCode.OK
 
 
-def _plan_text(made: Plan, target: Path | None) -> RenderableType:
-    intent = f"{made.intent.kind.value.replace('_', ' ')} {made.intent.subject}"
-    lines: list[RenderableType] = [Text(f"plan to {intent}, on revision {made.base}")]
-    lines += [Text(f"BREAKS: {promise}", style="bold red") for promise in made.breaks]
-    steps = [("now", made.before)]
-    steps += [(f"{n}. {step.text}", step.services) for n, step in enumerate(made.steps, 1)]
+def _render_plan(outcome: Plan, target: Path | None) -> RenderableType:
+    intent = f"{outcome.intent.kind.value.replace('_', ' ')} {outcome.intent.subject}"
+    lines: list[RenderableType] = [Text(f"plan to {intent}, on revision {outcome.base}")]
+    lines += [Text(f"BREAKS: {violation}", style="bold red") for violation in outcome.breaks]
+    steps = [("now", outcome.before)]
+    steps += [(f"{n}. {step.text}", step.services) for n, step in enumerate(outcome.steps, 1)]
     columns = ("step", "service", "slots", "busy", "shards covered", "fewest replicas")
-    table = table_of("what each service has left", *columns)
+    table = make_table("remaining capacity of each service", *columns)
     for text, loads in steps:
         for row in _load_rows(text, loads):
             table.add_row(*map(Text, row))
     lines.append(table)
-    override = " --override" if made.needs_override else ""
-    lines.append(Text(f"nothing is changed yet; berylspindle confirm {target}{override}"))
+    override = " --override" if outcome.needs_override else ""
+    lines.append(Text(f"nothing is changed yet; to apply: berylspindle confirm {target}{override}"))
     return Rows(*lines)
 
 
@@ -232,15 +240,15 @@
     return rows
 
 
-async def _in_force(client: OperatorClient, revision: int, wait: float) -> bool:
-    ends = time.monotonic() + wait
+async def _wait_until_in_force(client: OperatorClient, revision: int, wait: float) -> bool:
+    deadline = time.monotonic() + wait
     while True:
         fleet = await client.status()
         if isinstance(fleet, FleetStatus) and fleet.in_force and fleet.revision >= revision:
             return True
-        if time.monotonic() + _POLL_SECONDS >= ends:
+        if time.monotonic() + _POLL_INTERVAL_S >= deadline:
             return False
-        await asyncio.sleep(_POLL_SECONDS)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def _document(answer: Confirmation, in_force: bool | None) -> dict[str, object]:
@@ -248,9 +256,9 @@
     return document if in_force is None else document | {"in_force": in_force}
 
 
-def _sentence(answer: Confirmation, in_force: bool | None) -> str:
+def _confirmation_text(answer: Confirmation, in_force: bool | None) -> str:
     done = "was accepted before" if answer.repeated else "is accepted"
-    line = f"plan {answer.id[:_ID_CHARS]} {done}, as revision {answer.revision}"
+    line = f"plan {answer.id[:_ID_PREFIX_CHARS]} {done}, as revision {answer.revision}"
     if in_force is None:
         return line + "; berylspindle status shows where it is in force"
     if in_force:
--- a/libs/cli/berylspindle_cli/settings.py
+++ b/libs/cli/berylspindle_cli/settings.py
@@ -1,8 +1,9 @@
-"""The settings that several commands of the operators' tool share.
+"""Settings shared by several commands of the operators' tool.
 
 Flow: cyclopts fills these classes from flags and from environment variables with the prefix
-`BERYLSPINDLE_CLI_`; `connected` and `calling` turn them into clients. The token is read from a file
-or from BERYLSPINDLE_CLI_TOKEN, never from a flag, since flags show in the list of processes.
+`BERYLSPINDLE_CLI_`; `operator_client` and `caller_client` create clients from them. The token is
+read from a file or from BERYLSPINDLE_CLI_TOKEN, never from a flag, since flags show in the list of
+processes.
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
 ]
 PageFlag = Annotated[
     Literal["table", "json", "html"],
-    Parameter(group=_OUTPUT, help="A table, a JSON object a line, or one HTML page."),
+    Parameter(group=_OUTPUT, help="A table, one JSON object per line, or an HTML page."),
 ]
 
 
 class ToolError(Exception):
-    """End the tool with one line and an exit code."""
+    """Exit the tool with one line on standard error and an exit code."""
 
     def __init__(self, code: ExitCode, line: str) -> None:
         super().__init__(line)
@@ -54,13 +55,13 @@
 @Parameter(name="*")
 @attrs.frozen(kw_only=True)
 class OperatorSettings:
-    """How to reach the operators' edges of the daemons."""
+    """Connection settings for the operators' edges of the daemons."""
 
     admins: Annotated[
         str,
         Parameter(
             group=_CONNECTION,
-            help="Operators' addresses of daemons, host:port with commas between.",
+            help="Addresses of the daemons' operators' edges, host:port, comma-separated.",
         ),
     ] = "127.0.0.1:8081"
     token_file: Annotated[
@@ -71,7 +72,7 @@
         Path | None,
         Parameter(
             group=_CONNECTION,
-            help="Speak TLS: PEM file of the authority of the daemons' certificates.",
+            help="PEM file of the CA of the daemons' certificates; enables TLS.",
         ),
     ] = None
     tls_certificate: Annotated[
@@ -82,13 +83,13 @@
         Parameter(group=_CONNECTION, help="PEM file of its key, if not in the same file."),
     ] = None
     operator: Annotated[
-        str, Parameter(group=_CONNECTION, help="Who acts; empty takes the name of the login.")
+        str, Parameter(group=_CONNECTION, help="Name of the operator; defaults to the login name.")
     ] = ""
     timeout: Annotated[
         float,
         Parameter(
             group=_CONNECTION,
-            help="Longest time of one call, s.",
+            help="Timeout of one call, s.",
             validator=Number(gte=0.1, lte=300),
         ),
     ] = 5.0
@@ -97,29 +98,30 @@
 @Parameter(name="*")
 @attrs.frozen(kw_only=True)
 class CallerSettings:
-    """How to reach the callers' edges of the daemons."""
+    """Connection settings for the callers' edges of the daemons."""
 
     callers: Annotated[
         str,
         Parameter(
-            group=_CONNECTION, help="Callers' addresses of daemons, host:port with commas between."
+            group=_CONNECTION,
+            help="Addresses of the daemons' callers' edges, host:port, comma-separated.",
         ),
     ] = "127.0.0.1:8080"
     caller: Annotated[
-        str, Parameter(group=_CONNECTION, help="Name of the caller, for its fair share.")
+        str, Parameter(group=_CONNECTION, help="Name of the caller, for fair queueing.")
     ] = "berylspindle"
     deadline_ms: Annotated[
         int,
         Parameter(
             group=_CONNECTION,
-            help="How long to wait for the answer, ms.",
+            help="Deadline of the request, ms.",
             validator=Number(gte=1, lte=60_000),
         ),
     ] = 2000
 
 
-def _tls(settings: OperatorSettings) -> ssl.SSLContext | None:
-    """Return the context of a client, None where no TLS flag is given."""
+def _tls_context(settings: OperatorSettings) -> ssl.SSLContext | None:
+    """Return the TLS context of a client, or None if no TLS flag is given."""
     paths = (settings.tls_ca, settings.tls_certificate, settings.tls_key)
     if not any(paths):
         return None
@@ -128,16 +130,16 @@
 
 
 @asynccontextmanager
-async def connected(settings: OperatorSettings) -> AsyncIterator[OperatorClient]:
-    """Give a client of the operators' edges; raises ToolError for a bad setting."""
+async def operator_client(settings: OperatorSettings) -> AsyncIterator[OperatorClient]:
+    """Open a client of the operators' edges; raises ToolError for an invalid setting."""
     try:
         addresses = parse_addresses(settings.admins)
         client = OperatorClient(
             addresses,
-            token=_token(settings.token_file),
-            operator=settings.operator or _login(),
+            token=_read_token(settings.token_file),
+            operator=settings.operator or _login_name(),
             timeout=settings.timeout,
-            tls=_tls(settings),
+            tls=_tls_context(settings),
         )
     except TlsSettingsError as error:
         raise ToolError(ExitCode.USAGE, f"--tls-ca: {error}") from None
@@ -148,8 +150,8 @@
 
 
 @asynccontextmanager
-async def calling(settings: CallerSettings) -> AsyncIterator[CallerClient]:
-    """Give a client of the callers' edges; raises ToolError for a bad setting."""
+async def caller_client(settings: CallerSettings) -> AsyncIterator[CallerClient]:
+    """Open a client of the callers' edges; raises ToolError for an invalid setting."""
     try:
         client = CallerClient(parse_addresses(settings.callers), caller=settings.caller)
     except ValueError as error:
@@ -158,23 +160,23 @@
         yield client
 
 
-def read_file(path: Path, what: str) -> bytes:
-    """Return what a file holds; raises ToolError with `what` in its line."""
+def read_file(path: Path, description: str) -> bytes:
+    """Return the contents of a file; raises ToolError, whose line contains `description`."""
     try:
         return path.read_bytes()
     except OSError as error:
-        raise ToolError(ExitCode.USAGE, f"cannot read {what}: {error.strerror}") from None
+        raise ToolError(ExitCode.USAGE, f"cannot read {description}: {error.strerror}") from None
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Write a file; raises ToolError where that fails."""
+    """Write a file; raises ToolError on failure."""
     try:
         path.write_bytes(data)
     except OSError as error:
         raise ToolError(ExitCode.USAGE, f"cannot write {path}: {error.strerror}") from None
 
 
-def _token(path: Path | None) -> Secret | None:
+def _read_token(path: Path | None) -> Secret | None:
     if path is not None:
         text = read_file(path, "the file of --token-file").decode("utf-8", "replace")
     else:
@@ -182,7 +184,7 @@
     return Secret(text.strip()) if text.strip() else None
 
 
-def _login() -> str:
+def _login_name() -> str:
     try:
         return getpass.getuser()
     except (OSError, KeyError):
--- a/libs/cli/berylspindle_cli/timeline_page.py
+++ b/libs/cli/berylspindle_cli/timeline_page.py
@@ -1,11 +1,11 @@
-"""Write the time line of all VMs as one HTML page that needs nothing from the network.
+"""Render the time line of all VMs as a self-contained HTML page.
 
 Terms:
-  lane   the column of one VM; time runs down, so that long lists scroll as pages do
+  lane   the column of one VM; time runs downwards
 
-Flow: `timeline_page` lays each event out as one row in the order of the hybrid logical clock, in
-the lane of its VM. All text from daemons is escaped: a detail may quote what a caller sent. A VM
-that could not be reached has a lane too, that says so.
+Flow: `timeline_page` renders each event as one row, in the order of the hybrid logical clock, in
+the lane of its VM. All text from daemons is escaped, since a detail may quote caller input. A VM
+that could not be reached has a marked lane.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from berylspindle_model.events import Event, EventKind
 from berylspindle_model.stamps import Stamp
 
-_BAD: Final = frozenset(
+_PROBLEM_KINDS: Final = frozenset(
     {
         EventKind.UNREADY,
         EventKind.VM_SUSPECTED,
@@ -36,7 +36,7 @@
         EventKind.INTERNAL_FAULT,
     }
 )
-_INTENT: Final = frozenset(
+_OPERATOR_KINDS: Final = frozenset(
     {
         EventKind.PLAN_MADE,
         EventKind.INTENT_CONFIRMED,
@@ -61,39 +61,43 @@
 """
 
 
-def time_text(stamp: Stamp) -> str:
-    """Return a stamp's wall time in UTC to the millisecond, with its counter where it has one."""
-    moment = datetime.fromtimestamp(stamp.millis / 1000, tz=UTC)
-    text = moment.strftime("%Y-%m-%d %H:%M:%S.") + f"{stamp.millis % 1000:03d}"
+def format_time(stamp: Stamp) -> str:
+    """Return a stamp's UTC wall time to the millisecond, followed by its counter unless it is 0."""
+    wall_time = datetime.fromtimestamp(stamp.millis / 1000, tz=UTC)
+    text = wall_time.strftime("%Y-%m-%d %H:%M:%S.") + f"{stamp.millis % 1000:03d}"
     return f"{text}+{stamp.count}" if stamp.count else text
 
 
 def timeline_page(
     events: Sequence[Event], vms: Sequence[str], unreachable: Sequence[str], title: str
 ) -> str:
-    """Return the page; `events` are in order, `vms` and `unreachable` name the lanes."""
-    heads = "".join(f"<th>{html.escape(vm)}</th>" for vm in vms)
-    heads += "".join(f"<th>{html.escape(vm)}<br>not reached</th>" for vm in unreachable)
+    """Return the page for ordered `events`; `vms` and `unreachable` name the lanes."""
+    headers = "".join(f"<th>{html.escape(vm)}</th>" for vm in vms)
+    headers += "".join(f"<th>{html.escape(vm)}<br>not reached</th>" for vm in unreachable)
     rows = "\n".join(_row(event, vms, len(unreachable)) for event in events)
-    shown = html.escape(title)
+    heading = html.escape(title)
     return (
         '<!doctype html>\n<html lang="en"><head><meta charset="utf-8">'
-        f"<title>{shown}</title>\n<style>{_STYLE}</style></head>\n<body><h1>{shown}</h1>\n"
+        f"<title>{heading}</title>\n<style>{_STYLE}</style></head>\n<body><h1>{heading}</h1>\n"
         f"<p>{len(events)} events of {len(vms)} VMs; times are UTC and in causal order; "
         f"{len(unreachable)} VMs were not reached.</p>\n"
-        f"<table><thead><tr><th>time</th>{heads}</tr></thead>\n<tbody>\n{rows}\n</tbody></table>"
+        f"<table><thead><tr><th>time</th>{headers}</tr></thead>\n<tbody>\n{rows}\n</tbody></table>"
         "</body></html>\n"
     )
 
 
 def _row(event: Event, vms: Sequence[str], unreachable: int) -> str:
     cells = "".join(_cell(event) if vm == event.vm else "<td></td>" for vm in vms)
-    gone = '<td class="gone"></td>' * unreachable
-    return f'<tr><td class="time">{time_text(event.stamp)}</td>{cells}{gone}</tr>'
+    unreachable_cells = '<td class="gone"></td>' * unreachable
+    return f'<tr><td class="time">{format_time(event.stamp)}</td>{cells}{unreachable_cells}</tr>'
 
 
 def _cell(event: Event) -> str:
-    style = "bad" if event.kind in _BAD else "intent" if event.kind in _INTENT else "event"
+    style = (
+        "bad"
+        if event.kind in _PROBLEM_KINDS
+        else "intent" if event.kind in _OPERATOR_KINDS else "event"
+    )
     about = " ".join(part for part in (event.service, event.server, event.request_id) if part)
-    small = " ".join(html.escape(part) for part in (about, event.detail) if part)
-    return f'<td class="{style}">{html.escape(event.kind.value)}<br><small>{small}</small></td>'
+    note = " ".join(html.escape(part) for part in (about, event.detail) if part)
+    return f'<td class="{style}">{html.escape(event.kind.value)}<br><small>{note}</small></td>'
--- a/libs/client/berylspindle_client/addresses.py
+++ b/libs/client/berylspindle_client/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of daemons, as settings write them."""
+"""Addresses of daemons in settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """Where one edge of one daemon listens."""
+    """Address of one edge of a daemon."""
 
     host: str
     port: int
@@ -19,7 +19,7 @@
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Return the addresses of `host:port,[host]:port,...`; raises ValueError with the bad one."""
+    """Parse `host:port,[host]:port,...`; raises ValueError naming the malformed address."""
     return tuple(_parse_address(part.strip()) for part in text.split(",") if part.strip())
 
 
--- a/libs/client/berylspindle_client/callers.py
+++ b/libs/client/berylspindle_client/callers.py
@@ -1,17 +1,17 @@
-"""A client of the callers' edge that tries several daemons without ever doubling work.
+"""Client of the callers' edge that fails over between daemons without duplicating work.
 
 Terms:
-  deadline   how long the caller waits, over all daemons together
-  not run    a daemon said so, or no byte of the request was sent
+  deadline   time limit of a request over all daemons together
+  not run    a daemon reported it, or no byte of the request was sent
 
-Flow: `search`, `execute` and `outcome` go to one daemon after the other until one answers or the
-deadline passes. The next daemon is asked only after "not run", and only where the refusing daemon
-asks for no wait; what may have run is reported, never sent again.
+Flow: `search`, `execute` and `outcome` try one daemon after the other until one answers or the
+deadline passes. The next daemon is tried only after "not run", and only if the refusal is specific
+to the VM or allows an immediate retry; a request that may have run is reported, never sent again.
 
-A search changes nothing at the backend servers, but it is not sent again either where it may have
-run: its work would be done twice just when the system is slow, and a request that crashes backend
-servers would reach the next ones. An execute keeps its key, so that asking with `outcome`, or
-sending it again by hand with the same key, is safe.
+A search changes nothing at the backend servers, yet it is not sent again either if it may have run:
+that would double the load when the system is slow, and would spread a request that crashes backend
+servers. An execute has an idempotency key, so that it is safe to query `outcome` or to send it
+again with the same key.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 T = TypeVar("T")
 
 DEFAULT_DEADLINE_MS: Final = 2000
-# A daemon that takes no connection within this is passed over while there are others.
-CONNECT_SECONDS: Final = 0.5
-# The answer to a request that met its deadline at the daemon still has to come back.
-_GRACE_SECONDS: Final = 0.25
-_ABOUT_ONE_VM: Final = frozenset(
+# After this time without a connection the next daemon is tried.
+CONNECT_TIMEOUT_S: Final = 0.5
+# Time for the response of a daemon that used the whole deadline to arrive.
+_RESPONSE_GRACE_S: Final = 0.25
+_SINGLE_VM_KINDS: Final = frozenset(
     {ErrorKind.NOT_READY, ErrorKind.SHUTTING_DOWN, ErrorKind.DATA_CENTRE_OUT}
 )
 
 
 class CallerClient:
-    """Ask a query tier through several daemons; needs a running event loop when made."""
+    """Client of a query tier with several daemons; create it in a running event loop."""
 
     def __init__(self, daemons: Sequence[Address], *, caller: str = "") -> None:
-        """Take the daemons in the order in which to try them."""
+        """Create a client; `daemons` are tried in the given order."""
         if not daemons:
-            raise ValueError("no daemon to ask")
+            raise ValueError("no daemon address given")
         self._caller = caller
         self._daemons = tuple(daemons)
         self._stack = AsyncExitStack()
@@ -66,11 +66,11 @@
         deadline_ms: int = DEFAULT_DEADLINE_MS,
         request_id: str = "",
     ) -> SearchAnswer | Failure:
-        """Search one service; `page` is the `next_page` of the answer before."""
+        """Search one service; `page` is the `next_page` of the previous answer."""
         body = codec.to_json(protocol.SearchBody(query=query, limit=limit, page=page))
         path = protocol.search_path(service)
         headers = self._headers(request_id)
-        return await self._ask("POST", path, headers, body, SearchAnswer, deadline_ms)
+        return await self._call_any("POST", path, headers, body, SearchAnswer, deadline_ms)
 
     async def execute(
         self,
@@ -86,14 +86,14 @@
         body = codec.to_json(protocol.ExecuteBody(shard=shard, payload=payload))
         path = protocol.execute_path(service)
         headers = self._headers(request_id) | {protocol.IDEMPOTENCY_KEY_HEADER: key}
-        return await self._ask("POST", path, headers, body, ExecuteAnswer, deadline_ms)
+        return await self._call_any("POST", path, headers, body, ExecuteAnswer, deadline_ms)
 
     async def outcome(
         self, service: str, key: str, *, deadline_ms: int = DEFAULT_DEADLINE_MS
     ) -> ExecuteAnswer | Failure:
-        """Ask what became of an earlier execute."""
+        """Return the outcome of an earlier execute."""
         path = protocol.outcome_path(service, key)
-        return await self._ask("GET", path, self._headers(""), b"", ExecuteAnswer, deadline_ms)
+        return await self._call_any("GET", path, self._headers(""), b"", ExecuteAnswer, deadline_ms)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -118,7 +118,7 @@
             headers[protocol.REQUEST_ID_HEADER] = request_id
         return headers
 
-    async def _ask(
+    async def _call_any(
         self,
         method: str,
         path: str,
@@ -128,23 +128,23 @@
         deadline_ms: int,
     ) -> T | Failure:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + deadline_ms / 1000
-        last: Failure = Unreachable(tuple(map(str, self._daemons)))
+        deadline = loop.time() + deadline_ms / 1000
+        failure_to_report: Failure = Unreachable(tuple(map(str, self._daemons)))
         for daemon in self._daemons:
-            left = ends - loop.time()
-            if left <= 0:
+            remaining_s = deadline - loop.time()
+            if remaining_s <= 0:
                 break
-            headers[protocol.DEADLINE_HEADER] = str(max(1, int(left * 1000)))
-            outcome = await self._ask_one(daemon, method, path, headers, body, kind, left)
+            headers[protocol.DEADLINE_HEADER] = str(max(1, int(remaining_s * 1000)))
+            outcome = await self._call_one(daemon, method, path, headers, body, kind, remaining_s)
             if not isinstance(outcome, Refused | Unreachable):
                 return outcome
             if isinstance(outcome, Refused):
-                last = outcome
-                if not _may_ask_another(outcome):
+                failure_to_report = outcome
+                if not _may_try_next(outcome):
                     return outcome
-        return last
+        return failure_to_report
 
-    async def _ask_one(
+    async def _call_one(
         self,
         daemon: Address,
         method: str,
@@ -152,10 +152,10 @@
         headers: dict[str, str],
         body: bytes,
         kind: type[T],
-        left: float,
+        remaining_s: float,
     ) -> T | Failure:
         client = self._client(daemon)
-        timeout = left + _GRACE_SECONDS
+        timeout = remaining_s + _RESPONSE_GRACE_S
         try:
             response = await client.request(
                 method, path, headers=headers, body=body, timeout=timeout
@@ -169,19 +169,19 @@
     def _client(self, daemon: Address) -> HttpClient:
         client = self._clients.get(daemon)
         if client is None:
-            client = HttpClient(daemon.host, daemon.port, connect_timeout=CONNECT_SECONDS)
+            client = HttpClient(daemon.host, daemon.port, connect_timeout=CONNECT_TIMEOUT_S)
             self._stack.push_async_callback(client.close)
             self._clients[daemon] = client
         return client
 
 
-def _may_ask_another(refused: Refused) -> bool:
-    """Tell whether another daemon may do better at once.
+def _may_try_next(refused: Refused) -> bool:
+    """Return whether to try the next daemon after a refusal.
 
-    Only for what did not run, and only where the refusal is about that one VM or asks to come back
-    at once (0 ms). Any other wait holds for the whole system: a full queue is not helped by the
-    same request in the next one.
+    The request must not have run, and the refusal must be specific to that VM or allow an immediate
+    retry (0 ms). Any other delay applies to the whole system: sending the request to the next full
+    queue would only add load.
     """
     if refused.run is not RunState.NOT_RUN:
         return False
-    return refused.retry_after_ms == 0 or refused.kind in _ABOUT_ONE_VM
+    return refused.retry_after_ms == 0 or refused.kind in _SINGLE_VM_KINDS
--- a/libs/client/berylspindle_client/fleet.py
+++ b/libs/client/berylspindle_client/fleet.py
@@ -1,14 +1,14 @@
-"""What several daemons say of the whole system, merged into one picture.
+"""Merge status reports of several daemons into a status of the whole system.
 
 Terms:
-  fleet     all VMs of the system, whether or not the tool has asked them itself
+  fleet     all VMs of the system, including those that the tool did not query
   newest    the greatest revision that any VM has adopted
-  lagging   a VM below the newest revision
-  unheard   a VM that the tool asked in vain, or that no VM has heard lately
+  lagging   a VM whose revision is below the newest
+  unheard   a VM that is suspected, or that no VM has heard from recently
 
 Flow: `merge_reports` takes the reports of the daemons that answered and the addresses of those that
-did not. What a VM says of itself goes before what others say of it; among those, the one that has
-heard the most goes first, since a report can only be late.
+did not. The report of a VM about itself takes precedence over reports of others; among those, the
+most recent knowledge wins, since a report can be outdated but not ahead.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class FleetStatus:
-    """The system as the tool sees it; `unreachable` holds addresses that did not answer."""
+    """Merged status of the system; `unreachable` holds the addresses that did not answer."""
 
     revision: int
     vms: tuple[VmReport, ...]
@@ -33,32 +33,32 @@
 
     @property
     def lagging(self) -> tuple[VmReport, ...]:
-        """Return the VMs that are heard but not yet at the newest revision."""
+        """Return the live VMs that have not yet adopted the newest revision."""
         return tuple(
             vm for vm in self.vms if vm.state is VmState.LIVE and vm.revision < self.revision
         )
 
     @property
     def unheard(self) -> tuple[VmReport, ...]:
-        """Return the VMs of which it isn't known whether they serve, and by what revision."""
+        """Return the VMs of which neither state nor revision is known for certain."""
         return tuple(vm for vm in self.vms if vm.state in (VmState.SUSPECT, VmState.UNHEARD))
 
     @property
     def in_force(self) -> bool:
-        """Tell whether every VM that may serve has adopted the newest revision.
+        """Return whether every VM that may serve requests has adopted the newest revision.
 
-        A VM that its data centre holds dead serves nobody, so that it doesn't count; one that is
-        only suspected, or that did not answer the tool, does.
+        A VM that its data centre has declared dead serves no requests and doesn't count; one that
+        is only suspected, or that did not answer the tool, does.
         """
         return bool(self.reports) and not (self.lagging or self.unheard or self.unreachable)
 
 
 def merge_reports(reports: Sequence[StatusReport], unreachable: Sequence[str]) -> FleetStatus:
-    """Return one picture of the system from what daemons said."""
+    """Merge the reports of daemons into one status of the system."""
     vms: dict[str, VmReport] = {}
-    for seen in (seen for report in reports for seen in report.vms):
-        known = vms.get(seen.vm)
-        vms[seen.vm] = seen if known is None else max(known, seen, key=_knowledge)
+    for vm_report in (vm_report for report in reports for vm_report in report.vms):
+        known = vms.get(vm_report.vm)
+        vms[vm_report.vm] = vm_report if known is None else max(known, vm_report, key=_recency_key)
     for report in reports:
         vms[report.vm] = _self_report(report)
     newest = max((vm.revision for vm in vms.values()), default=0)
@@ -68,7 +68,7 @@
         vms=tuple(ordered),
         reports=tuple(sorted(reports, key=lambda report: (report.data_centre, report.vm))),
         unreachable=tuple(unreachable),
-        intents=_newest_intents(reports),
+        intents=_latest_intents(reports),
     )
 
 
@@ -81,10 +81,10 @@
     )
 
 
-def _knowledge(seen: VmReport) -> tuple[int, bool, int]:
-    return (seen.revision, seen.state is VmState.LIVE, -seen.since_ms)
+def _recency_key(vm_report: VmReport) -> tuple[int, bool, int]:
+    return (vm_report.revision, vm_report.state is VmState.LIVE, -vm_report.since_ms)
 
 
-def _newest_intents(reports: Iterable[StatusReport]) -> tuple[IntentRecord, ...]:
+def _latest_intents(reports: Iterable[StatusReport]) -> tuple[IntentRecord, ...]:
     newest = max(reports, key=lambda report: report.revision, default=None)
     return newest.intents if newest is not None else ()
--- a/libs/client/berylspindle_client/operators.py
+++ b/libs/client/berylspindle_client/operators.py
@@ -1,17 +1,16 @@
-"""A client of the operators' edge over many daemons.
+"""Client of the operators' edges of many daemons.
 
 Terms:
-  any     a call that every daemon can answer alike: plan, confirm, configuration
-  all     a call to which each daemon has an answer of its own: status, time line
+  any     a call that any one daemon can answer: plan, confirm, configuration
+  all     a call that each daemon answers for itself: status, time line
 
-Flow: a call to any goes to one daemon after the other until one answers. A call to all goes to all
-at once, a bounded number at a time; the addresses that did not answer are in the result, never
-left out.
+Flow: a call to any tries one daemon after the other until one answers. A call to all is sent to all
+daemons with bounded concurrency; the result always lists the addresses that did not answer.
 
-Guard: the answer to a confirm can be lost after its write took effect. It shows as an operator who
-confirms again and would apply the intent twice. A plan carries its intent's own id, and the control
-plane finds a confirmed id in the configuration, so that a confirm, unlike all else that may have
-run, is simply sent again to the next daemon.
+The answer to a confirm can be lost after its write took effect. A plan contains a unique id of its
+intent, and the control plane looks up confirmed ids in the configuration; therefore a confirm,
+unlike other calls that may have run, is safe to send again to the next daemon without applying the
+intent twice.
 """
 
 from __future__ import annotations
@@ -48,20 +47,20 @@
 
 T = TypeVar("T")
 
-TIMEOUT_SECONDS: Final = 5.0
-CONNECT_SECONDS: Final = 1.0
-# Enough to ask 940 daemons in a few rounds, few enough for an operator's own machine.
-ASKED_AT_ONCE: Final = 64
-# A configuration of 5,200 backend servers has 1.4 megabytes as canonical text.
+DEFAULT_TIMEOUT_S: Final = 5.0
+CONNECT_TIMEOUT_S: Final = 1.0
+# Reaches 940 daemons in a few rounds without overloading an operator's machine.
+MAX_CONCURRENT_CALLS: Final = 64
+# The canonical text of a configuration with 5,200 backend servers has 1.4 MB.
 _LIMITS: Final = HttpLimits(body_bytes=32 * 1024 * 1024)
-_ABOUT_ONE_VM: Final = frozenset(
+_SINGLE_VM_KINDS: Final = frozenset(
     {ErrorKind.NOT_READY, ErrorKind.SHUTTING_DOWN, ErrorKind.STORE_AWAY}
 )
 
 
 @attrs.frozen(kw_only=True)
-class Answers(Generic[T]):
-    """What all daemons said; `failures` by the address of each that did not answer."""
+class FleetAnswers(Generic[T]):
+    """The answers of all daemons; `failures` is keyed by the address of the daemon."""
 
     answers: tuple[T, ...]
     failures: dict[str, Failure]
@@ -71,8 +70,8 @@
 class FleetTimeline:
     """The merged time line; `events` are in causal order.
 
-    `unreachable` names addresses that did not answer, `dropped` the VMs whose buffer has lost
-    events, with how many.
+    `unreachable` lists the addresses that did not answer; `dropped` maps VMs whose buffer has
+    overflowed to the number of events lost.
     """
 
     events: tuple[Event, ...]
@@ -82,7 +81,7 @@
 
 
 class OperatorClient:
-    """Ask daemons as an operator; needs a running event loop when made."""
+    """Client of the operators' edges; create it in a running event loop."""
 
     def __init__(
         self,
@@ -90,12 +89,12 @@
         *,
         token: Secret | None = None,
         operator: str = "",
-        timeout: float = TIMEOUT_SECONDS,
+        timeout: float = DEFAULT_TIMEOUT_S,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Take the operators' addresses of daemons; `timeout` in seconds bounds each call."""
+        """Create a client of the given edges; `timeout` limits each call, in seconds."""
         if not daemons:
-            raise ValueError("no daemon to ask")
+            raise ValueError("no daemon address given")
         self._daemons = tuple(daemons)
         self._token = token
         self._operator = operator
@@ -105,41 +104,41 @@
         self._clients: dict[Address, HttpClient] = {}
 
     async def status(self) -> FleetStatus | Failure:
-        """Return the merged status, or the failure where no daemon answered."""
-        said = await self._ask_all(protocol.STATUS_PATH, {}, StatusReport)
-        failure = _whole_failure(said)
+        """Return the merged status, or a failure if no daemon answered."""
+        responses = await self._call_all(protocol.STATUS_PATH, {}, StatusReport)
+        failure = _overall_failure(responses)
         if failure is not None:
             return failure
-        return merge_reports(said.answers, tuple(said.failures))
+        return merge_reports(responses.answers, tuple(responses.failures))
 
-    async def timeline(self, wanted: EventFilter) -> FleetTimeline | Failure:
-        """Return the merged time line, or the failure where no daemon answered."""
-        query = protocol.timeline_query(wanted)
-        said = await self._ask_all(protocol.TIMELINE_PATH, query, EventPage)
-        failure = _whole_failure(said)
+    async def timeline(self, event_filter: EventFilter) -> FleetTimeline | Failure:
+        """Return the merged time line, or a failure if no daemon answered."""
+        query = protocol.timeline_query(event_filter)
+        responses = await self._call_all(protocol.TIMELINE_PATH, query, EventPage)
+        failure = _overall_failure(responses)
         if failure is not None:
             return failure
-        return merge_pages(said.answers, tuple(said.failures))
+        return merge_pages(responses.answers, tuple(responses.failures))
 
     async def plan(self, intent: Intent) -> Plan | Failure:
-        """Return the plan of an intent; nothing is changed."""
-        outcome = await self._ask_any("POST", protocol.PLAN_PATH, codec.to_json(intent))
-        return _read(outcome, Plan)
+        """Return the plan of an intent without changing anything."""
+        outcome = await self._call_any("POST", protocol.PLAN_PATH, codec.to_json(intent))
+        return _decode(outcome, Plan)
 
     async def plan_configuration(self, text: bytes) -> Plan | Failure:
-        """Return the plan that would bring a whole configuration into force."""
-        outcome = await self._ask_any("PUT", protocol.CONFIGURATION_PATH, text)
-        return _read(outcome, Plan)
+        """Return the plan for replacing the whole configuration."""
+        outcome = await self._call_any("PUT", protocol.CONFIGURATION_PATH, text)
+        return _decode(outcome, Plan)
 
     async def confirm(self, plan: Plan, *, override: bool = False) -> Confirmation | Failure:
-        """Apply exactly this plan, once; a lost answer is settled by asking again."""
+        """Apply exactly this plan at most once; after a lost answer the call is repeated."""
         body = codec.to_json(ConfirmRequest(plan=plan, override=override))
-        outcome = await self._ask_any("POST", protocol.CONFIRM_PATH, body, idempotent=True)
-        return _read(outcome, Confirmation)
+        outcome = await self._call_any("POST", protocol.CONFIRM_PATH, body, idempotent=True)
+        return _decode(outcome, Confirmation)
 
     async def configuration(self) -> bytes | Failure:
         """Return the canonical text of the configuration in force at one daemon."""
-        outcome = await self._ask_any("GET", protocol.CONFIGURATION_PATH, b"")
+        outcome = await self._call_any("GET", protocol.CONFIGURATION_PATH, b"")
         return outcome.body if isinstance(outcome, HttpResponse) else outcome
 
     async def close(self) -> None:
@@ -157,17 +156,17 @@
     ) -> None:
         await self.close()
 
-    async def _ask_any(
+    async def _call_any(
         self, method: str, path: str, body: bytes, *, idempotent: bool = False
     ) -> HttpResponse | Failure:
-        """Ask one daemon after the other; return the 200, or the failure that says the most.
+        """Try one daemon after the other; return the 200 response or the most significant failure.
 
-        Another daemon is asked after a failure that concerns one VM only, and, where the call is
-        idempotent, after one that leaves open whether it ran.
+        The next daemon is tried after a failure specific to one VM and, if the call is idempotent,
+        after a failure that leaves open whether the call ran.
         """
-        worst: Failure = Unreachable(tuple(map(str, self._daemons)))
+        failure_to_report: Failure = Unreachable(tuple(map(str, self._daemons)))
         for daemon in self._daemons:
-            response = await self._ask_one(daemon, method, path, {}, body)
+            response = await self._call_one(daemon, method, path, {}, body)
             if isinstance(response, HttpResponse) and response.status == 200:
                 return response
             failure = (
@@ -177,20 +176,20 @@
             )
             if isinstance(failure, Unreachable):
                 continue
-            # Once it may have run, a later "not run" speaks of the later attempt only.
-            worst = worst if _may_have_run(worst) else failure
-            if not _may_ask_another(failure, idempotent=idempotent):
-                return worst if _may_have_run(failure) else failure
-        return worst
-
-    async def _ask_all(self, path: str, query: dict[str, str], kind: type[T]) -> Answers[T]:
-        gate = asyncio.Semaphore(ASKED_AT_ONCE)
+            # After an attempt that may have run, "not run" applies to the later attempt only.
+            failure_to_report = failure_to_report if _may_have_run(failure_to_report) else failure
+            if not _may_try_next(failure, idempotent=idempotent):
+                return failure_to_report if _may_have_run(failure) else failure
+        return failure_to_report
+
+    async def _call_all(self, path: str, query: dict[str, str], kind: type[T]) -> FleetAnswers[T]:
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
         answers: list[T] = []
         failures: dict[str, Failure] = {}
 
-        async def ask(daemon: Address) -> None:
-            async with gate:
-                outcome = await self._ask_one(daemon, "GET", path, query, b"")
+        async def call(daemon: Address) -> None:
+            async with semaphore:
+                outcome = await self._call_one(daemon, "GET", path, query, b"")
             answer: T | Failure = (
                 read_answer(outcome, kind, str(daemon))
                 if isinstance(outcome, HttpResponse)
@@ -203,10 +202,10 @@
 
         async with asyncio.TaskGroup() as group:
             for daemon in self._daemons:
-                group.create_task(ask(daemon))
-        return Answers(answers=tuple(answers), failures=dict(sorted(failures.items())))
+                group.create_task(call(daemon))
+        return FleetAnswers(answers=tuple(answers), failures=dict(sorted(failures.items())))
 
-    async def _ask_one(
+    async def _call_one(
         self, daemon: Address, method: str, path: str, query: dict[str, str], body: bytes
     ) -> HttpResponse | Unreachable | Unknown:
         client = self._client(daemon)
@@ -239,7 +238,7 @@
                 daemon.host,
                 daemon.port,
                 limit=1,
-                connect_timeout=CONNECT_SECONDS,
+                connect_timeout=CONNECT_TIMEOUT_S,
                 limits=_LIMITS,
                 tls=self._tls,
             )
@@ -249,7 +248,7 @@
 
 
 def merge_pages(pages: Sequence[EventPage], unreachable: Sequence[str]) -> FleetTimeline:
-    """Return the events of all VMs in one causal order."""
+    """Merge the events of all VMs in causal order."""
     events = sorted((event for page in pages for event in page.events), key=lambda e: e.order)
     return FleetTimeline(
         events=tuple(events),
@@ -259,15 +258,15 @@
     )
 
 
-def _whole_failure(said: Answers[T]) -> Failure | None:
-    """Return the failure of a call to which no daemon had an answer; a refusal says the most."""
-    if said.answers:
+def _overall_failure(responses: FleetAnswers[T]) -> Failure | None:
+    """Return the failure if no daemon answered, or None; a refusal takes precedence."""
+    if responses.answers:
         return None
-    refused = [failure for failure in said.failures.values() if isinstance(failure, Refused)]
-    return refused[0] if refused else Unreachable(tuple(said.failures))
+    refused = [failure for failure in responses.failures.values() if isinstance(failure, Refused)]
+    return refused[0] if refused else Unreachable(tuple(responses.failures))
 
 
-def _read(outcome: HttpResponse | Failure, kind: type[T]) -> T | Failure:
+def _decode(outcome: HttpResponse | Failure, kind: type[T]) -> T | Failure:
     return read_answer(outcome, kind, "a daemon") if isinstance(outcome, HttpResponse) else outcome
 
 
@@ -277,7 +276,7 @@
     return isinstance(failure, Unknown)
 
 
-def _may_ask_another(failure: Refused | Unknown, *, idempotent: bool) -> bool:
+def _may_try_next(failure: Refused | Unknown, *, idempotent: bool) -> bool:
     if _may_have_run(failure):
         return idempotent
-    return isinstance(failure, Refused) and failure.kind in _ABOUT_ONE_VM
+    return isinstance(failure, Refused) and failure.kind in _SINGLE_VM_KINDS
--- a/libs/client/berylspindle_client/outcomes.py
+++ b/libs/client/berylspindle_client/outcomes.py
@@ -1,11 +1,11 @@
-"""What a call of a client can end in: the answer, a refusal, or no daemon reached.
+"""Outcomes of a client call: the answer, a refusal, or a network failure.
 
 Terms:
-  refusal       a daemon answered, and said why not and whether the request may have run
-  unreachable   no daemon could be reached, and none can have got the request
-  unknown       the request went out and no answer came back: it may have run
+  refusal       a daemon responded with the reason and whether the request may have run
+  unreachable   no daemon could be reached, so that none received the request
+  unknown       the request was sent and no valid response arrived: it may have run
 
-Flow: clients return the typed answer or one of these; nothing is raised for what a network does.
+Flow: clients return the typed answer or one of these; network failures raise no exception.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No daemon was reached; nothing ran. `tried` names the addresses."""
+    """No daemon was reached; nothing ran. `tried` lists the addresses."""
 
     tried: tuple[str, ...]
     detail: str = ""
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The answer did not come back, or cannot be read; the request may have run."""
+    """No response arrived, or it can't be decoded; the request may have run."""
 
     daemon: str
     detail: str
@@ -54,24 +54,25 @@
 
 
 def read_answer(response: HttpResponse, kind: type[T], daemon: str) -> T | Refused | Unknown:
-    """Return the typed answer of a 200, the refusal of any other status.
+    """Return the typed answer of a 200 response, or the refusal of any other status.
 
-    Text that is neither is Unknown: whoever wrote it, it says nothing about what ran.
+    A body that is neither yields `Unknown`, as it does not tell whether the request ran.
     """
     if response.status != 200:
         return read_refusal(response, daemon)
     try:
         return codec.from_json(response.body, kind)
     except codec.MalformedError as error:
-        return Unknown(daemon, f"a body that can't be read: {error}")
+        # The checker of histories looks for "can't be read" in this text.
+        return Unknown(daemon, f"the response body can't be read: {error}")
 
 
 def read_refusal(response: HttpResponse, daemon: str) -> Refused | Unknown:
-    """Return the refusal that a response holds, or Unknown where it holds none."""
+    """Return the refusal in a response, or `Unknown` if it can't be decoded."""
     try:
         body = codec.from_json(response.body, ErrorBody)
     except codec.MalformedError as error:
-        return Unknown(daemon, f"status {response.status} with a body that can't be read: {error}")
+        return Unknown(daemon, f"status {response.status}, the body can't be read: {error}")
     return Refused(
         kind=body.error.kind,
         run=body.error.run,
--- a/libs/daemon/berylspindle_daemon/__init__.py
+++ b/libs/daemon/berylspindle_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon berylspindled."""
+"""The daemon `berylspindled`."""
--- a/libs/daemon/berylspindle_daemon/admin.py
+++ b/libs/daemon/berylspindle_daemon/admin.py
@@ -1,14 +1,15 @@
-"""The operators' edge: HTTP requests in, calls to the control plane, answers out.
+"""HTTP interface of the daemon for operators.
 
 Terms:
-  backend   what stands behind the edge (`AdminBackend`); the daemon builds it over the control
-            plane, tests give their own
+  edge      a listener of the daemon together with its request handler
+  backend   the implementation behind the edge (`AdminBackend`): the parts of one daemon, or a fake
+            in tests
   token     the operators' secret; compared in constant time
 
-Flow: `AdminEdge.handle` finds the route in `ROUTES`, checks the token and calls the route's
-function, which reads the request and calls the backend. Every refusal goes through the one table of
-error kinds. Without a token in the settings the edge is open, and the daemon has seen to it that
-it listens on loopback only.
+Flow: `AdminEdge.handle` looks up the route in `ROUTES`, checks the token and calls the route's
+handler, which decodes the request and calls the backend. Every refusal is encoded by the table of
+error kinds. If no token is set, requests are not authenticated; `options.complete_options` allows
+that only on loopback or with client certificates.
 """
 
 from __future__ import annotations
@@ -46,52 +47,52 @@
 
 
 class AdminBackend(abc.ABC):
-    """What the operators' edge asks of the daemon.
+    """Operations of the daemon that the operators' edge exposes.
 
-    Each method may raise `RefusalError`; the edge answers with it.
+    A `RefusalError` raised by a method becomes the response.
     """
 
     @abc.abstractmethod
     def not_ready(self) -> Refusal | None:
-        """Return why the balancer may not send, or None where it may."""
+        """Return the reason for which the readiness check fails, or None if it passes."""
 
     @abc.abstractmethod
     async def plan(self, intent: Intent) -> Plan:
-        """Return the plan for an intent; nothing is changed."""
+        """Return the plan for an intent without changing anything."""
 
     @abc.abstractmethod
     async def confirm(self, request: ConfirmRequest, operator: str) -> Confirmation:
-        """Apply exactly this plan, once, and return what came of it."""
+        """Apply exactly this plan at most once and return the confirmation."""
 
     @abc.abstractmethod
     async def status(self) -> StatusReport:
-        """Return what this VM knows of itself and of the others."""
+        """Return the status of this VM and its view of the other VMs."""
 
     @abc.abstractmethod
     async def configuration(self) -> bytes:
-        """Return the canonical text of the configuration in force here."""
+        """Return the canonical text of the configuration in force on this VM."""
 
     @abc.abstractmethod
-    async def timeline(self, wanted: EventFilter) -> EventPage:
-        """Return the events of this VM that are asked for."""
+    async def timeline(self, requested: EventFilter) -> EventPage:
+        """Return the events of this VM that match the filter."""
 
     @abc.abstractmethod
     async def metrics(self) -> bytes:
-        """Return the text exposition of all metrics."""
+        """Return all metrics in the text exposition format."""
 
 
 @attrs.frozen(kw_only=True)
 class AdminRoute:
-    """One route; `is_open` spares it the token, for balancers and supervisors."""
+    """One route; `is_public` exempts it from the token, for load balancers and supervisors."""
 
     method: str
     path: str
-    answer: Callable[[AdminBackend, HttpRequest], Awaitable[HttpResponse]]
-    is_open: bool = False
+    handler: Callable[[AdminBackend, HttpRequest], Awaitable[HttpResponse]]
+    is_public: bool = False
 
 
 class AdminEdge:
-    """Answer operators' HTTP requests."""
+    """Handle operators' HTTP requests."""
 
     def __init__(
         self, backend: AdminBackend, *, token: Secret | None, metrics: Metrics | None = None
@@ -101,12 +102,12 @@
         self._metrics = metrics
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request; every failure becomes an answer of the table."""
+        """Handle one request; a refusal becomes the response that the error table gives it."""
         try:
-            route = _find(request)
-            if not route.is_open:
+            route = _find_route(request)
+            if not route.is_public:
                 self._check_token(request)
-            return await route.answer(self._backend, request)
+            return await route.handler(self._backend, request)
         except RefusalError as error:
             if self._metrics is not None:
                 kind = error.refusal.kind.value
@@ -116,22 +117,25 @@
     def _check_token(self, request: HttpRequest) -> None:
         if self._token is None:
             return
-        given = request.headers.get(protocol.TOKEN_HEADER, "")
-        scheme, token = given[: len(protocol.TOKEN_SCHEME)], given[len(protocol.TOKEN_SCHEME) :]
-        # RFC 9110 compares the scheme without regard to case; the token is compared exactly.
+        authorization = request.headers.get(protocol.TOKEN_HEADER, "")
+        scheme, token = (
+            authorization[: len(protocol.TOKEN_SCHEME)],
+            authorization[len(protocol.TOKEN_SCHEME) :],
+        )
+        # RFC 9110: the scheme is case-insensitive, the token is not.
         if scheme.lower() != protocol.TOKEN_SCHEME.lower() or not self._token.matches(token):
             raise refuse(ErrorKind.UNAUTHORISED)
 
 
-def _find(request: HttpRequest) -> AdminRoute:
-    of_path = [route for route in ROUTES if route.path == request.path]
-    if not of_path:
+def _find_route(request: HttpRequest) -> AdminRoute:
+    path_routes = [route for route in ROUTES if route.path == request.path]
+    if not path_routes:
         raise refuse(ErrorKind.NOT_FOUND, request.path[:MAX_NAME_CHARS])
-    for route in of_path:
+    for route in path_routes:
         if route.method == request.method:
             return route
-    methods = ", ".join(route.method for route in of_path)
-    raise refuse(ErrorKind.METHOD_NOT_ALLOWED, f"{request.path} takes {methods}")
+    methods = ", ".join(route.method for route in path_routes)
+    raise refuse(ErrorKind.METHOD_NOT_ALLOWED, f"{request.path} supports only {methods}")
 
 
 def _decode(data: bytes, kind: type[T]) -> T:
@@ -141,10 +145,12 @@
         raise refuse(ErrorKind.BAD_REQUEST, str(error)) from None
 
 
-def _operator(request: HttpRequest) -> str:
+def _operator_name(request: HttpRequest) -> str:
     name = request.headers.get(protocol.OPERATOR_HEADER, "")
     if len(name) > MAX_NAME_CHARS or not name.isprintable():
-        raise refuse(ErrorKind.BAD_REQUEST, "the operator's name is too long or not printable")
+        raise refuse(
+            ErrorKind.BAD_REQUEST, "the operator's name is too long or has unprintable characters"
+        )
     return name
 
 
@@ -171,8 +177,8 @@
 
 async def _confirm(backend: AdminBackend, request: HttpRequest) -> HttpResponse:
     confirmed = _decode(request.body, ConfirmRequest)
-    answer = await backend.confirm(confirmed, _operator(request))
-    return json_response(200, codec.to_json(answer))
+    confirmation = await backend.confirm(confirmed, _operator_name(request))
+    return json_response(200, codec.to_json(confirmation))
 
 
 async def _status(backend: AdminBackend, request: HttpRequest) -> HttpResponse:
@@ -185,34 +191,34 @@
 
 async def _plan_configuration(backend: AdminBackend, request: HttpRequest) -> HttpResponse:
     try:
-        wanted = parse_configuration(request.body)
+        requested = parse_configuration(request.body)
     except ConfigurationFaults as error:
         raise refuse(ErrorKind.INVALID_CONFIGURATION, str(error)) from None
-    intent = Intent(kind=IntentKind.REPLACE, subject=wanted.deployment, configuration=wanted)
+    intent = Intent(kind=IntentKind.REPLACE, subject=requested.deployment, configuration=requested)
     return json_response(200, codec.to_json(await backend.plan(intent)))
 
 
 async def _timeline(backend: AdminBackend, request: HttpRequest) -> HttpResponse:
     try:
-        wanted = protocol.parse_timeline_query(request.query)
+        requested = protocol.parse_timeline_query(request.query)
     except ValueError as error:
         raise refuse(ErrorKind.BAD_REQUEST, str(error)) from None
-    return json_response(200, codec.to_json(await backend.timeline(wanted)))
+    return json_response(200, codec.to_json(await backend.timeline(requested)))
 
 
 def _route(
     method: str,
     path: str,
-    answer: Callable[[AdminBackend, HttpRequest], Awaitable[HttpResponse]],
+    handler: Callable[[AdminBackend, HttpRequest], Awaitable[HttpResponse]],
     *,
-    is_open: bool = False,
+    is_public: bool = False,
 ) -> AdminRoute:
-    return AdminRoute(method=method, path=path, answer=answer, is_open=is_open)
+    return AdminRoute(method=method, path=path, handler=handler, is_public=is_public)
 
 
 ROUTES: Final = (
-    _route("GET", protocol.LIVE_PATH, _live, is_open=True),
-    _route("GET", protocol.READY_PATH, _ready, is_open=True),
+    _route("GET", protocol.LIVE_PATH, _live, is_public=True),
+    _route("GET", protocol.READY_PATH, _ready, is_public=True),
     _route("GET", protocol.METRICS_PATH, _metrics),
     _route("POST", protocol.PLAN_PATH, _plan),
     _route("POST", protocol.CONFIRM_PATH, _confirm),
--- a/libs/daemon/berylspindle_daemon/admin_backend.py
+++ b/libs/daemon/berylspindle_daemon/admin_backend.py
@@ -1,7 +1,7 @@
-"""What stands behind the operators' edge: the parts of one daemon.
+"""Implementation of the operators' interface on top of the parts of one daemon.
 
-Flow: the edge calls these methods; each asks the control plane, the data plane, the time line or
-the metrics, and none keeps state of its own.
+Flow: `AdminEdge` calls these methods; each delegates to the control plane, the data plane, the
+time line or the metrics. The class is stateless.
 """
 
 from __future__ import annotations
@@ -23,76 +23,82 @@
 from berylspindle_telemetry.metrics import Metrics
 from berylspindle_telemetry.timeline import Timeline
 
-# Intents told in a status; the configuration holds more.
-_INTENTS_SHOWN: Final = 10
+# Number of latest intents in a status report; the configuration holds more.
+_MAX_REPORTED_INTENTS: Final = 10
 
 
 class DaemonBackend(AdminBackend):
-    """Answer operators from the parts of one daemon."""
+    """Serve operators' requests from the parts of one daemon."""
 
     def __init__(
         self,
-        me: Vm,
+        vm: Vm,
         *,
         control: ControlPlane,
         data: DataPlane,
         metrics: Metrics,
         timeline: Timeline,
-        store_away_since: Callable[[], float | None],
-        refresh_counts: Callable[[], None],
+        store_unavailable_since: Callable[[], float | None],
+        update_counters: Callable[[], None],
     ) -> None:
-        self._me: Final = me
+        self._vm: Final = vm
         self._control: Final = control
         self._data: Final = data
         self._metrics: Final = metrics
         self._timeline: Final = timeline
-        self._store_away_since: Final = store_away_since
-        self._refresh_counts: Final = refresh_counts
+        self._store_unavailable_since: Final = store_unavailable_since
+        self._update_counters: Final = update_counters
 
     def not_ready(self) -> Refusal | None:
-        """Return why the balancer may not send, or None where it may."""
+        """Return the reason for which the readiness check fails, or None if it passes."""
         return self._data.unready()
 
     async def plan(self, intent: Intent) -> Plan:
-        """Return the plan for an intent; nothing is changed."""
+        """Return the plan for an intent without changing anything."""
         return await self._control.plan(intent)
 
     async def confirm(self, request: ConfirmRequest, operator: str) -> Confirmation:
-        """Apply exactly this plan, once, and return what came of it."""
+        """Apply exactly this plan at most once and return the confirmation."""
         return await self._control.confirm(request.plan, operator, override=request.override)
 
     async def status(self) -> StatusReport:
-        """Return what this VM knows of itself and of the others."""
+        """Return the status of this VM and its view of the other VMs."""
         vms = await self._control.status()
         configuration = self._control.state.configuration
         refusal = self._data.unready()
-        away = self._store_away_since()
+        unavailable_since = self._store_unavailable_since()
         return StatusReport(
-            vm=self._me.id,
-            data_centre=self._me.data_centre,
+            vm=self._vm.id,
+            data_centre=self._vm.data_centre,
             revision=configuration.revision if configuration is not None else 0,
             ready=refusal is None,
             reason=refusal.kind.value if refusal is not None else "",
             version=version("berylspindle-daemon"),
-            store_away_ms=int((time.monotonic() - away) * 1000) if away is not None else 0,
-            intents=configuration.intents[-_INTENTS_SHOWN:] if configuration is not None else (),
+            store_away_ms=(
+                int((time.monotonic() - unavailable_since) * 1000)
+                if unavailable_since is not None
+                else 0
+            ),
+            intents=(
+                configuration.intents[-_MAX_REPORTED_INTENTS:] if configuration is not None else ()
+            ),
             vms=vms,
             servers=self._data.owner.reports(),
             quarantined=self._data.quarantine.quarantined,
         )
 
     async def configuration(self) -> bytes:
-        """Return the canonical text of the configuration in force here."""
+        """Return the canonical text of the configuration in force on this VM."""
         configuration = self._control.state.configuration
         if configuration is None:
             raise refuse(ErrorKind.NOT_READY)
         return canonical(configuration)
 
-    async def timeline(self, wanted: EventFilter) -> EventPage:
-        """Return the events of this VM that are asked for."""
-        return self._timeline.select(wanted)
+    async def timeline(self, requested: EventFilter) -> EventPage:
+        """Return the events of this VM that match the filter."""
+        return self._timeline.select(requested)
 
     async def metrics(self) -> bytes:
-        """Return the text exposition of all metrics."""
-        self._refresh_counts()
+        """Return all metrics in the text exposition format."""
+        self._update_counters()
         return await self._metrics.render_in_steps()
--- a/libs/daemon/berylspindle_daemon/cluster_watch.py
+++ b/libs/daemon/berylspindle_daemon/cluster_watch.py
@@ -1,15 +1,14 @@
-"""Turn what the control plane tells into gauges and events of one daemon.
+"""Derive gauges and time line events of one daemon from cluster state and store calls.
 
 Terms:
-  away   the store does not answer: two calls in a row failed, or its watcher said so
+  away   the store is unavailable: two consecutive calls failed, or its watcher reported it
 
-Flow: `on_state` takes each new state of the cluster, `on_event` each change of state that the
-control plane names, `on_store` each call to the store that shows whether it answers.
+Flow: `on_state` handles each new state of the cluster, `on_event` each change that the control
+plane reports, and `on_store_call` the result of each call to the store.
 
-Guard: only the two VMs of a data centre that watch the store would notice that it is away; any
-other, and one that has started while it was away, would stay silent and look well. Calls of all
-parts are therefore listened to. One failed call is no outage, and recorded as one, a slow store
-would fill the time line.
+Only two VMs of a data centre watch the store. The others, and a VM that started during the outage,
+would not report it; therefore the store calls of all parts of the daemon are observed. A single
+failed call does not count as an outage: with a slow store such events would fill the time line.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 from berylspindle_telemetry.metrics import Metrics
 from berylspindle_telemetry.timeline import Timeline
 
-FAILURES_AWAY: Final = 2
+UNAVAILABLE_AFTER_FAILURES: Final = 2
 
 
-class ClusterWatch:
-    """The gauges and events that follow from the cluster's state and from the store."""
+class ClusterObserver:
+    """Update gauges and record events on changes of the cluster's state and of the store."""
 
     def __init__(
         self, metrics: Metrics, timeline: Timeline, now: Callable[[], float] = time.monotonic
@@ -38,16 +37,16 @@
         self._now: Final = now
         self._views: dict[str, View] = {}
         self._failures = 0
-        self._store_away_since: float | None = None
+        self._store_unavailable_since: float | None = None
         metrics.gauge(names.STORE_AWAY, 0)
 
     @property
-    def store_away_since(self) -> float | None:
-        """Return since when the store does not answer, in monotonic seconds, or None."""
-        return self._store_away_since
+    def store_unavailable_since(self) -> float | None:
+        """Return the monotonic time in seconds at which the store became unavailable, or None."""
+        return self._store_unavailable_since
 
     def on_state(self, state: ClusterState) -> None:
-        """Follow a new state."""
+        """Update the gauges from a new cluster state and record changes of membership."""
         if state.configuration is not None:
             self._metrics.gauge(names.REVISION, state.configuration.revision)
         for view in state.views:
@@ -56,48 +55,48 @@
             live = len(view.members) - suspects
             self._metrics.gauge(names.VMS, live, data_centre=view.data_centre, state="live")
             self._metrics.gauge(names.VMS, suspects, data_centre=view.data_centre, state="suspect")
-            self._note_members(view)
+            self._record_membership_changes(view)
 
     def on_event(self, kind: str, fields: dict[str, str | int]) -> None:
-        """Record a change of state that the control plane names."""
+        """Record a change of state that the control plane reports."""
         event = EventKind(kind)
         if event is EventKind.STORE_AWAY:
-            self._set_away(str(fields.get("detail", "")))
+            self._mark_store_unavailable(str(fields.get("detail", "")))
         elif event is EventKind.STORE_BACK:
-            self._set_back()
+            self._mark_store_available()
         else:
             detail = " ".join(f"{name}={value}" for name, value in sorted(fields.items()))
             self._timeline.record(event, detail=detail)
 
-    def on_store(self, reached: bool, detail: str) -> None:
-        """Note whether a call reached the store."""
+    def on_store_call(self, reached: bool, detail: str) -> None:
+        """Update the availability of the store from the result of one call."""
         if reached:
-            self._set_back()
+            self._mark_store_available()
             return
         self._failures += 1
-        if self._failures >= FAILURES_AWAY:
-            self._set_away(detail)
+        if self._failures >= UNAVAILABLE_AFTER_FAILURES:
+            self._mark_store_unavailable(detail)
 
-    def _set_away(self, detail: str) -> None:
-        if self._store_away_since is not None:
+    def _mark_store_unavailable(self, detail: str) -> None:
+        if self._store_unavailable_since is not None:
             return
-        self._store_away_since = self._now()
+        self._store_unavailable_since = self._now()
         self._metrics.gauge(names.STORE_AWAY, 1)
         self._timeline.record(EventKind.STORE_AWAY, detail=detail)
 
-    def _set_back(self) -> None:
+    def _mark_store_available(self) -> None:
         self._failures = 0
-        if self._store_away_since is None:
+        if self._store_unavailable_since is None:
             return
-        self._store_away_since = None
+        self._store_unavailable_since = None
         self._metrics.gauge(names.STORE_AWAY, 0)
         self._timeline.record(EventKind.STORE_BACK)
 
-    def _note_members(self, view: View) -> None:
+    def _record_membership_changes(self, view: View) -> None:
         old = self._views.get(view.data_centre)
         self._views[view.data_centre] = view
         if old is None or old.epoch == view.epoch:
-            # What was there before this VM knew of the data centre is no change.
+            # Members of the first known view of a data centre have not joined just now.
             return
         for vm in view.members:
             if old.member(vm.id) is None:
--- a/libs/daemon/berylspindle_daemon/daemon.py
+++ b/libs/daemon/berylspindle_daemon/daemon.py
@@ -1,19 +1,22 @@
-"""One daemon: all its parts, from start to graceful shutdown.
+"""One daemon: start of its parts, and graceful shutdown.
 
 Terms:
-  edge    an address that the daemon listens on: callers', operators' and peers'
-  stage   a step of the graceful shutdown; each is an event of the time line
-
-Flow: `run_daemon` opens the parts in the order in which they need each other, all owned by one exit
-stack, and waits for SIGTERM or SIGINT. The shutdown then goes through these stages:
-
-  unready    readiness fails; for `unready_seconds` all that the balancer still sends is served
-  handover   owned backend servers take nothing new, queued work goes back as a true NOT_RUN, and
-             once nothing runs there the VM leaves its view, so that heirs need not wait
-  drain      every response closes its connection; requests in flight are finished
-  close      peers are told, then all sockets are closed
-
-A request that reaches the daemon before `close` is served or refused as a true NOT_RUN.
+  edge    a listener of the daemon: callers', operators' and peers'
+  stage   a step of the graceful shutdown; each is recorded in the time line
+
+Flow: `run_daemon` opens the parts in the order of their dependencies, all owned by one exit stack,
+and waits for SIGTERM or SIGINT. The shutdown then goes through these stages:
+
+  unready    the readiness check fails; for `unready_seconds` requests are still accepted, until the
+             load balancer has stopped sending them
+  handover   owned backend servers get no new work, queued attempts are returned as NOT_RUN, and
+             when nothing runs there any more the VM leaves its view, so that the new owners need
+             not wait for its rights to expire
+  drain      each response closes its connection; requests in flight are finished
+  close      peers are notified, then all sockets are closed
+
+A request that reaches the daemon before `close` is served, or refused as NOT_RUN without having
+been dispatched.
 """
 
 from __future__ import annotations
@@ -31,10 +34,10 @@
 from berylspindle_controlplane.wire_transport import WireTransport
 from berylspindle_daemon.admin import AdminEdge
 from berylspindle_daemon.admin_backend import DaemonBackend
-from berylspindle_daemon.cluster_watch import ClusterWatch
-from berylspindle_daemon.counted_store import CountedStore
+from berylspindle_daemon.cluster_watch import ClusterObserver
+from berylspindle_daemon.counted_store import InstrumentedStore
 from berylspindle_daemon.exit_codes import DaemonError, ExitCode
-from berylspindle_daemon.options import Options, paced
+from berylspindle_daemon.options import Options, scale_times
 from berylspindle_daemon.stamped_transport import StampedTransport
 from berylspindle_dataplane.http_backend import BackendOptions
 from berylspindle_dataplane.plane import DataPlane, DataPlaneOptions
@@ -61,17 +64,17 @@
 from berylspindle_wire.peer_server import PeerServer
 from berylspindle_wire.tls import TlsFiles, TlsSettingsError, server_context
 
-_RAN_OUT: Final = "requests were still in flight"
-# Longest time that a new VM waits for its ownership before it is ready all the same: somewhat more
-# than what an heir waits for a right of a lost VM to lapse.
-SETTLE_SECONDS: Final = 6.0
-SETTLE_STEP_SECONDS: Final = 0.02
-# A VM that takes longer to hear of a crashing request would hear of it too late.
-TELL_SECONDS: Final = 1.0
+_REQUESTS_CUT_TEXT: Final = "requests were still in flight"
+# Longest wait of a new VM for its ownership before it becomes ready regardless. It exceeds the time
+# for which a new owner waits for the rights of a lost VM to expire.
+OWNERSHIP_WAIT_S: Final = 6.0
+OWNERSHIP_POLL_S: Final = 0.02
+# A report of a crashing request that takes longer arrives too late to prevent another crash.
+SUSPECT_REPORT_TIMEOUT_S: Final = 1.0
 
 
 class Daemon:
-    """The parts of one daemon; `start` opens them, `shut_down` ends them in stages."""
+    """The parts of one daemon; `start` opens them, `shut_down` closes them in stages."""
 
     def __init__(self, options: Options, metrics: Metrics) -> None:
         self._options: Final = options
@@ -99,7 +102,7 @@
         self._callers: HttpServer
         self._background: set[asyncio.Task[None]] = set()
         self._configured: Final = asyncio.Event()
-        self._watch: Final = ClusterWatch(metrics, self.timeline)
+        self._observer: Final = ClusterObserver(metrics, self.timeline)
         self._datagrams: DatagramPort
         self._received: Final = metrics.counter(
             names.CONTROL_MESSAGES, direction="received", kind="datagram"
@@ -108,13 +111,13 @@
         self._unsigned: Final = metrics.counter(names.CONTROL_REJECTED, reason="unsigned")
 
     async def start(self) -> None:
-        """Open all parts; raises OSError where an address can't be bound."""
+        """Open all parts; raises OSError if an address can't be bound."""
         self.timeline.record(EventKind.STARTED, detail=self.me.data_centre)
         watch_process(self.metrics)
         self._start_background(watch_loop(self.metrics))
         key = self._options.peer_key.reveal().encode() if self._options.peer_key else None
         platform, vm_list = await self._open_platform()
-        store = CountedStore(platform, self.metrics, self._watch.on_store)
+        store = InstrumentedStore(platform, self.metrics, self._observer.on_store_call)
         self._links = PeerLinks(
             self.me.id, key=key, connect_timeout=self._options.connect_timeout / 2
         )
@@ -124,49 +127,51 @@
         )
         self._stack.callback(self._datagrams.close)
         self._transport = StampedTransport(
-            WireTransport(self._links, self._counted(self._datagrams)), self._stamper, self.metrics
+            WireTransport(self._links, self._counting_sender(self._datagrams)),
+            self._stamper,
+            self.metrics,
         )
         self.control = ControlPlane(
-            paced(ControlOptions(), self._options.control_pace),
+            scale_times(ControlOptions(), self._options.control_pace),
             me=self.me,
             store=store,
             vm_list=vm_list,
             seeds=[(seed.host, seed.port) for seed in self._options.seed_addresses],
             transport=self._transport,
             on_state=self._on_state,
-            events=self._watch.on_event,
+            events=self._observer.on_event,
         )
         self.data = self._make_data_plane(store)
         self._stack.push_async_callback(self.data.close)
         self._stack.push_async_callback(self.control.close)
         await self._serve_peers(key)
         await self.control.start()
-        self._start_background(self._watch_vm_list(vm_list))
-        self._start_background(self._settle())
+        self._start_background(self._poll_vm_list(vm_list))
+        self._start_background(self._wait_for_ownership())
         await self._serve_operators()
         await self._serve_callers()
 
     async def shut_down(self) -> None:
-        """End in stages; raises DaemonError SHUTDOWN_CUT where the grace ran out."""
+        """Shut down in stages; raises DaemonError SHUTDOWN_CUT if requests outlast the grace."""
         deadline = time.monotonic() + self._options.unready_seconds + self._options.shutdown_grace
-        self._stage("unready")
+        self._record_stage("unready")
         self.data.begin_shutdown()
         await asyncio.sleep(self._options.unready_seconds)
-        self._stage("handover")
-        finished = await _within(self.data.hand_over(), deadline)
-        await _within(self.control.leave(), deadline)
-        self._stage("drain")
+        self._record_stage("handover")
+        finished = await _finishes_by(self.data.hand_over(), deadline)
+        await _finishes_by(self.control.leave(), deadline)
+        self._record_stage("drain")
         self._callers.begin_drain()
-        finished = await _within(self.data.drained(), deadline) and finished
+        finished = await _finishes_by(self.data.drained(), deadline) and finished
         await self._callers.close(max(0.0, deadline - time.monotonic()))
-        self._stage("close")
+        self._record_stage("close")
         await self._peers.close(min(1.0, max(0.0, deadline - time.monotonic())))
         await self.close()
         if not finished:
-            raise DaemonError(ExitCode.SHUTDOWN_CUT, _RAN_OUT)
+            raise DaemonError(ExitCode.SHUTDOWN_CUT, _REQUESTS_CUT_TEXT)
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Cancel background tasks and close all parts without waiting for requests."""
         for task in self._background:
             task.cancel()
         await asyncio.gather(*self._background, return_exceptions=True)
@@ -201,18 +206,18 @@
                 backend=BackendOptions(connect_timeout=self._options.connect_timeout),
             ),
             links=self._links,
-            tell_suspects=self._tell_suspects,
+            tell_suspects=self._report_suspects,
             rights=self.control.rights,
             claims=claims,
             metrics=self.metrics,
             timeline=self.timeline,
         )
 
-    async def _tell_suspects(self, vm: Vm, payload: bytes) -> None:
+    async def _report_suspects(self, vm: Vm, payload: bytes) -> None:
         try:
-            await self._transport.call(vm, SUSPECTS, payload, timeout=TELL_SECONDS)
+            await self._transport.call(vm, SUSPECTS, payload, timeout=SUSPECT_REPORT_TIMEOUT_S)
         except TransportError:
-            # A VM that can't be told learns of the request from others, or by its own loss.
+            # Other VMs repeat the report; failing that, the VM detects the request by its own loss.
             return
 
     async def _serve_peers(self, key: bytes | None) -> None:
@@ -245,8 +250,8 @@
             on_fault=self._on_fault,
         )
         self._stack.push_async_callback(self._callers.close, 0.0)
-        self._watch_edge("callers", self._callers)
-        logger("daemon").info("callers' edge listens", extra={"port": self._callers.port})
+        self._export_connections("callers", self._callers)
+        logger("daemon").info("listening for callers", extra={"port": self._callers.port})
 
     async def _serve_operators(self) -> None:
         options = self._options
@@ -256,8 +261,8 @@
             data=self.data,
             metrics=self.metrics,
             timeline=self.timeline,
-            store_away_since=lambda: self._watch.store_away_since,
-            refresh_counts=self._refresh_counts,
+            store_unavailable_since=lambda: self._observer.store_unavailable_since,
+            update_counters=self._update_counters,
         )
         edge = AdminEdge(backend, token=options.admin_token, metrics=self.metrics)
         server = await serve(
@@ -269,14 +274,17 @@
             on_fault=self._on_fault,
         )
         self._stack.push_async_callback(server.close, 0.0)
-        self._watch_edge("operators", server)
-        logger("daemon").info("operators' edge listens", extra={"port": server.port})
+        self._export_connections("operators", server)
+        logger("daemon").info("listening for operators", extra={"port": server.port})
 
-    def _watch_edge(self, edge: str, server: HttpServer) -> None:
+    def _export_connections(self, edge: str, server: HttpServer) -> None:
         self.metrics.gauge_function(names.EDGE_CONNECTIONS, lambda: server.connections, edge=edge)
 
-    def _counted(self, datagrams: DatagramPort) -> Callable[[bytes, tuple[str, int]], None]:
-        """Return the sending of datagrams with its counters; control has a budget a VM."""
+    def _counting_sender(self, datagrams: DatagramPort) -> Callable[[bytes, tuple[str, int]], None]:
+        """Return a datagram sender that counts messages and bytes.
+
+        Control traffic has a budget per VM; the counters show its use.
+        """
         messages = self.metrics.counter(names.CONTROL_MESSAGES, direction="sent", kind="datagram")
         size = self.metrics.counter(names.CONTROL_BYTES, direction="sent")
 
@@ -296,39 +304,39 @@
 
     def _on_state(self, state: ClusterState) -> None:
         self.data.adopt(state)
-        self._watch.on_state(state)
+        self._observer.on_state(state)
         if state.configuration is not None:
             self._configured.set()
 
-    def _refresh_counts(self) -> None:
-        """Take over the counts that the ports keep themselves, before metrics are rendered."""
-        refused = self._datagrams.counters.refused + self._peers.unauthorised
-        self._unsigned.value = refused
+    def _update_counters(self) -> None:
+        """Copy the counts that the ports keep themselves into the metrics before rendering."""
+        rejected = self._datagrams.counters.refused + self._peers.unauthorised
+        self._unsigned.value = rejected
 
     def _on_fault(self, error: BaseException) -> None:
         self.timeline.record(EventKind.INTERNAL_FAULT, detail=repr(error))
         logger("daemon").error("internal fault", exc_info=(type(error), error, error.__traceback__))
 
-    def _stage(self, name: str) -> None:
+    def _record_stage(self, name: str) -> None:
         self.timeline.record(EventKind.SHUTDOWN_STAGE, detail=name)
 
-    def _start_background(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_background(self, operation: Coroutine[object, object, None]) -> None:
+        task = asyncio.get_running_loop().create_task(operation)
         self._background.add(task)
 
-    async def _settle(self) -> None:
-        """Hold readiness back until this VM may dispatch to the backend servers that it owns.
+    async def _wait_for_ownership(self) -> None:
+        """Delay readiness until this VM may dispatch to the backend servers that it owns.
 
-        Without this the balancer sends to a data centre that has just started while its servers
-        have no usable owner, and callers get partial answers. The wait is bounded: with the store
-        away nothing can be joined, and the VM still serves as an entry.
+        Otherwise the load balancer sends requests to a data centre that has just started while its
+        servers have no usable owner, and callers get partial answers. The wait is bounded: while
+        the store is unavailable no VM can join a view, yet this VM can serve as an entry.
         """
         await self._configured.wait()
-        # Counted from the first configuration: a VM that started in an outage would else be ready
-        # with the first word of the store, before anybody owns a backend server.
-        deadline = time.monotonic() + SETTLE_SECONDS * self._options.control_pace
+        # The wait starts with the first configuration. Otherwise a VM started in an outage would be
+        # ready as soon as the store answers, before any VM owns a backend server.
+        deadline = time.monotonic() + OWNERSHIP_WAIT_S * self._options.control_pace
         while time.monotonic() < deadline:
-            await asyncio.sleep(SETTLE_STEP_SECONDS)
+            await asyncio.sleep(OWNERSHIP_POLL_S)
             view = self.control.state.view(self.me.data_centre)
             if view is None or view.member(self.me.id) is None:
                 continue
@@ -337,11 +345,11 @@
                 break
         self.data.mark_settled()
 
-    async def _watch_vm_list(self, vm_list: HttpVmList) -> None:
-        """Learn from the VM list which backend servers are leaving.
+    async def _poll_vm_list(self, vm_list: HttpVmList) -> None:
+        """Poll the VM list for backend servers that are leaving.
 
-        The pause grows with the members of the data centre, so that all its VMs together ask about
-        as often as eight do.
+        Above eight members the interval grows in proportion to the size of the data centre, so that
+        its VMs together send as many reads as eight VMs do.
         """
         while True:
             view = self.control.state.view(self.me.data_centre)
@@ -358,7 +366,7 @@
 
 
 def _operators_tls(options: Options) -> ssl.SSLContext | None:
-    """Return the context of the operators' edge, None without a certificate in the settings."""
+    """Return the TLS context of the operators' edge, or None if no certificate is set."""
     if options.admin_tls_certificate is None:
         return None
     files = TlsFiles(
@@ -373,7 +381,7 @@
 
 
 async def run_daemon(options: Options, metrics: Metrics) -> None:
-    """Run one daemon until SIGTERM or SIGINT; raises DaemonError where requests were cut."""
+    """Run one daemon until SIGTERM or SIGINT; raises DaemonError if requests were cut off."""
     daemon = Daemon(options, metrics)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -388,10 +396,10 @@
     await daemon.shut_down()
 
 
-async def _within(work: Awaitable[object], deadline: float) -> bool:
-    """Await work until a deadline of the monotonic clock; return whether it ended in time."""
+async def _finishes_by(operation: Awaitable[object], deadline: float) -> bool:
+    """Await an operation until a monotonic deadline; return whether it finished in time."""
     try:
-        await asyncio.wait_for(work, max(0.0, deadline - time.monotonic()))
+        await asyncio.wait_for(operation, max(0.0, deadline - time.monotonic()))
     except TimeoutError:
         return False
     return True
--- a/libs/daemon/berylspindle_daemon/exit_codes.py
+++ b/libs/daemon/berylspindle_daemon/exit_codes.py
@@ -1,7 +1,7 @@
-"""The closed list of exit codes of the daemon.
+"""The exit codes of the daemon.
 
-Flow: `main.run` maps each way to end to one of these and writes one line on standard error for all
-but OK. An unreachable platform is no reason to end: the daemon stays unready and says so.
+Flow: `main.run` exits with one of these and, for all but OK, writes one line to standard error. The
+daemon does not exit while the platform is unreachable: it stays unready and reports the reason.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 
 class ExitCode(enum.IntEnum):
-    """How the daemon ended; docs/OPERATIONS.md says what to do about each."""
+    """Exit code of the daemon; docs/OPERATIONS.md lists the remedy for each."""
 
     OK = 0
-    """Stopped as asked, after a graceful shutdown that cut nothing."""
+    """Stopped on request after a graceful shutdown; no request was cut off."""
 
     INTERNAL = 1
-    """An internal fault; the log holds its traceback."""
+    """Internal fault; the log holds its traceback."""
 
     USAGE = 2
-    """A setting is unknown, missing, malformed or out of its range."""
+    """A setting is unknown, missing, malformed or out of range."""
 
     CANNOT_LISTEN = 3
-    """A port is in use, or the address isn't one of this machine."""
+    """A port is in use, or the address does not belong to this machine."""
 
     OPEN_EDGE = 4
-    """An edge has no secret and an address that others reach."""
+    """An edge without a secret would listen on an address other than loopback."""
 
     SECRET_UNREADABLE = 5
-    """The file of a secret can't be read, or is empty or too short."""
+    """The file of a secret can't be read, or the secret is empty or too short."""
 
     SHUTDOWN_CUT = 6
-    """The grace of the shutdown passed with requests still under way."""
+    """The grace period of the shutdown ended with requests in flight."""
 
 
 class DaemonError(Exception):
-    """End the daemon with one line and an exit code."""
+    """Exit the daemon with one line on standard error and an exit code."""
 
     def __init__(self, code: ExitCode, line: str) -> None:
         super().__init__(line)
--- a/libs/daemon/berylspindle_daemon/main.py
+++ b/libs/daemon/berylspindle_daemon/main.py
@@ -1,8 +1,8 @@
-"""The command `berylspindled`: read the settings, run the daemon, end with an exit code.
+"""The command `berylspindled`: read the settings, run the daemon, return an exit code.
 
-Flow: cyclopts parses flags and the environment into `Options`; `options.complete` checks them and
-reads the secrets; the log is set up; `daemon.run_daemon` runs until it is told to stop. Whatever
-goes wrong on the way becomes one line on standard error and an `ExitCode`.
+Flow: cyclopts parses flags and the environment into `Options`; `options.complete_options` checks
+them and reads the secrets; the log is set up; `daemon.run_daemon` runs until SIGTERM or SIGINT. Any
+failure becomes one line on standard error and an `ExitCode`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from cyclopts.exceptions import CycloptsError, MissingArgumentError
 
 from berylspindle_daemon.exit_codes import DaemonError, ExitCode
-from berylspindle_daemon.options import ENV_PREFIX, Options, complete, variable_of
+from berylspindle_daemon.options import ENV_PREFIX, Options, complete_options, environment_variable
 from berylspindle_telemetry.logs import logger, logs_to
 
 PROGRAM: Final = "berylspindled"
@@ -28,31 +28,31 @@
 
 HELP: Final = """Run one daemon of the query tier on this VM.
 
-Every setting is a flag and an environment variable; a flag goes before its variable. A platform
-that can't be reached is no reason to end: the daemon waits, unready, and says so.
+Every setting is a flag and an environment variable; the flag takes precedence. While the platform
+is unreachable the daemon does not exit: it stays unready and reports the reason.
 
 Exit codes:
 
-- 0 stopped as asked;
+- 0 stopped on request;
 - 1 internal fault;
-- 2 a setting is unknown, missing or wrong;
+- 2 a setting is unknown, missing or invalid;
 - 3 cannot listen;
-- 4 an edge would be open to all;
-- 5 a secret is unreadable;
-- 6 the shutdown cut requests.
+- 4 an edge without a secret would listen beyond loopback;
+- 5 a secret can't be read or is too short;
+- 6 the shutdown cut off requests.
 """
 
 
 def parse(arguments: Sequence[str]) -> Options | None:
-    """Return the completed options, or None where only help or the version was asked for.
+    """Return the completed options, or None if only help or the version was requested.
 
-    Variables of the environment stand in for flags that aren't given. Raises DaemonError for any
-    bad setting.
+    Environment variables supply the flags that aren't given. Raises DaemonError for an invalid
+    setting.
     """
-    found: list[Options] = []
+    parsed: list[Options] = []
 
     def daemon(*, options: Annotated[Options, Parameter(name="*")]) -> None:
-        found.append(options)
+        parsed.append(options)
 
     app = App(
         name=PROGRAM,
@@ -66,18 +66,18 @@
     try:
         app(list(arguments), exit_on_error=False, print_error=False)
     except CycloptsError as error:
-        raise DaemonError(ExitCode.USAGE, _line(error, arguments)) from None
-    return complete(found[0], os.environ) if found else None
+        raise DaemonError(ExitCode.USAGE, _usage_line(error, arguments)) from None
+    return complete_options(parsed[0], os.environ) if parsed else None
 
 
-def _line(error: CycloptsError, arguments: Sequence[str]) -> str:
+def _usage_line(error: CycloptsError, arguments: Sequence[str]) -> str:
     argument = error.argument
     if not isinstance(error, MissingArgumentError) or argument is None:
         return " ".join(str(error).split())
     if any(part.startswith(argument.name) for part in arguments):
         return " ".join(str(error).split())
-    variable = variable_of(argument.name.lstrip("-").replace("-", "_"))
-    return f"{argument.name} is missing: give it or set {variable}"
+    variable = environment_variable(argument.name.lstrip("-").replace("-", "_"))
+    return f"{argument.name} is required: pass it or set {variable}"
 
 
 def run(arguments: Sequence[str] | None = None) -> None:
@@ -92,22 +92,22 @@
 
 
 def _serve(options: Options) -> ExitCode:
-    # Imported here so that --help and a bad setting need not load the whole daemon.
+    # Imported here to keep --help and usage errors from loading the whole daemon.
     from berylspindle_daemon.daemon import run_daemon
     from berylspindle_telemetry.metrics import Metrics
 
     metrics = Metrics()
-    known = [secret for secret in (options.peer_key, options.admin_token) if secret is not None]
+    secrets = [secret for secret in (options.peer_key, options.admin_token) if secret is not None]
     with logs_to(
         level=options.log_level,
         form=options.log_format,
         vm=options.vm_id,
-        secrets=known,
+        secrets=secrets,
         metrics=metrics,
     ):
         log = logger("main")
         for edge in options.open_edges:
-            log.warning(f"the {edge} is open to every process of this machine: no secret is set")
+            log.warning(f"the {edge} accepts any process of this machine: no secret is set")
         try:
             asyncio.run(run_daemon(options, metrics))
         except KeyboardInterrupt:
@@ -118,7 +118,7 @@
 
 
 def _daemon_error(error: Exception) -> DaemonError:
-    """Return the one line and the exit code for what ended the daemon; log what isn't foreseen."""
+    """Return the line and exit code for an exception; log one that isn't expected."""
     cause: Exception = error
     while isinstance(cause, ExceptionGroup) and len(cause.exceptions) == 1:
         cause = cause.exceptions[0]
--- a/libs/daemon/berylspindle_daemon/stamped_transport.py
+++ b/libs/daemon/berylspindle_daemon/stamped_transport.py
@@ -1,15 +1,15 @@
-"""Put the hybrid logical clock on all that the control plane sends and receives.
+"""Carry hybrid logical clock stamps in all messages of the control plane.
 
 Terms:
-  sealed   a message with the sender's stamp before it (`berylspindle_telemetry.stamping`)
+  sealed   a message prefixed with the sender's stamp (`berylspindle_telemetry.stamping`)
 
-Flow: `StampedTransport` wraps the transport that reaches the network: it seals datagrams and calls
-on their way out and opens the answers of calls. The daemon opens datagrams by `open_datagram` and
-serves the control plane's methods through `MessageStamper.sealing`.
+Flow: `StampedTransport` wraps the network transport: it seals outgoing datagrams and calls and
+opens the responses of calls. The daemon opens datagrams with `open_datagram` and serves the control
+plane's methods through `MessageStamper.sealing`.
 
-Guard: without the stamps a VM whose wall clock is behind records what a message caused at an
-earlier time than its cause, and whoever reads the time line blames the wrong VM. As each message is
-opened before anything acts on it, what it causes is recorded with a greater stamp.
+Without stamps, a VM whose wall clock is behind would record the effect of a message at an earlier
+time than its cause, and the time line would point to the wrong VM. Each message is opened before it
+is handled, so that its effects are recorded with a greater stamp.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class StampedTransport(Transport):
-    """A transport whose messages carry the clock of this VM."""
+    """A transport whose messages carry the hybrid logical clock of this VM."""
 
     def __init__(self, inner: Transport, stamper: MessageStamper, metrics: Metrics) -> None:
         self._inner: Final = inner
@@ -32,20 +32,20 @@
         self._malformed: Final = metrics.counter(names.CONTROL_REJECTED, reason="malformed")
 
     def send(self, to: Address, data: bytes) -> None:
-        """Send a datagram; it may get lost, and nothing is raised."""
+        """Send a datagram; losses are not reported."""
         self._inner.send(to, self._stamper.seal(data))
 
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
-        """Return a VM's answer to a call; raises TransportError."""
-        answer = await self._inner.call(vm, method, self._stamper.seal(payload), timeout=timeout)
+        """Return a VM's response to a call; raises TransportError."""
+        response = await self._inner.call(vm, method, self._stamper.seal(payload), timeout=timeout)
         try:
-            return self._stamper.open(answer)
+            return self._stamper.open(response)
         except ValueError as error:
             self._malformed.add()
             raise TransportError(str(error)) from error
 
     def open_datagram(self, data: bytes) -> bytes | None:
-        """Return a received datagram without its stamp, or None where it holds none."""
+        """Return a received datagram without its stamp, or None if it has no valid stamp."""
         try:
             return self._stamper.open(data)
         except ValueError:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' tool against fake daemons over sockets: what it asks, prints and returns."""
+"""The operators' tool against fake daemons: requests, output and exit codes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @attrs.define
 class FakeDaemon(AdminBackend):
-    """One daemon's operators' side; `confirmed` is shared by all as the store would be."""
+    """Fake operators' backend of a daemon; a shared `confirmed` list stands for the store."""
 
     vm: str
     confirmed: list[str] = attrs.field(factory=list)
@@ -92,8 +92,8 @@
     async def configuration(self) -> bytes:
         return canonical(CONFIGURATION)
 
-    async def timeline(self, wanted: EventFilter) -> EventPage:
-        found = tuple(event for event in self.events if wanted.matches(event))
+    async def timeline(self, event_filter: EventFilter) -> EventPage:
+        found = tuple(event for event in self.events if event_filter.matches(event))
         return EventPage(vm=self.vm, events=found)
 
     async def metrics(self) -> bytes:
@@ -101,8 +101,8 @@
 
 
 @attrs.frozen
-class Ran:
-    """What one run of the tool gave."""
+class Run:
+    """Exit code and output of one run of the tool."""
 
     code: int
     out: str
@@ -110,15 +110,15 @@
 
 
 class Tool:
-    """Run the tool in a thread, as a process of its own would, and take what it printed."""
+    """Run the tool in a thread and capture its exit code and output."""
 
     def __init__(self, capsys: pytest.CaptureFixture[str]) -> None:
         self._capsys = capsys
 
-    async def __call__(self, *arguments: str) -> Ran:
+    async def __call__(self, *arguments: str) -> Run:
         code = await asyncio.to_thread(_code_of, arguments)
         captured = self._capsys.readouterr()
-        return Ran(code, captured.out, captured.err)
+        return Run(code, captured.out, captured.err)
 
 
 def _code_of(arguments: Sequence[str]) -> int:
@@ -145,18 +145,18 @@
         yield f"127.0.0.1:{server.port}"
 
 
-async def away() -> str:
-    """Return an address on which nobody listens."""
-    server: HttpServer = await serve(_never, host="127.0.0.1", port=0)
+async def unused_address() -> str:
+    """Return an address without a listener."""
+    server: HttpServer = await serve(_fail, host="127.0.0.1", port=0)
     async with server:
         return f"127.0.0.1:{server.port}"
 
 
-async def _never(request: HttpRequest) -> HttpResponse:
+async def _fail(request: HttpRequest) -> HttpResponse:
     raise AssertionError("no request is expected")
 
 
-async def test_an_intent_goes_from_plan_to_confirmation(tool: Tool, tmp_path: Path) -> None:
+async def test_an_intent_is_planned_and_confirmed(tool: Tool, tmp_path: Path) -> None:
     backend = FakeDaemon("vm1")
     async with daemon(backend) as address:
         planned = await tool("plan", "take-out", "dc1", "--admins", address)
@@ -176,10 +176,10 @@
 async def test_a_plan_that_breaks_a_promise_needs_an_override(
     tool: Tool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator takes the last replica of a shard away without having been told.
+    """An operator could remove the last replica of a shard without noticing.
 
-    The plan must say so first and end with its own exit code; the confirm must refuse without the
-    flag, and a forgotten variable of the environment must not stand in for it.
+    The plan must report it with its own exit code; the confirm must be refused without the flag,
+    and an environment variable must not replace the flag.
     """
     backend = FakeDaemon("vm1", breaks=("shard 3 of desk would have no replica",))
     file = str(tmp_path / "p.json")
@@ -196,11 +196,13 @@
     assert by_variable.code == ExitCode.USAGE
 
 
-async def test_a_lost_confirmation_is_settled_at_another_daemon(tool: Tool, tmp_path: Path) -> None:
-    """An operator is told that a confirm failed though it is in force, and confirms again.
+async def test_a_lost_confirmation_is_resolved_by_another_daemon(
+    tool: Tool, tmp_path: Path
+) -> None:
+    """A confirm could be reported as failed although it is in force.
 
-    The first daemon applies the plan and can't tell what came of it; the tool must ask the next
-    one, which finds the record, and report one application.
+    The first daemon applies the plan and loses the store's reply; the tool must try the next
+    daemon, which finds the record, and report one application.
     """
     store: list[str] = []
     lost = Refusal(ErrorKind.OUTCOME_UNKNOWN, "the store stopped answering")
@@ -215,11 +217,11 @@
     assert store == ["0123456789abcdef"]
 
 
-async def test_a_confirmation_that_stays_unknown_says_so(tool: Tool, tmp_path: Path) -> None:
-    """A script takes "store away, not run" for an answer though the write has taken effect.
+async def test_an_unknown_confirmation_is_reported(tool: Tool, tmp_path: Path) -> None:
+    """A script could get "not run" although the write took effect.
 
-    The first daemon may have applied the plan; the second can't reach the store and says "not
-    run" of its own attempt. The tool must still report that it may have run.
+    The first daemon may have applied the plan; the second one can't reach the store and reports
+    "not run" for its own attempt. The tool must still report that the plan may have run.
     """
     first = FakeDaemon("vm1", confirm_refusal=Refusal(ErrorKind.OUTCOME_UNKNOWN))
     second = FakeDaemon("vm2", confirm_refusal=Refusal(ErrorKind.STORE_AWAY))
@@ -250,58 +252,58 @@
     assert json.loads(refused.out)["error"]["kind"] == kind.value
 
 
-async def test_status_names_who_lags_and_who_is_not_heard(tool: Tool) -> None:
-    """An operator believes a data centre is out while a VM still serves by the old revision.
+async def test_status_names_lagging_and_unheard_vms(tool: Tool) -> None:
+    """An operator could overlook a VM that still serves by the old revision.
 
-    One VM lags, one is suspected, one address does not answer. Each must be named, with since
-    when, and the exit code must not be that of success.
+    One VM lags, one is suspected, one address does not answer. Each must be named, with its age,
+    and the exit code must not be 0.
     """
     others = (
         VmReport(vm="vm2", data_centre="dc1", state=VmState.LIVE, revision=3, since_ms=2500),
         VmReport(vm="vm3", data_centre="dc2", state=VmState.SUSPECT, revision=4, since_ms=900),
         VmReport(vm="vm4", data_centre="dc2", state=VmState.DEAD),
     )
-    gone = await away()
+    unused = await unused_address()
     async with daemon(FakeDaemon("vm1", revision=4, vms=others)) as address:
-        shown = await tool("status", "--admins", f"{address},{gone}")
-        said = await tool("status", "--admins", f"{address},{gone}", "--output", "json")
-    assert (shown.code, said.code) == (ExitCode.INCOMPLETE, ExitCode.INCOMPLETE)
-    assert f"no answer: {gone}" in shown.out
+        shown = await tool("status", "--admins", f"{address},{unused}")
+        as_json = await tool("status", "--admins", f"{address},{unused}", "--output", "json")
+    assert (shown.code, as_json.code) == (ExitCode.INCOMPLETE, ExitCode.INCOMPLETE)
+    assert f"no answer: {unused}" in shown.out
     assert "2.5 s" in shown.out
-    document = json.loads(said.out)
+    document = json.loads(as_json.out)
     assert document["lagging"] == ["vm2"]
     assert document["unheard"] == ["vm3"]
-    assert document["unreachable"] == [gone]
+    assert document["unreachable"] == [unused]
     async with daemon(FakeDaemon("vm1", vms=others[2:])) as address:
-        whole = await tool("status", "--admins", address)
-    assert whole.code == ExitCode.OK
-    assert "revision 3 is in force on all 2 VMs" in whole.out
+        complete = await tool("status", "--admins", address)
+    assert complete.code == ExitCode.OK
+    assert "revision 3 is in force on all 2 VMs" in complete.out
 
 
-async def test_the_time_line_is_merged_and_names_who_did_not_answer(tool: Tool) -> None:
+async def test_the_time_line_is_merged_and_names_unreachable_daemons(tool: Tool) -> None:
     def event(vm: str, millis: int, kind: EventKind, **about: str) -> Event:
         return Event(vm=vm, sequence=1, stamp=Stamp(millis), kind=kind, **about)
 
     first = FakeDaemon("vm1", events=(event("vm1", 2000, EventKind.EJECTED, server="<s1>"),))
     second = FakeDaemon("vm2", events=(event("vm2", 1000, EventKind.READY),))
-    gone = await away()
+    unused = await unused_address()
     async with daemon(first) as one, daemon(second) as two:
-        admins = f"{one},{two},{gone}"
+        admins = f"{one},{two},{unused}"
         table = await tool("timeline", "--admins", admins)
         lines = await tool("timeline", "--admins", admins, "--output", "json")
         page = await tool("timeline", "--admins", admins, "--output", "html")
         some = await tool("timeline", "--admins", one, "--server", "s2", "--output", "json")
     assert {table.code, lines.code, page.code} == {ExitCode.INCOMPLETE}
-    assert f"no answer from {gone}" in table.out
+    assert f"no answer from {unused}" in table.out
     *events, missing = map(json.loads, lines.out.splitlines())
     assert [(found["vm"], found["kind"]) for found in events] == [
         ("vm2", "ready"),
         ("vm1", "ejected"),
     ]
-    assert missing == {"unreachable": [gone], "dropped": {}}
+    assert missing == {"unreachable": [unused], "dropped": {}}
     assert "&lt;s1&gt;" in page.out
-    assert f"{gone}<br>not reached" in page.out
-    assert "http" not in page.out.replace(gone, "")
+    assert f"{unused}<br>not reached" in page.out
+    assert "http" not in page.out.replace(unused, "")
     assert len(some.out.splitlines()) == 1
 
 
@@ -326,7 +328,7 @@
     assert backend.intents[0].kind is IntentKind.REPLACE
 
 
-async def test_a_faulty_configuration_shows_every_fault(tool: Tool, tmp_path: Path) -> None:
+async def test_all_faults_of_a_configuration_are_listed(tool: Tool, tmp_path: Path) -> None:
     file = tmp_path / "c.json"
     file.write_text('{"revision": 0, "deployment": ""}')
     checked = await tool("configuration", "check", str(file), "--output", "json")
@@ -362,10 +364,10 @@
     assert ("missing shards: 2" in found.out) == bool(missing)
 
 
-async def test_an_execute_prints_its_key_before_its_fate(tool: Tool) -> None:
-    """A hold's answer is lost, and nobody knows the key to ask for its outcome.
+async def test_an_execute_prints_its_generated_key(tool: Tool) -> None:
+    """After a lost answer the key is needed to query the outcome.
 
-    Without --key the tool makes one; it must have told it whatever the daemon then says.
+    Without --key the tool generates one; it must print the key whatever the daemon answers.
     """
     seen: list[HttpRequest] = []
 
@@ -375,11 +377,11 @@
 
     async with await serve(handle, host="127.0.0.1", port=0) as server:
         callers = f"127.0.0.1:{server.port}"
-        ran = await tool("execute", "desk", "3", '{"hold": 1}', "--callers", callers)
-    assert ran.code == ExitCode.UNKNOWN
+        finished = await tool("execute", "desk", "3", '{"hold": 1}', "--callers", callers)
+    assert finished.code == ExitCode.UNKNOWN
     key = seen[0].headers[caller_protocol.IDEMPOTENCY_KEY_HEADER]
-    assert f"idempotency key {key}" in ran.err
-    assert "outcome_unknown (may have run)" in ran.err
+    assert f"idempotency key {key}" in finished.err
+    assert "outcome_unknown (may have run)" in finished.err
 
 
 @pytest.mark.parametrize(
@@ -387,33 +389,36 @@
     [
         (["bogus"], 'Unknown command "bogus".'),
         (["status", "--admins", "x"], "--admins: 'x' is not host:port"),
-        (["status", "--admins", ""], "--admins: no daemon to ask"),
-        (["timeline", "--since", "soon"], "--since: 'soon' is neither a time nor how long ago"),
+        (["status", "--admins", ""], "--admins: no daemon address given"),
+        (
+            ["timeline", "--since", "soon"],
+            "--since: 'soon' is neither a time nor an age such as 10m",
+        ),
         (["execute", "a", "b", "[1]"], "the payload is not a JSON object"),
         (["confirm", "nowhere.json"], "cannot read the plan file: No such file or directory"),
         (["status", "--token", TOKEN], "Unknown option: --token."),
         (["plan", "stand-up", "."], "cannot read the definition: Is a directory"),
     ],
 )
-async def test_a_usage_error_is_one_line_that_shows_no_secret(
+async def test_a_usage_error_is_one_line_without_secrets(
     tool: Tool, arguments: list[str], line: str
 ) -> None:
-    ran = await tool(*arguments)
-    assert ran.code == ExitCode.USAGE
-    assert ran.err.startswith(f"berylspindle: {line}")
-    assert ran.err.count("\n") == 1
-    assert TOKEN not in ran.err
+    finished = await tool(*arguments)
+    assert finished.code == ExitCode.USAGE
+    assert finished.err.startswith(f"berylspindle: {line}")
+    assert finished.err.count("\n") == 1
+    assert TOKEN not in finished.err
 
 
 async def test_a_misspelt_variable_is_an_error(tool: Tool, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv(ENV_PREFIX + "ADMNS", "127.0.0.1:1")
-    ran = await tool("status")
-    assert ran.code == ExitCode.USAGE
-    assert "unknown setting in the environment: BERYLSPINDLE_CLI_ADMNS" in ran.err
+    finished = await tool("status")
+    assert finished.code == ExitCode.USAGE
+    assert "unknown setting in the environment: BERYLSPINDLE_CLI_ADMNS" in finished.err
 
 
-async def test_no_daemon_reached_is_told_apart_from_a_refusal(tool: Tool) -> None:
-    gone = await away()
-    assert (await tool("status", "--admins", gone)).code == ExitCode.UNREACHABLE
-    assert (await tool("plan", "return", "dc1", "--admins", gone)).code == ExitCode.UNREACHABLE
-    assert (await tool("search", "a", "b", "--callers", gone)).code == ExitCode.UNREACHABLE
+async def test_an_unreachable_daemon_has_another_exit_code_than_a_refusal(tool: Tool) -> None:
+    unused = await unused_address()
+    assert (await tool("status", "--admins", unused)).code == ExitCode.UNREACHABLE
+    assert (await tool("plan", "return", "dc1", "--admins", unused)).code == ExitCode.UNREACHABLE
+    assert (await tool("search", "a", "b", "--callers", unused)).code == ExitCode.UNREACHABLE
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""The command `explain` over files and standard input."""
+"""The command `explain` with files and standard input."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 ]
 
 
-def explained(capsys: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, str]:
+def run_explain(capsys: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, str]:
     with pytest.raises(SystemExit) as ended:
         run(["explain", *arguments])
     return ended.value.code, capsys.readouterr().out  # type: ignore[return-value]
 
 
-def test_a_request_is_explained_with_what_its_vm_had_learned_before(
+def test_a_request_is_explained_with_earlier_lines_of_its_vm(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The lines stand in two files in no order, among lines of other programs."""
+    """The lines are unordered in two files, among lines of other programs."""
     one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
     one.write_text("not a line\n{cut\n" + "\n".join(reversed(LINES[2:])))
     two.write_text("\n".join(f"  12.1 front-1 {text}" for text in LINES[:2]))
-    code, out = explained(capsys, "abc", str(one), str(two))
+    code, out = run_explain(capsys, "abc", str(one), str(two))
     assert code == ExitCode.OK
     assert "cause: answer_lost" in out
     assert "run_state=may_have_run" in out
@@ -63,27 +63,27 @@
         assert absent not in out
 
 
-def test_standard_input_and_json(
+def test_standard_input_and_json_output(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.stdin", io.StringIO("\n".join(LINES)))
-    code, out = explained(capsys, "abc", "--output", "json")
-    told = json.loads(out)
+    code, out = run_explain(capsys, "abc", "--output", "json")
+    document = json.loads(out)
     assert code == ExitCode.OK
-    assert [end["cause"] for end in told["ends"]] == ["answer_lost"]
-    assert [row["message"] for row in told["context"]] == [
+    assert [end["cause"] for end in document["ends"]] == ["answer_lost"]
+    assert [row["message"] for row in document["context"]] == [
         "replica held off",
         "routing table in force",
     ]
 
 
-def test_a_request_that_no_line_names_ends_with_its_own_code(
+def test_a_request_without_a_line_has_its_own_exit_code(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "log"
     file.write_text("\n".join(LINES))
-    code, out = explained(capsys, "unknown", str(file))
+    code, out = run_explain(capsys, "unknown", str(file))
     assert code == ExitCode.INCOMPLETE
-    assert "no line of request unknown" in out
-    code, _ = explained(capsys, "abc", str(tmp_path / "missing"))
+    assert "no log line of request unknown" in out
+    code, _ = run_explain(capsys, "abc", str(tmp_path / "missing"))
     assert code == ExitCode.USAGE
--- a/tests/cli/test_pages.py
+++ b/tests/cli/test_pages.py
@@ -1,4 +1,4 @@
-"""Each command and each name in the operators' pages exists."""
+"""The operators' pages match the commands, names and codes of the code."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_each_command_of_the_page_is_understood(command: str) -> None:
+def test_each_documented_command_is_parsed(command: str) -> None:
     app: App = make_app()
     tokens = shlex.split(command, comments=True)
     app.parse_args(tokens, exit_on_error=False, print_error=False)
 
 
-def test_each_start_of_a_daemon_is_understood() -> None:
+def test_each_documented_daemon_start_is_parsed() -> None:
     assert DAEMON_COMMANDS
     for command in DAEMON_COMMANDS:
         assert parse(shlex.split(command)) is not None
@@ -51,7 +51,7 @@
         found = getattr(found, part)
 
 
-def test_the_page_speaks_of_each_error_kind_event_and_exit_code() -> None:
+def test_the_page_lists_each_error_kind_event_and_exit_code() -> None:
     for kind in ErrorKind:
         assert f"| `{kind.value}` |" in OPERATIONS
     for event in EventKind:
--- a/tests/client/test_caller_client.py
+++ b/tests/client/test_caller_client.py
@@ -1,4 +1,4 @@
-"""The callers' client asks another daemon only after "not run", over real sockets."""
+"""The callers' client over sockets: it tries another daemon only after "not run"."""
 
 from __future__ import annotations
 
@@ -30,37 +30,40 @@
 
 @attrs.define
 class FakeDaemon:
-    """A callers' edge that answers as it is told and keeps what it was asked."""
+    """A callers' edge with a given answer that records its requests."""
 
     address: Address
-    asked: list[HttpRequest]
+    requests: list[HttpRequest]
 
 
 @asynccontextmanager
 async def fake_daemon(answer: Answer) -> AsyncIterator[FakeDaemon]:
-    asked: list[HttpRequest] = []
+    requests: list[HttpRequest] = []
 
     async def handle(request: HttpRequest) -> HttpResponse:
-        asked.append(request)
+        requests.append(request)
         return answer(request)
 
     async with await serve(handle, host="127.0.0.1", port=0) as server:
-        yield FakeDaemon(Address(host="127.0.0.1", port=server.port), asked)
+        yield FakeDaemon(Address(host="127.0.0.1", port=server.port), requests)
 
 
-def refusing(kind: ErrorKind) -> Answer:
+def refuse_with(kind: ErrorKind) -> Answer:
     return lambda _: refusal_response(Refusal(kind), "r9")
 
 
-def found(_: HttpRequest) -> HttpResponse:
+def answer_search(_: HttpRequest) -> HttpResponse:
     return json_response(200, codec.to_json(ANSWER))
 
 
-async def test_a_search_carries_its_headers_and_comes_back_typed() -> None:
-    async with fake_daemon(found) as daemon, CallerClient([daemon.address], caller="c7") as client:
+async def test_a_search_sends_its_headers_and_returns_a_typed_answer() -> None:
+    async with (
+        fake_daemon(answer_search) as daemon,
+        CallerClient([daemon.address], caller="c7") as client,
+    ):
         outcome = await client.search("desk", "junmai", limit=3, request_id="r1", deadline_ms=900)
     assert outcome == ANSWER
-    (request,) = daemon.asked
+    (request,) = daemon.requests
     assert protocol.parse_path(request.path) == protocol.Route(
         name=protocol.RouteName.SEARCH, service="desk"
     )
@@ -71,19 +74,19 @@
 
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
-async def test_another_daemon_is_asked_only_after_not_run(kind: ErrorKind) -> None:
-    """A hold is placed twice, or a search that crashes servers reaches the next ones.
+async def test_another_daemon_is_tried_only_after_not_run(kind: ErrorKind) -> None:
+    """An execute could run twice, or a search that crashes servers reach the next ones.
 
-    The first daemon refuses; the client asks the second. It may do so only where the first has
-    said "not run" and a refusal about that VM alone, or "come back at once".
+    The first daemon refuses. The client may try the second one only after "not run" with a refusal
+    that is specific to the VM or allows an immediate retry.
     """
     async with (
-        fake_daemon(refusing(kind)) as first,
-        fake_daemon(found) as second,
+        fake_daemon(refuse_with(kind)) as first,
+        fake_daemon(answer_search) as second,
         CallerClient([first.address, second.address]) as client,
     ):
         outcome = await client.search("desk", "junmai")
-    if second.asked:
+    if second.requests:
         assert ANSWERS[kind].run is RunState.NOT_RUN
         assert outcome == ANSWER
     else:
@@ -92,14 +95,14 @@
         assert outcome.run is ANSWERS[kind].run
     expected = kind in (ErrorKind.NOT_READY, ErrorKind.SHUTTING_DOWN, ErrorKind.DATA_CENTRE_OUT)
     at_once = ANSWERS[kind].retry_after_ms == 0 and ANSWERS[kind].run is RunState.NOT_RUN
-    assert bool(second.asked) == (expected or at_once)
+    assert bool(second.requests) == (expected or at_once)
 
 
 async def test_a_lost_answer_is_unknown_and_not_sent_again() -> None:
-    """An order is confirmed twice.
+    """An execute could run twice if it is sent to a second daemon after a lost answer.
 
-    The daemon takes the request and dies before its answer. The request may have run; asking the
-    second daemon with it would be a second run where the key's claim was lost too.
+    The daemon reads the request and closes the connection. The request may have run; if the claim
+    of its key was lost too, the second daemon would run it again.
     """
 
     async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -110,36 +113,36 @@
     port = cutting.sockets[0].getsockname()[1]
     async with (
         cutting,
-        fake_daemon(found) as second,
+        fake_daemon(answer_search) as second,
         CallerClient([Address(host="127.0.0.1", port=port), second.address]) as client,
     ):
         outcome = await client.execute("desk", "3", "k1", {"hold": {"lot": 1}})
     assert isinstance(outcome, Unknown)
-    assert second.asked == []
+    assert second.requests == []
 
 
-async def test_a_daemon_that_is_away_is_passed_over() -> None:
-    async with fake_daemon(found) as gone:
+async def test_an_unreachable_daemon_is_skipped() -> None:
+    async with fake_daemon(answer_search) as gone:
         away = gone.address
-    async with fake_daemon(found) as second, CallerClient([away, second.address]) as client:
+    async with fake_daemon(answer_search) as second, CallerClient([away, second.address]) as client:
         assert await client.search("desk", "junmai") == ANSWER
     async with CallerClient([away]) as client:
         assert isinstance(await client.search("desk", "junmai"), Unreachable)
 
 
-async def test_an_outcome_is_asked_by_its_key_though_it_holds_a_slash() -> None:
+async def test_an_outcome_is_requested_by_a_key_with_a_slash() -> None:
     answer = json_response(200, codec.to_json(EXECUTED))
     async with (
         fake_daemon(lambda _: answer) as daemon,
         CallerClient([daemon.address]) as client,
     ):
         assert await client.outcome("desk", "k/1 ü%2F") == EXECUTED
-    assert protocol.parse_path(daemon.asked[0].path) == protocol.Route(
+    assert protocol.parse_path(daemon.requests[0].path) == protocol.Route(
         name=protocol.RouteName.OUTCOME, service="desk", key="k/1 ü%2F"
     )
 
 
-def test_addresses_are_read_or_refused() -> None:
+def test_addresses_are_parsed_or_refused() -> None:
     addresses = parse_addresses("127.0.0.1:80, [::1]:81")
     assert list(map(str, addresses)) == ["127.0.0.1:80", "[::1]:81"]
     for bad in ("127.0.0.1", "127.0.0.1:0", "host:80", "127.0.0.1:x"):
@@ -148,5 +151,5 @@
 
 
 @pytest.mark.parametrize("path", ["/", "/v1/services/", "/v1/services/a", "/v1/services//search"])
-def test_other_paths_are_no_routes(path: str) -> None:
+def test_other_paths_have_no_route(path: str) -> None:
     assert protocol.parse_path(path) is None
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests over sockets, with daemons and stand-ins as processes."""
+"""Fixtures of the tests with daemons and stand-ins as processes."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 @pytest.fixture
 async def stack() -> AsyncIterator[AsyncExitStack]:
-    """Return an exit stack that ends whatever the test starts."""
+    """Yield an exit stack that closes all that the test starts."""
     async with AsyncExitStack() as stack:
         yield stack
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' edge: routes, token, readiness, and what its answers show."""
+"""The operators' edge: routes, token, readiness, and contents of responses."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 
 @attrs.define
 class FakeBackend(AdminBackend):
-    """Answers everything and keeps what it was asked."""
+    """Answers all requests and records their arguments."""
 
     refusal: Refusal | None = None
-    asked: list[object] = attrs.field(factory=list)
+    received: list[object] = attrs.field(factory=list)
 
     def not_ready(self) -> Refusal | None:
         return self.refusal
 
     async def plan(self, intent: Intent) -> Plan:
-        self.asked.append(intent)
+        self.received.append(intent)
         return PLAN
 
     async def confirm(self, request: ConfirmRequest, operator: str) -> Confirmation:
         if request.plan.base != 3:
             raise refuse(ErrorKind.STALE_PLAN, "revision 4, not 3")
-        self.asked.append((request, operator))
+        self.received.append((request, operator))
         return Confirmation(id=request.plan.id, revision=4)
 
     async def status(self) -> StatusReport:
@@ -58,8 +58,8 @@
     async def configuration(self) -> bytes:
         return b"{}"
 
-    async def timeline(self, wanted: EventFilter) -> EventPage:
-        self.asked.append(wanted)
+    async def timeline(self, requested: EventFilter) -> EventPage:
+        self.received.append(requested)
         return EventPage(vm="vm1")
 
     async def metrics(self) -> bytes:
@@ -72,11 +72,11 @@
 
 
 @pytest.mark.parametrize("route", ROUTES, ids=lambda route: f"{route.method} {route.path}")
-async def test_only_balancers_routes_are_open(route: AdminRoute) -> None:
-    """A stranger who reaches the operators' port takes a data centre out.
+async def test_only_health_routes_need_no_token(route: AdminRoute) -> None:
+    """An unauthorised client could take a data centre out of service.
 
-    Every route but liveness and readiness must refuse a missing, a wrong and a cut-off token, and
-    the answer must not show the right one.
+    All routes except liveness and readiness must refuse a missing, a malformed and a truncated
+    token, and the response must not contain the expected one.
     """
     edge = AdminEdge(FakeBackend(), token=Secret(TOKEN), metrics=Metrics())
     method, path = route.method, route.path
@@ -91,7 +91,7 @@
     assert (await edge.handle(ask(method, path, body=b"{}"))).status != 401
 
 
-async def test_a_plan_is_made_and_confirmed_in_the_operator_s_name() -> None:
+async def test_a_plan_is_made_and_confirmed_under_the_operators_name() -> None:
     backend = FakeBackend()
     edge = AdminEdge(backend, token=Secret(TOKEN))
     answer = await edge.handle(ask("POST", protocol.PLAN_PATH, body=codec.to_json(INTENT)))
@@ -100,18 +100,18 @@
     body = codec.to_json(request)
     answer = await edge.handle(ask("POST", protocol.CONFIRM_PATH, body=body))
     assert codec.from_json(answer.body, Confirmation) == Confirmation(id="p1", revision=4)
-    assert backend.asked == [INTENT, (request, "ana")]
+    assert backend.received == [INTENT, (request, "ana")]
     unnamed = HEADERS | {"x-operator": "\x07"}
     bad = await edge.handle(ask("POST", protocol.CONFIRM_PATH, headers=unnamed, body=body))
     assert bad.status == 400
 
 
-async def test_a_configuration_becomes_an_intent_or_all_its_faults() -> None:
+async def test_a_configuration_yields_an_intent_or_all_its_faults() -> None:
     backend = FakeBackend()
     edge = AdminEdge(backend, token=None)
     text = b'{"revision": 3, "deployment": "d"}'
     assert (await edge.handle(ask("PUT", protocol.CONFIGURATION_PATH, body=text))).status == 200
-    (intent,) = backend.asked
+    (intent,) = backend.received
     assert isinstance(intent, Intent)
     assert (intent.kind, intent.subject) == (IntentKind.REPLACE, "d")
     faulty = b'{"revision": 0, "deployment": ""}'
@@ -122,7 +122,7 @@
     assert "$.deployment" in detail
 
 
-async def test_refusals_go_through_the_table_and_are_counted() -> None:
+async def test_refusals_have_the_status_of_the_error_table_and_are_counted() -> None:
     metrics = Metrics()
     edge = AdminEdge(FakeBackend(), token=None, metrics=metrics)
     cases = [
@@ -139,25 +139,25 @@
         assert metrics.value(names.EDGE_REFUSALS, edge="operators", kind=kind.value) == 1
 
 
-async def test_readiness_is_told_apart_from_liveness() -> None:
+async def test_readiness_differs_from_liveness() -> None:
     edge = AdminEdge(FakeBackend(Refusal(ErrorKind.SHUTTING_DOWN)), token=None)
     assert (await edge.handle(ask("GET", protocol.READY_PATH))).status == 503
     assert (await edge.handle(ask("GET", protocol.LIVE_PATH))).status == 200
 
 
-async def test_a_time_line_is_asked_by_its_filter_or_refused() -> None:
+async def test_the_time_line_is_filtered_or_the_filter_is_refused() -> None:
     backend = FakeBackend()
     edge = AdminEdge(backend, token=None)
-    wanted = EventFilter(since=Stamp(7, 1), until=Stamp(9), service="a", request_id="r")
-    query = protocol.timeline_query(wanted)
+    requested = EventFilter(since=Stamp(7, 1), until=Stamp(9), service="a", request_id="r")
+    query = protocol.timeline_query(requested)
     assert (await edge.handle(ask("GET", protocol.TIMELINE_PATH, query=query))).status == 200
-    assert backend.asked == [wanted]
+    assert backend.received == [requested]
     for bad in ({"since": "-1"}, {"until": "1" * 30}, {"what": "x"}):
         assert (await edge.handle(ask("GET", protocol.TIMELINE_PATH, query=bad))).status == 400
 
 
-async def test_a_refusal_names_the_request_in_its_body() -> None:
-    """A caller's log keeps bodies and no headers, and its line can't be found in the time line."""
+async def test_a_refusal_has_the_request_id_in_its_body() -> None:
+    """Callers that log only bodies could not find a refused request in the time line."""
     edge = AdminEdge(FakeBackend(), token=Secret(TOKEN), metrics=Metrics())
     answer = await edge.handle(ask("GET", protocol.STATUS_PATH, headers={"x-request-id": "r-7"}))
     assert codec.from_json(answer.body, ErrorBody).request_id == "r-7"
--- a/tests/daemon/test_admin_tls.py
+++ b/tests/daemon/test_admin_tls.py
@@ -1,4 +1,4 @@
-"""The operators' edge over TLS, with the test certificates of the wire."""
+"""The operators' edge over TLS, with the test certificates of the wire library."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from berylspindle_daemon.admin import AdminBackend, AdminEdge
 from berylspindle_daemon.daemon import _operators_tls
 from berylspindle_daemon.exit_codes import DaemonError, ExitCode
-from berylspindle_daemon.options import Options, complete
+from berylspindle_daemon.options import Options, complete_options
 from berylspindle_model.errors import Refusal
 from berylspindle_model.events import EventFilter, EventPage
 from berylspindle_model.intents import Confirmation, ConfirmRequest, Intent, Plan
@@ -31,7 +31,7 @@
     return Options(data_centre="a", store_host="127.0.0.1", store_port=1, **settings)  # type: ignore[arg-type]
 
 
-GUARDED = {
+TLS_SETTINGS = {
     "admin_tls_certificate": pem("server"),
     "admin_tls_key": pem("server_key"),
     "admin_tls_ca": pem("ca"),
@@ -39,7 +39,7 @@
 
 
 class Backend(AdminBackend):
-    """A daemon of which only the configuration is asked."""
+    """Fake backend that serves only the configuration."""
 
     def not_ready(self) -> Refusal | None:
         return None
@@ -56,7 +56,7 @@
     async def configuration(self) -> bytes:
         return b"{}"
 
-    async def timeline(self, wanted: EventFilter) -> EventPage:
+    async def timeline(self, requested: EventFilter) -> EventPage:
         raise NotImplementedError
 
     async def metrics(self) -> bytes:
@@ -64,10 +64,10 @@
 
 
 @pytest.mark.parametrize("has_certificate", [True, False])
-async def test_only_an_operator_with_a_certificate_is_let_in(has_certificate: bool) -> None:
-    """A stranger on the operators' network takes a data centre out.
+async def test_only_an_operator_with_a_certificate_is_accepted(has_certificate: bool) -> None:
+    """A client without a certificate could take a data centre out of service.
 
-    The edge has no token; it asks for a certificate of the operators' authority instead.
+    The edge has no token; it requires a certificate signed by the operators' CA instead.
     """
     edge = AdminEdge(Backend(), token=None)
     files = TlsFiles(
@@ -75,27 +75,27 @@
         certificate=str(pem("client")) if has_certificate else None,
         key=str(pem("client_key")) if has_certificate else None,
     )
-    tls = _operators_tls(options(**GUARDED))
+    tls = _operators_tls(options(**TLS_SETTINGS))
     async with await serve(edge.handle, host="127.0.0.1", port=0, tls=tls) as server:
         address = Address(host="127.0.0.1", port=server.port)
         async with OperatorClient([address], tls=client_context(files)) as client:
-            told = await client.configuration()
-    assert (told == b"{}") is has_certificate
-    assert has_certificate or isinstance(told, Unreachable) or not isinstance(told, bytes)
+            result = await client.configuration()
+    assert (result == b"{}") is has_certificate
+    assert has_certificate or isinstance(result, Unreachable) or not isinstance(result, bytes)
 
 
-def test_an_edge_that_asks_for_certificates_needs_no_token() -> None:
-    assert complete(options(**GUARDED), {}).open_edges == ("peers' edge",)
-    assert complete(options(), {}).open_edges == ("peers' edge", "operators' edge")
+def test_an_edge_that_requires_certificates_needs_no_token() -> None:
+    assert complete_options(options(**TLS_SETTINGS), {}).open_edges == ("peers' edge",)
+    assert complete_options(options(), {}).open_edges == ("peers' edge", "operators' edge")
 
 
-def test_an_authority_without_a_certificate_is_a_bad_setting() -> None:
+def test_a_ca_without_a_certificate_is_a_usage_error() -> None:
     with pytest.raises(DaemonError) as caught:
-        complete(options(admin_tls_ca=pem("ca")), {})
+        complete_options(options(admin_tls_ca=pem("ca")), {})
     assert caught.value.code is ExitCode.USAGE
 
 
-def test_an_unreadable_certificate_ends_the_daemon_with_one_line() -> None:
+def test_an_unreadable_certificate_is_a_daemon_error() -> None:
     with pytest.raises(DaemonError) as caught:
         _operators_tls(options(admin_tls_certificate=pem("missing")))
     assert caught.value.code is ExitCode.SECRET_UNREADABLE
--- a/tests/daemon/test_intents_data_centre.py
+++ b/tests/daemon/test_intents_data_centre.py
@@ -1,4 +1,4 @@
-"""A data centre taken out and returned by its operators while callers search."""
+"""A data centre is taken out of service and returned under load."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from pathlib import Path
 
 from socket_helpers import (
-    BOUND_SECONDS,
-    WHOLE,
+    FULL_COVERAGE,
+    STOP_WORK_LIMIT_S,
     Load,
-    confirmed,
     counts_in,
-    fleet,
-    operator,
-    start,
-    until,
+    fleet_status,
+    open_operator,
+    plan_and_confirm,
+    start_small_cluster,
+    wait_until,
 )
 
 from berylspindle_bench.cluster import Cluster
@@ -24,38 +24,42 @@
 from berylspindle_standins.backend_faults import BackendAction, FaultChange
 
 
-async def test_a_data_centre_goes_out_and_returns_under_load(
+async def test_a_data_centre_is_taken_out_and_returned_under_load(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Searches fail or reach a site that is being worked on, and its return fells cold servers.
+    """Searches could fail or reach the data centre while it is out, and overload it on return.
 
-    A data centre is taken out under load; its servers restart meanwhile and are cold when it is
-    returned under the same load.
+    Its servers restart while it is out and are cold when it is returned under the same load.
     """
-    cluster = await start(stack, tmp_path, "--warm-after=20", policy=WHOLE)
-    asker = await operator(stack, cluster)
+    cluster = await start_small_cluster(stack, tmp_path, "--warm-after=20", policy=FULL_COVERAGE)
+    admin = await open_operator(stack, cluster)
     name = cluster.plan.configuration.data_centres[1].name
     async with Load(cluster) as load:
-        await until(lambda: _work_since(cluster, name, {}), "no work came before")
-        asked_at = time.time()
-        await confirmed(asker, IntentKind.TAKE_OUT, name)
-        await asyncio.sleep(BOUND_SECONDS)
+        await wait_until(lambda: _work_since(cluster, name, {}), "no work before the intent")
+        started_at = time.time()
+        await plan_and_confirm(admin, IntentKind.TAKE_OUT, name)
+        await asyncio.sleep(STOP_WORK_LIMIT_S)
         out = {one.server: one.counts.searches_started for one in await counts_in(cluster, name)}
-        asked = len(load.outcomes)
-        await until(lambda: _answered(load, asked + 100), "callers are not served meanwhile")
-        there = await counts_in(cluster, name)
-        assert {one.server: one.counts.searches_started for one in there} == out
-        last = max(one.counts.last_arrival_wall for one in there)
-        print(f"last new work there {last - asked_at:.3f} s after the operator asked")
-        reports = (await fleet(asker)).reports
+        answered_before = len(load.outcomes)
+        await wait_until(
+            lambda: _answered(load, answered_before + 100), "callers are not served while it is out"
+        )
+        counts_now = await counts_in(cluster, name)
+        assert {one.server: one.counts.searches_started for one in counts_now} == out
+        last = max(one.counts.last_arrival_wall for one in counts_now)
+        print(f"last new work {last - started_at:.3f} s after the intent was submitted")
+        reports = (await fleet_status(admin)).reports
         assert {one.data_centre for one in reports if not one.ready} == {name}
         change = FaultChange(data_centre=name, actions=(BackendAction.TURN_COLD,))
         await cluster.change_backends(change)
-        await confirmed(asker, IntentKind.RETURN, name)
-        await until(lambda: _work_since(cluster, name, out), "no work came after the return")
-        # Enough that each server gets warm again, if it ever does.
+        await plan_and_confirm(admin, IntentKind.RETURN, name)
+        await wait_until(lambda: _work_since(cluster, name, out), "no work after the return")
+        # Enough for each server to become warm again.
         more = {server: started + 30 for server, started in out.items()}
-        await until(lambda: _work_since(cluster, name, more), "the return stays at a trickle")
+        await wait_until(
+            lambda: _work_since(cluster, name, more),
+            "the servers get too little work after the return",
+        )
     assert load.unanswered == []
     assert load.partial == []
     counts = await cluster.backend_counts()
@@ -63,8 +67,8 @@
 
 
 async def _work_since(cluster: Cluster, name: str, before: dict[str, int]) -> bool:
-    there = await counts_in(cluster, name)
-    return all(one.counts.searches_started > before.get(one.server, 0) for one in there)
+    counts_now = await counts_in(cluster, name)
+    return all(one.counts.searches_started > before.get(one.server, 0) for one in counts_now)
 
 
 async def _answered(load: Load, count: int) -> bool:
--- a/tests/daemon/test_intents_leaving.py
+++ b/tests/daemon/test_intents_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers that leave: told by an operator, by themselves, or by the VM list."""
+"""Backend servers that leave: by an operator, by draining, or by the VM list."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 import attrs
 from socket_helpers import (
-    BOUND_SECONDS,
     DEADLINE_MS,
+    FULL_COVERAGE,
     SERVICE,
-    WHOLE,
+    STOP_WORK_LIMIT_S,
     Load,
-    client,
-    confirmed,
-    operator,
-    start,
-    until,
+    open_caller,
+    open_operator,
+    plan_and_confirm,
+    start_small_cluster,
+    wait_until,
 )
 
 from berylspindle_bench.cluster import HOST, Cluster
@@ -36,61 +36,63 @@
 
 
 async def test_leaving_servers_get_no_new_work(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """Searches break off when the platform takes a server's VM away.
+    """Searches could be cut off when the platform removes the VM of a server.
 
-    Under load one server is retired by an operator, one begins to drain by itself, and one is
-    leaving by the VM list. The last two come back later, and must get work again.
+    Under load one server is retired by an operator, one starts to drain, and one is leaving
+    according to the VM list. The last two return later and must get work again.
     """
-    fast = {"BERYLSPINDLE_VM_LIST_INTERVAL": "1"}
-    cluster = await start(stack, tmp_path, policy=WHOLE, settings=fast)
-    asker = await operator(stack, cluster)
+    settings = {"BERYLSPINDLE_VM_LIST_INTERVAL": "1"}
+    cluster = await start_small_cluster(stack, tmp_path, policy=FULL_COVERAGE, settings=settings)
+    admin = await open_operator(stack, cluster)
     async with Load(cluster) as load:
-        await until(lambda: _worked(cluster, LEAVING, {}), "no work came before")
-        asked_at = time.time()
+        await wait_until(lambda: _worked(cluster, LEAVING, {}), "no work before they leave")
+        started_at = time.time()
         drain = FaultChange(servers=(DRAINED,), actions=(BackendAction.DRAIN,))
         await cluster.change_backends(drain)
         await _list_servers(cluster, {LISTED: "leaving"})
-        await confirmed(asker, IntentKind.RETIRE, RETIRED)
-        await asyncio.sleep(BOUND_SECONDS)
-        bound = await _counts(cluster)
-        asked = len(load.outcomes)
-        await until(lambda: _answered(load, asked + 100), "callers are not served meanwhile")
+        await plan_and_confirm(admin, IntentKind.RETIRE, RETIRED)
+        await asyncio.sleep(STOP_WORK_LIMIT_S)
+        counts_after = await _counts(cluster)
+        answered_before = len(load.outcomes)
+        await wait_until(
+            lambda: _answered(load, answered_before + 100), "callers are not served after they left"
+        )
         now = await _counts(cluster)
-        # What a draining server refuses counts as arrived; owners must not go on trying it.
+        # A refusal by a draining server counts as an arrival; owners must stop trying it.
         for server in LEAVING:
-            assert now[server].arrived == bound[server].arrived, server
-            last = now[server].last_arrival_wall - asked_at
-            print(f"last new work at {server} {last:.3f} s after it began to leave")
+            assert now[server].arrived == counts_after[server].arrived, server
+            last = now[server].last_arrival_wall - started_at
+            print(f"last new work at {server} {last:.3f} s after it started to leave")
         end = FaultChange(servers=(DRAINED,), actions=(BackendAction.END_DRAIN,))
         await cluster.change_backends(end)
         await _list_servers(cluster, {LISTED: "live"})
         started = {name: counts.searches_started for name, counts in now.items()}
-        back = (DRAINED, LISTED)
-        await until(lambda: _worked(cluster, back, started), "no work came after the return")
-        assert (await _counts(cluster))[RETIRED].arrived == bound[RETIRED].arrived
+        returned = (DRAINED, LISTED)
+        await wait_until(lambda: _worked(cluster, returned, started), "no work after the return")
+        assert (await _counts(cluster))[RETIRED].arrived == counts_after[RETIRED].arrived
     assert load.unanswered == []
     assert load.partial == []
 
 
-async def test_what_runs_at_a_retired_server_ends_there(
-    stack: AsyncExitStack, tmp_path: Path
-) -> None:
-    """A retired server's last searches are cut, and their callers miss a shard.
+async def test_searches_at_a_retired_server_finish(stack: AsyncExitStack, tmp_path: Path) -> None:
+    """Searches that run at a server when it is retired could be cut off and miss a shard.
 
-    Searches run at both replicas, some tenths of a second each, when one of them is retired.
+    Searches of some tenths of a second run at both replicas when one of them is retired.
     """
-    policy = attrs.evolve(WHOLE, hedge_share=0.0)
-    cluster = await start(stack, tmp_path, "--mean-ms=300", "--sigma=0", policy=policy)
-    asker, caller = await operator(stack, cluster), await client(stack, cluster)
+    policy = attrs.evolve(FULL_COVERAGE, hedge_share=0.0)
+    cluster = await start_small_cluster(
+        stack, tmp_path, "--mean-ms=300", "--sigma=0", policy=policy
+    )
+    admin, caller = await open_operator(stack, cluster), await open_caller(stack, cluster)
     searches = [
         asyncio.create_task(caller.search(SERVICE, f"lot {n}", deadline_ms=DEADLINE_MS))
         for n in range(8)
     ]
-    await until(lambda: _worked(cluster, (RETIRED,), {}), "no search reached it")
-    await confirmed(asker, IntentKind.RETIRE, RETIRED)
-    told = await asyncio.gather(*searches)
-    assert [one for one in told if not isinstance(one, SearchAnswer)] == []
-    missing = {one.coverage.missing for one in told if isinstance(one, SearchAnswer)}
+    await wait_until(lambda: _worked(cluster, (RETIRED,), {}), "no search reached the server")
+    await plan_and_confirm(admin, IntentKind.RETIRE, RETIRED)
+    result = await asyncio.gather(*searches)
+    assert [one for one in result if not isinstance(one, SearchAnswer)] == []
+    missing = {one.coverage.missing for one in result if isinstance(one, SearchAnswer)}
     assert missing == {()}
     counts = (await _counts(cluster))[RETIRED]
     assert counts.finished == counts.searches_started > 0
@@ -111,7 +113,7 @@
 
 
 async def _list_servers(cluster: Cluster, states: dict[str, str]) -> None:
-    """Name the VMs of these backend servers in the VM list, with the state of each."""
+    """List the VMs of these backend servers with the given states in the VM list."""
     servers = (cluster.plan.configuration.server(name) for name in states)
     listed = tuple(
         VmDocument(
--- a/tests/daemon/test_intents_pause.py
+++ b/tests/daemon/test_intents_pause.py
@@ -1,4 +1,4 @@
-"""A VM that is paused with its rights to dispatch, and wakes when others have them."""
+"""A VM that is paused while it has dispatch rights, and resumed after others took them over."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from socket_helpers import SERVICE, Load, client, fleet, operator, start, until
+from socket_helpers import (
+    SERVICE,
+    Load,
+    fleet_status,
+    open_caller,
+    open_operator,
+    start_small_cluster,
+    wait_until,
+)
 
 from berylspindle_bench.cluster import Cluster, DaemonPlan
 from berylspindle_client.operators import FleetTimeline, OperatorClient
@@ -17,61 +25,67 @@
 from berylspindle_wire.client import HttpClient
 
 PAUSE_SECONDS = 6.0
-# Deadline of what waits for the VM to wake.
+# Deadline of searches that wait until the VM resumes.
 LONG_MS = 60_000
 WAITING = 8
 _DISPATCHES = re.compile(rb"^berylspindle_dispatches_total\{.*\} (\S+)$", re.MULTILINE)
-_LOST = (EventKind.OWNERSHIP_LOST, EventKind.OWNERSHIP_LAPSED)
+_LOSS_KINDS = (EventKind.OWNERSHIP_LOST, EventKind.OWNERSHIP_LAPSED)
 
 
-async def test_a_paused_owner_dispatches_nothing_by_its_old_right(
+async def test_a_paused_owner_does_not_dispatch_with_expired_rights(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A cold server falls over under two owners, one of which had slept through its replacement.
+    """A paused owner could dispatch after its servers were taken over, and overload a cold one.
 
-    A VM is stopped for seconds while searches go on through the others; its servers are taken
-    over. Searches that callers sent to it meanwhile wait in its sockets. It reads them when it
-    wakes, before it hears of its replacement.
+    A VM is stopped for seconds while searches go on through the others, which take its servers
+    over. Searches sent to it wait in its sockets; when resumed it reads them before the new view.
     """
-    cluster = await start(stack, tmp_path, "--warm-after=20")
-    everyone = await operator(stack, cluster)
-    shares = [await _owned(everyone, plan.vm) for plan in cluster.plan.daemons]
-    # Ids of VMs differ from run to run, and with them who owns what: take who owns most.
-    number = max(range(len(shares)), key=lambda one: len(shares[one]))
-    sleeper, owned = cluster.plan.daemons[number], shares[number]
-    awake = set(range(len(shares))) - {number}
-    own, others = await operator(stack, cluster, number), await operator(stack, cluster, *awake)
-    async with Load(cluster, leave_out=frozenset({number}), workers=2, deadline_ms=2000):
+    cluster = await start_small_cluster(stack, tmp_path, "--warm-after=20")
+    all_vms = await open_operator(stack, cluster)
+    ownerships = [await _owned(all_vms, plan.vm) for plan in cluster.plan.daemons]
+    # Ownership depends on random VM ids: pause the VM that owns the most servers.
+    number = max(range(len(ownerships)), key=lambda one: len(ownerships[one]))
+    paused, owned = cluster.plan.daemons[number], ownerships[number]
+    running = set(range(len(ownerships))) - {number}
+    paused_admin, other_admins = await open_operator(stack, cluster, number), await open_operator(
+        stack, cluster, *running
+    )
+    async with Load(cluster, excluded=frozenset({number}), workers=2, deadline_ms=2000):
         await asyncio.sleep(0.5)
-    caller = await client(stack, cluster, number)
-    # The connections stay open: a search on a new one would be read later than the news.
+    caller = await open_caller(stack, cluster, number)
+    # Keeps the connections open: a search on a new one would be read later than the new view.
     await asyncio.gather(*(caller.search(SERVICE, f"lot {n}") for n in range(WAITING)))
-    await until(lambda: _is_idle(own), "something runs on at its servers")
-    before = await _dispatches(cluster, sleeper)
+    await wait_until(lambda: _is_idle(paused_admin), "its servers are still busy")
+    before = await _dispatches(cluster, paused)
     assert before > 0
-    seen = (await _events(own))[-1].sequence
-    cluster.daemons[sleeper.vm].send(signal.SIGSTOP)
-    async with Load(cluster, leave_out=frozenset({number}), workers=2, deadline_ms=2000) as load:
+    last_sequence = (await _events(paused_admin))[-1].sequence
+    cluster.daemons[paused.vm].send(signal.SIGSTOP)
+    async with Load(cluster, excluded=frozenset({number}), workers=2, deadline_ms=2000) as load:
         waiting = [
             asyncio.create_task(caller.search(SERVICE, f"lot {n}", deadline_ms=LONG_MS))
             for n in range(WAITING)
         ]
         await asyncio.sleep(PAUSE_SECONDS)
-        await until(lambda: _are_owned(others, owned), "its servers were not taken over")
-        cluster.daemons[sleeper.vm].send(signal.SIGCONT)
+        await wait_until(lambda: _are_owned(other_admins, owned), "its servers were not taken over")
+        cluster.daemons[paused.vm].send(signal.SIGCONT)
         gained: list[Event] = []
         while not gained:
-            # The count is read first: what it shows was dispatched before the events were read.
-            dispatched = await _dispatches(cluster, sleeper)
-            woken = [event for event in await _events(own) if event.sequence > seen]
-            gained = [event for event in woken if event.kind is EventKind.OWNERSHIP_GAINED]
+            # The count is read first, so that it contains only dispatches before the events.
+            dispatched = await _dispatches(cluster, paused)
+            new_events = [
+                event for event in await _events(paused_admin) if event.sequence > last_sequence
+            ]
+            gained = [event for event in new_events if event.kind is EventKind.OWNERSHIP_GAINED]
             assert gained or dispatched == before
-        first = woken.index(gained[0])
-        lost = {event.server for event in woken[:first] if event.kind in _LOST}
+        first = new_events.index(gained[0])
+        lost = {event.server for event in new_events[:first] if event.kind in _LOSS_KINDS}
         assert lost >= owned
         await asyncio.gather(*waiting)
-        asked = len(load.outcomes)
-        await until(lambda: _more(load, asked + 50), "callers are not served after it woke")
+        answered_before = len(load.outcomes)
+        await wait_until(
+            lambda: _answered(load, answered_before + 50),
+            "callers are not served after the VM resumed",
+        )
     servers = {server.id: server for server in cluster.plan.configuration.servers}
     for server, one in (await cluster.backend_counts()).items():
         assert one.counts.max_in_flight <= servers[server].slots
@@ -79,26 +93,26 @@
         assert one.counts.cold_overruns == 0
 
 
-async def _owned(asker: OperatorClient, vm: str) -> frozenset[str]:
-    reports = (await fleet(asker)).reports
+async def _owned(admin: OperatorClient, vm: str) -> frozenset[str]:
+    reports = (await fleet_status(admin)).reports
     servers = (one.servers for one in reports if one.vm.startswith(vm))
     return frozenset(server.server for owned in servers for server in owned)
 
 
-async def _is_idle(asker: OperatorClient) -> bool:
-    (report,) = (await fleet(asker)).reports
+async def _is_idle(admin: OperatorClient) -> bool:
+    (report,) = (await fleet_status(admin)).reports
     return not any(server.in_flight or server.queued for server in report.servers)
 
 
-async def _are_owned(asker: OperatorClient, wanted: frozenset[str]) -> bool:
-    reports = (await fleet(asker)).reports
-    return wanted <= {server.server for one in reports for server in one.servers}
+async def _are_owned(admin: OperatorClient, expected: frozenset[str]) -> bool:
+    reports = (await fleet_status(admin)).reports
+    return expected <= {server.server for one in reports for server in one.servers}
 
 
-async def _events(asker: OperatorClient) -> tuple[Event, ...]:
-    told = await asker.timeline(EventFilter())
-    assert isinstance(told, FleetTimeline), told
-    return told.events
+async def _events(admin: OperatorClient) -> tuple[Event, ...]:
+    result = await admin.timeline(EventFilter())
+    assert isinstance(result, FleetTimeline), result
+    return result.events
 
 
 async def _dispatches(cluster: Cluster, plan: DaemonPlan) -> float:
@@ -108,5 +122,5 @@
     return sum(float(count) for count in _DISPATCHES.findall(response.body))
 
 
-async def _more(load: Load, count: int) -> bool:
+async def _answered(load: Load, count: int) -> bool:
     return len(load.outcomes) >= count
--- a/tests/daemon/test_intents_race.py
+++ b/tests/daemon/test_intents_race.py
@@ -1,4 +1,4 @@
-"""Operators who race each other, and plans that would leave a shard without a replica."""
+"""Concurrent operators, and plans that would leave a shard without a replica."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from socket_helpers import confirmed, operator, planned, start
+from socket_helpers import make_plan, open_operator, plan_and_confirm, start_small_cluster
 
 from berylspindle_client.operators import OperatorClient
 from berylspindle_client.outcomes import Refused
@@ -16,61 +16,64 @@
 from berylspindle_model.intents import Confirmation, IntentKind
 
 
-async def test_one_of_three_racing_operators_wins(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """Both data centres are out: each operator's plan left the other one serving.
+async def test_one_of_three_concurrent_plans_is_accepted(
+    stack: AsyncExitStack, tmp_path: Path
+) -> None:
+    """Concurrent plans could take both data centres out, each assuming that the other one serves.
 
-    Two operators take out one data centre each, a third retires a server; all plans stand on the
-    same revision and are confirmed at once through different VMs.
+    Two operators take out one data centre each, a third retires a server. All plans have the same
+    base revision and are confirmed concurrently through different VMs.
     """
-    cluster = await start(stack, tmp_path)
-    askers = [await operator(stack, cluster, number) for number in range(3)]
+    cluster = await start_small_cluster(stack, tmp_path)
+    admins = [await open_operator(stack, cluster, number) for number in range(3)]
     first, second = (centre.name for centre in cluster.plan.configuration.data_centres)
     plans = [
-        await planned(askers[0], IntentKind.TAKE_OUT, first),
-        await planned(askers[1], IntentKind.TAKE_OUT, second),
-        await planned(askers[2], IntentKind.RETIRE, "lots-0-0"),
+        await make_plan(admins[0], IntentKind.TAKE_OUT, first),
+        await make_plan(admins[1], IntentKind.TAKE_OUT, second),
+        await make_plan(admins[2], IntentKind.RETIRE, "lots-0-0"),
     ]
     assert {plan.base for plan in plans} == {1}
-    pairs = zip(askers, plans, strict=True)
-    told = await asyncio.gather(*(asker.confirm(plan) for asker, plan in pairs))
-    accepted = [one for one in told if isinstance(one, Confirmation)]
-    refused = [one for one in told if isinstance(one, Refused)]
+    pairs = zip(admins, plans, strict=True)
+    result = await asyncio.gather(*(admin.confirm(plan) for admin, plan in pairs))
+    accepted = [one for one in result if isinstance(one, Confirmation)]
+    refused = [one for one in result if isinstance(one, Refused)]
     assert [one.revision for one in accepted] == [2]
     stale = (ErrorKind.STALE_PLAN, RunState.NOT_RUN)
     assert [(one.kind, one.run) for one in refused] == [stale, stale]
-    now = await configuration(await operator(stack, cluster, told.index(accepted[0])))
+    now = await configuration(await open_operator(stack, cluster, result.index(accepted[0])))
     assert [record.id for record in now.intents] == [accepted[0].id]
     out = [centre.name for centre in now.data_centres if centre.state is DataCentreState.OUT]
     retired = [one.id for one in now.servers if one.state is ServerState.RETIRED]
-    assert [*out, *retired] == [plans[told.index(accepted[0])].intent.subject]
+    assert [*out, *retired] == [plans[result.index(accepted[0])].intent.subject]
 
 
-async def test_the_last_replica_goes_by_override_alone(
+async def test_removing_the_last_replica_needs_an_override(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Searches silently miss a shard: the loser of a race planned again and took its last replica.
+    """An operator who plans again after a conflict could remove the last replica of a shard.
 
-    One operator has retired a server; the other one's data centre holds the only replica left.
+    One operator retires a server; the other one takes out the data centre with the only replica
+    left.
     """
-    cluster = await start(stack, tmp_path)
-    one, other = await operator(stack, cluster, 0), await operator(stack, cluster, 1)
+    cluster = await start_small_cluster(stack, tmp_path)
+    one, other = await open_operator(stack, cluster, 0), await open_operator(stack, cluster, 1)
     servers = cluster.plan.configuration.replicas("lots", "0")
-    lost = await planned(other, IntentKind.TAKE_OUT, servers[1].data_centre)
-    await confirmed(one, IntentKind.RETIRE, servers[0].id)
-    told = await other.confirm(lost)
-    assert isinstance(told, Refused)
-    assert told.kind is ErrorKind.STALE_PLAN
-    plan = await planned(other, IntentKind.TAKE_OUT, servers[1].data_centre)
+    lost = await make_plan(other, IntentKind.TAKE_OUT, servers[1].data_centre)
+    await plan_and_confirm(one, IntentKind.RETIRE, servers[0].id)
+    result = await other.confirm(lost)
+    assert isinstance(result, Refused)
+    assert result.kind is ErrorKind.STALE_PLAN
+    plan = await make_plan(other, IntentKind.TAKE_OUT, servers[1].data_centre)
     assert plan.needs_override
     assert any("1 of 4 shards without a replica" in text for text in plan.breaks)
-    told = await other.confirm(plan)
-    assert isinstance(told, Refused)
-    assert (told.kind, told.run) == (ErrorKind.UNSAFE_PLAN, RunState.NOT_RUN)
+    result = await other.confirm(plan)
+    assert isinstance(result, Refused)
+    assert (result.kind, result.run) == (ErrorKind.UNSAFE_PLAN, RunState.NOT_RUN)
     assert (await configuration(other)).revision == 2
     assert await other.confirm(plan, override=True) == Confirmation(id=plan.id, revision=3)
 
 
-async def configuration(asker: OperatorClient) -> Configuration:
-    text = await asker.configuration()
+async def configuration(admin: OperatorClient) -> Configuration:
+    text = await admin.configuration()
     assert isinstance(text, bytes), text
     return parse_configuration(text)
