--- a/tests/daemon/test_intents_vms.py
+++ b/tests/daemon/test_intents_vms.py
@@ -1,4 +1,4 @@
-"""VMs that are replaced: one shuts down with work in flight, others start without the store."""
+"""Replaced VMs: one shuts down with work in flight, others start during a store outage."""
 
 from __future__ import annotations
 
@@ -7,7 +7,16 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from socket_helpers import DEADLINE_MS, SERVICE, client, operator, revisions, start, until, whole
+from socket_helpers import (
+    DEADLINE_MS,
+    SERVICE,
+    open_caller,
+    open_operator,
+    revisions_by_vm,
+    search_until_complete,
+    start_small_cluster,
+    wait_until,
+)
 
 from berylspindle_bench.cluster import HOST, Cluster, DaemonPlan
 from berylspindle_client.callers import CallerClient
@@ -20,19 +29,21 @@
 from berylspindle_wire.http_client import HttpFailure
 
 EXECUTES = 24
-# Longer than a VM waits between two tries of the store and of its seeds.
-ALONE_SECONDS = 2.0
-# With the store away nothing can be joined; a VM waits some seconds for that before it is ready.
-FAST = {"BERYLSPINDLE_CONTROL_PACE": "0.5"}
+# Longer than the interval of a VM's retries to the store and to its seeds.
+ALONE_S = 2.0
+# Shortens the wait for ownership before readiness: without the store no VM can join a view.
+FAST_PACE = {"BERYLSPINDLE_CONTROL_PACE": "0.5"}
 
 
-async def test_a_shutdown_leaves_no_execute_unknown(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A hold's outcome is unknown though nothing failed: its VM was replaced meanwhile.
+async def test_a_shutdown_leaves_no_execute_outcome_unknown(
+    stack: AsyncExitStack, tmp_path: Path
+) -> None:
+    """A graceful shutdown could leave the outcome of executes unknown.
 
-    A VM gets SIGTERM while executes run through it and at servers that it owns, and searches go
-    on. Whatever the callers are told must be true, and each hold is made once.
+    A VM gets SIGTERM while executes and searches run through it and at servers that it owns. Each
+    reported outcome must be true, and each execute must run at most once.
     """
-    cluster = await start(stack, tmp_path, "--mean-ms=200")
+    cluster = await start_small_cluster(stack, tmp_path, "--mean-ms=200")
     leaving, other = cluster.plan.daemons[0], cluster.plan.daemons[1]
     callers = [
         await stack.enter_async_context(CallerClient([one.callers], caller="test"))
@@ -50,16 +61,16 @@
         asyncio.create_task(callers[n % 2].search(SERVICE, f"lot {n}", deadline_ms=DEADLINE_MS))
         for n in range(8)
     ]
-    await until(lambda: _executes_run(cluster), "no execute was started")
+    await wait_until(lambda: _executes_run(cluster), "no execute was started")
     process = cluster.daemons[leaving.vm]
     process.send(signal.SIGTERM)
-    told = dict(zip(holds, await asyncio.gather(*holds.values()), strict=True))
-    found = await asyncio.gather(*searches)
+    result = dict(zip(holds, await asyncio.gather(*holds.values()), strict=True))
+    search_results = await asyncio.gather(*searches)
     assert await process.wait(30.0) == 0
-    assert [one for one in found if not isinstance(one, SearchAnswer)] == []
+    assert [one for one in search_results if not isinstance(one, SearchAnswer)] == []
     ran = await _executions(cluster)
     assert max(ran.values()) == 1
-    for key, one in told.items():
+    for key, one in result.items():
         if isinstance(one, ExecuteAnswer):
             assert ran[key] == 1
             assert isinstance(await callers[1].outcome(SERVICE, key), ExecuteAnswer)
@@ -69,65 +80,65 @@
             assert key not in ran
 
 
-async def test_a_fresh_vm_gets_its_configuration_from_peers(
+async def test_a_new_vm_gets_its_configuration_from_peers(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A replaced VM stays useless for as long as the store is away.
+    """A VM that is replaced during a store outage could stay unready until the store is back.
 
-    A VM is replaced in an outage. It must refuse as not run until a peer has told it the
-    configuration, and serve from then on.
+    It must refuse requests as not run until a peer has sent it the configuration, and then serve.
     """
-    cluster = await start(stack, tmp_path, settings=FAST)
-    replaced = cluster.plan.daemons[0]
-    await cluster.daemons[replaced.vm].stop()
+    cluster = await start_small_cluster(stack, tmp_path, settings=FAST_PACE)
+    replacement = cluster.plan.daemons[0]
+    await cluster.daemons[replacement.vm].stop()
     await cluster.change_platform(PlatformChange(set={"outage": "reset"}))
-    await cluster.start_daemon(replaced)
-    caller = await client(stack, cluster)
-    await until(lambda: _serves(caller), "no peer told it the configuration")
-    await cluster.wait_ready(replaced)
+    await cluster.start_daemon(replacement)
+    caller = await open_caller(stack, cluster)
+    await wait_until(lambda: _serves(caller), "no peer sent it the configuration")
+    await cluster.wait_ready(replacement)
     for number in range(10):
-        await whole(caller, f"lot {number}")
-    assert set((await revisions(await operator(stack, cluster, 0))).values()) == {1}
+        await search_until_complete(caller, f"lot {number}")
+    assert set((await revisions_by_vm(await open_operator(stack, cluster, 0))).values()) == {1}
 
 
-async def test_a_fresh_vm_that_nobody_tells_stays_unready(
+async def test_a_new_vm_without_peers_and_store_stays_unready(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A VM without a configuration answers that there is no such service, or that nothing is found.
+    """A VM without a configuration could answer "unknown service" or with no hits.
 
-    All VMs are gone and the store is away when one starts. Once the store is back it must serve.
+    One VM starts while all others are stopped and the store is unavailable. It must refuse requests
+    as not ready, and serve when the store is back.
     """
-    cluster = await start(stack, tmp_path, settings=FAST)
+    cluster = await start_small_cluster(stack, tmp_path, settings=FAST_PACE)
     await cluster.stop_daemons()
     await cluster.change_platform(PlatformChange(set={"outage": "reset"}))
-    alone = cluster.plan.daemons[0]
-    begins = len(cluster.daemons[alone.vm].log.read_text())
-    process = await cluster.start_daemon(alone)
-    caller = await client(stack, cluster)
-    await until(lambda: _readiness(alone, 503), "its edge does not listen")
+    only = cluster.plan.daemons[0]
+    log_offset = len(cluster.daemons[only.vm].log.read_text())
+    process = await cluster.start_daemon(only)
+    caller = await open_caller(stack, cluster)
+    await wait_until(lambda: _readiness(only, 503), "the callers' edge does not listen")
     loop = asyncio.get_running_loop()
-    ends = loop.time() + ALONE_SECONDS
-    while loop.time() < ends:
-        told = await caller.search(SERVICE, "lot", deadline_ms=DEADLINE_MS)
-        assert isinstance(told, Refused)
-        assert (told.kind, told.run) == (ErrorKind.NOT_READY, RunState.NOT_RUN)
-        assert await _readiness(alone, 503)
+    deadline = loop.time() + ALONE_S
+    while loop.time() < deadline:
+        result = await caller.search(SERVICE, "lot", deadline_ms=DEADLINE_MS)
+        assert isinstance(result, Refused)
+        assert (result.kind, result.run) == (ErrorKind.NOT_READY, RunState.NOT_RUN)
+        assert await _readiness(only, 503)
         await asyncio.sleep(0.05)
-    lines = process.log.read_text()[begins:].splitlines()
+    lines = process.log.read_text()[log_offset:].splitlines()
     assert len([line for line in lines if "store_away" in line]) == 1, lines
     await cluster.change_platform(PlatformChange(clear=True))
-    await cluster.wait_ready(alone)
-    await whole(caller)
+    await cluster.wait_ready(only)
+    await search_until_complete(caller)
 
 
 async def _serves(caller: CallerClient) -> bool:
-    """Tell whether a VM answers a search; what it says before must be that it can't yet."""
-    told = await caller.search(SERVICE, "lot", deadline_ms=DEADLINE_MS)
-    if isinstance(told, Refused):
-        assert (told.kind, told.run) == (ErrorKind.NOT_READY, RunState.NOT_RUN)
+    """Return whether a VM answers a search; an earlier refusal must be "not ready"."""
+    result = await caller.search(SERVICE, "lot", deadline_ms=DEADLINE_MS)
+    if isinstance(result, Refused):
+        assert (result.kind, result.run) == (ErrorKind.NOT_READY, RunState.NOT_RUN)
     else:
-        assert isinstance(told, SearchAnswer | Unreachable), told
-    return isinstance(told, SearchAnswer)
+        assert isinstance(result, SearchAnswer | Unreachable), result
+    return isinstance(result, SearchAnswer)
 
 
 async def _executes_run(cluster: Cluster) -> bool:
@@ -135,7 +146,7 @@
 
 
 async def _executions(cluster: Cluster) -> dict[str, int]:
-    """Return by idempotency key how often it began to run at any server."""
+    """Return the number of executions at all servers by idempotency key."""
     ran: dict[str, int] = {}
     for one in (await cluster.backend_counts()).values():
         for key, count in one.counts.executions.items():
--- a/tests/daemon/test_observability.py
+++ b/tests/daemon/test_observability.py
@@ -1,4 +1,4 @@
-"""What a small cluster tells of itself: metrics and the time line of its daemons."""
+"""Metrics and time line of the daemons of a small cluster."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from berylspindle_telemetry.secret import Secret
 from berylspindle_wire.client import HttpClient
 
-# Looks at the time lines before a wait for an event is given up: some 30 s.
-TRIES = 400
+# Maximum polls of the time lines for an event, about 30 s.
+MAX_POLLS = 400
 
 
 @pytest.fixture
@@ -47,7 +47,7 @@
 
 
 async def exposition(cluster: Cluster) -> str:
-    """Return the metrics of all daemons, one after the other."""
+    """Return the concatenated metrics of all daemons."""
     texts: list[str] = []
     for daemon in cluster.plan.daemons:
         async with HttpClient(HOST, daemon.admin_port) as client:
@@ -57,24 +57,24 @@
 
 
 def total(text: str, metric: Metric, *, labels: str = "") -> float:
-    """Return the sum of the series of a metric whose labels hold the given text."""
+    """Return the sum of the series of a metric whose labels contain the given text."""
     lines = re.findall(rf"^{metric.name}(?:_count)?(\{{[^}}]*\}})? (\S+)$", text, re.MULTILINE)
     return sum(float(value) for found, value in lines if labels in found)
 
 
-async def test_the_process_and_its_log_are_measured(stack: AsyncExitStack, tmp_path: Path) -> None:
+async def test_process_and_log_metrics_are_recorded(stack: AsyncExitStack, tmp_path: Path) -> None:
     cluster = await start(stack, tmp_path)
     text = await exposition(cluster)
     for metric in (names.CPU_SECONDS, names.RESIDENT_BYTES, names.LOG_LINES, names.LOOP_LAG):
         assert total(text, metric) > 0, metric.name
 
 
-async def test_a_configuration_of_two_megabytes_reaches_its_check(
+async def test_a_configuration_of_two_megabytes_is_checked(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An operator of a large system can export its configuration and not import it.
+    """A large configuration could be exported but not imported.
 
-    The edge took bodies of a megabyte at most, while a configuration may be sixteen times as long.
+    A configuration may have 16 MB, so that the edge must not limit bodies to 1 MB.
     """
     cluster = await start(stack, tmp_path)
     async with HttpClient(HOST, cluster.plan.daemons[0].admin_port) as client:
@@ -87,17 +87,17 @@
 
 
 async def time_lines(cluster: Cluster) -> list[Event]:
-    """Return the events of all daemons in their order."""
+    """Return the events of all daemons in causal order."""
     addresses = [daemon.admin for daemon in cluster.plan.daemons]
     async with OperatorClient(addresses, token=Secret(cluster.token)) as operators:
-        told = await operators.timeline(EventFilter())
-    assert isinstance(told, FleetTimeline), told
-    return list(told.events)
+        result = await operators.timeline(EventFilter())
+    assert isinstance(result, FleetTimeline), result
+    return list(result.events)
 
 
 async def wait_for(cluster: Cluster, kind: EventKind, *, server: str = "") -> Event:
     """Return the first event of a kind."""
-    for _ in range(TRIES):
+    for _ in range(MAX_POLLS):
         for event in await time_lines(cluster):
             if event.kind is kind and server in ("", event.server):
                 return event
@@ -106,7 +106,7 @@
 
 
 async def search(cluster: Cluster, word: str, *, times: int, same: bool = False) -> None:
-    """Search through all daemons in turn, for a new word each time unless `same`."""
+    """Search through all daemons in turn, with distinct queries unless `same`."""
     for number in range(times):
         address = cluster.plan.daemons[number % len(cluster.plan.daemons)].callers
         query = word if same else f"{word} {number}"
@@ -142,8 +142,8 @@
 )
 
 
-async def test_work_shows_in_the_metrics(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A metric that a page for operators names stays at nothing, whatever happens."""
+async def test_work_is_recorded_in_the_metrics(stack: AsyncExitStack, tmp_path: Path) -> None:
+    """A documented metric could be defined but never recorded."""
     cluster = await start(stack, tmp_path)
     await search(cluster, "lot", times=8)
     await execute(cluster, "hold-1")
@@ -156,11 +156,11 @@
     assert total(text, names.STORE_CALLS, labels="compare_and_swap") > 0
 
 
-async def test_faults_show_in_the_time_line(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """The time line of an incident leaves out what the operators are looking for.
+async def test_faults_are_recorded_in_the_time_line(stack: AsyncExitStack, tmp_path: Path) -> None:
+    """The time line could omit the events that explain an incident.
 
-    A server drains and returns, another turns cold, a version is published, a search crashes the
-    servers that run it, a data centre is taken out.
+    A server warms up and drains, a version is published, a search crashes the servers that run it,
+    and a data centre is taken out.
     """
     cluster = await start(stack, tmp_path, "--restart-ms=100", "--warm-after=3")
     servers = cluster.plan.configuration.servers
@@ -171,23 +171,23 @@
     )
     await wait_for(cluster, EventKind.SERVER_LEAVING, server=servers[0].id)
     await cluster.change_backends(FaultChange(actions=(BackendAction.PUBLISH,), version=2))
-    for _ in range(TRIES):
+    for _ in range(MAX_POLLS):
         await search(cluster, "lot", times=4)
-        if await seen(cluster, EventKind.SNAPSHOT_CHANGED):
+        if await is_recorded(cluster, EventKind.SNAPSHOT_CHANGED):
             break
-    assert await seen(cluster, EventKind.SNAPSHOT_CHANGED)
-    for _ in range(TRIES):
-        # On a busy machine the second crash may come before the news of the first one; then the
-        # next canary counts.
+    assert await is_recorded(cluster, EventKind.SNAPSHOT_CHANGED)
+    for _ in range(MAX_POLLS):
+        # On a busy machine the second crash may precede the report of the first one; then the
+        # next canary is decisive.
         await search(cluster, "crash-this-server", same=True, times=len(cluster.plan.daemons))
-        if await seen(cluster, EventKind.QUARANTINED):
+        if await is_recorded(cluster, EventKind.QUARANTINED):
             break
     assert (await wait_for(cluster, EventKind.QUARANTINED)).detail
     await take_out(cluster, cluster.plan.configuration.data_centres[0].name)
     await wait_for(cluster, EventKind.DATA_CENTRE_OUT)
     events = await time_lines(cluster)
-    # What operators did at one VM stands in its order. A VM that learns of the new revision from
-    # the store may act on it before the confirming VM has its answer and records the intent.
+    # Only the order at one VM is checked: another VM that reads the new revision from the store may
+    # act on it before the confirming VM gets its reply and records the intent.
     kinds = [event.kind for event in events]
     assert kinds.index(EventKind.PLAN_MADE) < kinds.index(EventKind.INTENT_CONFIRMED)
     for daemon in {event.vm for event in events}:
@@ -196,7 +196,7 @@
     assert total(await exposition(cluster), names.QUARANTINED) >= 1
 
 
-async def seen(cluster: Cluster, kind: EventKind) -> bool:
+async def is_recorded(cluster: Cluster, kind: EventKind) -> bool:
     return any(event.kind is kind for event in await time_lines(cluster))
 
 
@@ -211,11 +211,11 @@
     assert isinstance(confirmed, Confirmation), confirmed
 
 
-async def test_every_vm_says_that_the_store_is_away(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A VM starts while the store is down and looks like any other that waits.
+async def test_a_new_vm_records_a_store_outage(stack: AsyncExitStack, tmp_path: Path) -> None:
+    """A VM that starts during a store outage might not report the outage.
 
-    The store resets each connection. A VM that is replaced meanwhile must say so, as must those
-    that run; and that it is back, once it is.
+    The store resets each connection. A VM that is replaced during the outage must record that the
+    store is unavailable, and later that it is back.
     """
     cluster = await start(stack, tmp_path)
     await cluster.change_platform(PlatformChange(set={"outage": "reset"}))
@@ -229,12 +229,12 @@
 
 
 async def wait_for_at(cluster: Cluster, plan: DaemonPlan, kind: EventKind) -> Event:
-    """Return the first event of a kind at the one daemon, which may still be starting."""
-    for _ in range(TRIES):
+    """Return the first event of a kind at one daemon, which may still be starting."""
+    for _ in range(MAX_POLLS):
         async with OperatorClient([plan.admin], token=Secret(cluster.token)) as operators:
-            told = await operators.timeline(EventFilter())
-        if isinstance(told, FleetTimeline):
-            for event in told.events:
+            result = await operators.timeline(EventFilter())
+        if isinstance(result, FleetTimeline):
+            for event in result.events:
                 if event.kind is kind:
                     return event
         await asyncio.sleep(0.05)
--- a/tests/daemon/test_shutdown_holds.py
+++ b/tests/daemon/test_shutdown_holds.py
@@ -1,4 +1,4 @@
-"""Holds that a leaving VM has under way stay known to the others until they are settled."""
+"""Executes in progress at a VM that leaves are not reported as lost by the other VMs."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 SHARDS = ("0", "1", "2", "3")
 
 
-async def test_a_hold_under_way_at_a_leaving_vm_is_not_told_as_lost(tmp_path: Path) -> None:
-    """A caller is told that nobody knows whether a pallet is held, while it is being held.
+async def test_an_execute_in_progress_at_a_leaving_vm_is_not_reported_as_lost(
+    tmp_path: Path,
+) -> None:
+    """An execute that still runs could be reported as unknown after its VM left the view.
 
-    A VM gets SIGTERM with holds under way at servers that other VMs own. It leaves the view before
-    they are settled, and a caller sends one of them again through another VM.
+    A VM gets SIGTERM with executes in progress at servers that other VMs own. It leaves the view
+    before they finish, and a caller sends them again through another VM.
     """
     settings = {"BERYLSPINDLE_UNREADY_SECONDS": "0.2"}
     async with AsyncExitStack() as stack:
@@ -34,8 +36,9 @@
             await stack.enter_async_context(CallerClient([daemon.callers], caller=daemon.vm))
             for daemon in (leaving, other)
         ]
-        # All holds run at the servers of the other data centre, which other VMs own: these drain,
-        # so that what reaches them was surely not run. A reset would leave that open.
+        # The servers of the VM's own data centre drain, so that all executes run in the other one,
+        # whose servers other VMs own. Draining servers refuse with "not run"; a reset would leave
+        # open whether the execute ran.
         await cluster.change_backends(
             FaultChange(data_centre=leaving.data_centre, actions=(BackendAction.DRAIN,))
         )
@@ -51,10 +54,10 @@
             counts = await cluster.backend_counts()
             started = sum(one.counts.executes_started for one in counts.values())
         cluster.daemons[leaving.vm].send(signal.SIGTERM)
-        told = []
+        results = []
         while not all(hold.done() for hold in holds):
-            told += [await second.execute("lots", s, f"hold-{s}", {}) for s in SHARDS]
-        ran = await asyncio.gather(*holds)
-    assert all(isinstance(one, ExecuteAnswer) for one in ran)
-    kinds = {one.kind for one in told if isinstance(one, Refused)}
+            results += [await second.execute("lots", s, f"hold-{s}", {}) for s in SHARDS]
+        answers = await asyncio.gather(*holds)
+    assert all(isinstance(one, ExecuteAnswer) for one in answers)
+    kinds = {one.kind for one in results if isinstance(one, Refused)}
     assert kinds == {ErrorKind.IN_PROGRESS}
--- a/tests/daemon/test_stamped_transport.py
+++ b/tests/daemon/test_stamped_transport.py
@@ -1,4 +1,4 @@
-"""The order of events over two VMs whose wall clocks differ."""
+"""Order of events at two VMs whose wall clocks differ."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Wire(Transport):
-    """Bring messages to the other VM at once."""
+    """Deliver messages to the other VM immediately."""
 
     def __init__(self) -> None:
         self.on_datagram: Callable[[bytes], None] = lambda _: None
@@ -38,7 +38,7 @@
 
 
 class Side:
-    """One VM: its clock, its time line and its stamped transport."""
+    """The clock, time line and stamped transport of one VM."""
 
     def __init__(self, vm: str, wall: Callable[[], float]) -> None:
         self.metrics = Metrics()
@@ -60,21 +60,23 @@
 
 
 def pair(behind: float = BEHIND_SECONDS) -> tuple[Side, Side]:
-    """Return two VMs of which the second one's wall clock is behind."""
-    ahead, late = Side("a", lambda: 1000.0), Side("b", lambda: 1000.0 - behind)
-    for one, other in ((ahead, late), (late, ahead)):
+    """Return two VMs; the wall clock of the second one is behind."""
+    ahead, behind_vm = Side("a", lambda: 1000.0), Side("b", lambda: 1000.0 - behind)
+    for one, other in ((ahead, behind_vm), (behind_vm, ahead)):
         one.wire.on_datagram = other.on_datagram
         one.wire.method = other.stamper.sealing(other.answer)
-    return ahead, late
+    return ahead, behind_vm
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=50)
 @given(st.lists(st.booleans(), min_size=1, max_size=12), st.floats(-5.0, 5.0))
-def test_what_a_datagram_causes_sorts_after_its_cause(turns: list[bool], behind: float) -> None:
-    """A reader of the time line sees a revision adopted before an operator confirmed it.
+def test_the_effect_of_a_datagram_is_ordered_after_its_cause(
+    turns: list[bool], behind: float
+) -> None:
+    """The time line could show a revision as adopted before its confirmation.
 
-    One VM records an event and tells the other by a datagram; the other records what follows and
-    tells it back. Their wall clocks are up to five seconds apart.
+    One VM records an event and sends a datagram; the other records the effect and replies in the
+    same way. Their wall clocks differ by up to 5 s.
     """
     sides = pair(behind)
     for first in turns:
@@ -82,29 +84,29 @@
         cause = sender.timeline.record(EventKind.INTENT_CONFIRMED)
         sender.transport.send(("127.0.0.1", 1), b"news")
         assert cause.order < receiver.last().order
-    # Together with the order on each VM, this puts every event after all that led to it.
+    # Together with the order at each VM, this orders every event after all its causes.
     for side in sides:
         orders = [event.order for event in side.timeline.select().events]
         assert orders == sorted(orders)
 
 
-async def test_an_answer_brings_the_time_of_the_vm_that_answered() -> None:
-    """What followed from a peer's answer stands before what the peer did.
+async def test_a_response_carries_the_time_of_the_responding_vm() -> None:
+    """The effect of a peer's response could be recorded before its cause.
 
-    The VM that asks is five seconds behind the one that answers.
+    The clock of the calling VM is 5 s behind that of the responding VM.
     """
-    ahead, late = pair()
-    asked = late.timeline.record(EventKind.PLAN_MADE)
-    assert await late.transport.call(VM, METHOD, b"ask", timeout=1.0) == b"ask"
-    followed = late.timeline.record(EventKind.CONFIGURATION_ADOPTED)
-    order = [asked, ahead.last(), followed]
+    ahead, behind_vm = pair()
+    requested = behind_vm.timeline.record(EventKind.PLAN_MADE)
+    assert await behind_vm.transport.call(VM, METHOD, b"ask", timeout=1.0) == b"ask"
+    adopted = behind_vm.timeline.record(EventKind.CONFIGURATION_ADOPTED)
+    order = [requested, ahead.last(), adopted]
     assert order == sorted(order, key=lambda event: event.order)
 
 
 async def test_a_message_without_a_stamp_is_counted_and_dropped() -> None:
-    """A datagram cut short ends the task that reads datagrams.
+    """A truncated message could end the task that reads datagrams.
 
-    A message of four bytes comes in, by a datagram and as the answer of a call.
+    A message of four bytes arrives as a datagram and as the response to a call.
     """
     ahead, _ = pair()
 
--- a/tests/daemon/test_store_silent.py
+++ b/tests/daemon/test_store_silent.py
@@ -1,4 +1,4 @@
-"""A store that takes calls and answers none: callers still hear in time what became of theirs."""
+"""A store that accepts calls and never answers: callers still get responses in time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from berylspindle_standins.backend_faults import FaultChange
 from berylspindle_standins.platform_faults import PlatformChange
 
-# Under the time-outs of the store, tries and all; the client waits a quarter second longer.
+# Below the timeouts of the store including retries; the client waits 0.25 s longer.
 DEADLINE_MS = 900
 SILENT = PlatformChange(set={"outage": "silent"})
 
@@ -29,24 +29,24 @@
         await cluster.change_platform(PlatformChange(clear=True))
 
 
-async def test_a_hold_that_cannot_be_claimed_is_refused_in_time(cluster: Cluster) -> None:
-    """A distributor on the phone hears nothing at all about a pallet.
+async def test_an_execute_that_cannot_be_claimed_is_refused_in_time(cluster: Cluster) -> None:
+    """A caller could get no response while the VM waits for the store.
 
-    The store takes the claim and stays silent, for longer than the caller waits.
+    The store accepts the claim and does not answer before the deadline of the caller.
     """
     async with CallerClient([cluster.plan.daemons[0].callers], caller="test") as caller:
-        # The VM has its lease for claims from an earlier hold.
+        # The VM has its lease for claims from an earlier execute.
         assert isinstance(await caller.execute("lots", "0", "hold-0", {}), ExecuteAnswer)
         await cluster.change_platform(SILENT)
-        told = await caller.execute("lots", "0", "hold-1", {}, deadline_ms=2 * DEADLINE_MS)
-    assert isinstance(told, Refused), told
-    assert (told.kind, told.run) == (ErrorKind.STORE_AWAY, RunState.NOT_RUN)
+        result = await caller.execute("lots", "0", "hold-1", {}, deadline_ms=2 * DEADLINE_MS)
+    assert isinstance(result, Refused), result
+    assert (result.kind, result.run) == (ErrorKind.STORE_AWAY, RunState.NOT_RUN)
 
 
-async def test_a_hold_that_ran_is_told_though_the_store_has_gone_silent(cluster: Cluster) -> None:
-    """A pallet is held and its caller is not told.
+async def test_an_execute_that_ran_is_answered_though_the_store_is_silent(cluster: Cluster) -> None:
+    """The result of an execute could be withheld because its outcome can't be stored.
 
-    The store falls silent between the claim and the outcome, while the backend server works.
+    The store stops answering between the claim and the outcome, while the backend server works.
     """
     await cluster.change_backends(FaultChange(set={"delay_ms": 400.0}))
     async with CallerClient([cluster.plan.daemons[0].callers], caller="test") as caller:
@@ -59,5 +59,5 @@
                 break
             await asyncio.sleep(0.002)
         await cluster.change_platform(SILENT)
-        told = await work
-    assert isinstance(told, ExecuteAnswer), told
+        result = await work
+    assert isinstance(result, ExecuteAnswer), result
--- a/tests/daemon/test_vm_loss.py
+++ b/tests/daemon/test_vm_loss.py
@@ -1,4 +1,4 @@
-"""What callers see when a VM is lost under their searches."""
+"""Searches in progress when a VM is killed."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from socket_helpers import DEADLINE_MS, SERVICE, client, start
+from socket_helpers import DEADLINE_MS, SERVICE, open_caller, start_small_cluster
 
 from berylspindle_model.configuration import Policy, Preference
 from berylspindle_model.messages import SearchAnswer
 
 
-async def test_a_lost_vm_costs_its_searches_no_shard(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A buyers' agent is told that records are missing, though a replica of each shard is there.
+async def test_searches_through_a_killed_owner_miss_no_shard(
+    stack: AsyncExitStack, tmp_path: Path
+) -> None:
+    """Searches could miss shards although a replica of each is available.
 
-    The VM that owns two servers is killed while four searches wait there. Their link breaks; that
-    no longer counts as a crash of the backend server, whose searches must not be tried again.
+    A VM that owns two servers is killed while four searches wait there. The broken link to the VM
+    must not be taken for a crash of the backend server, after which searches aren't retried.
     """
     policy = Policy(prefer=Preference.COVERAGE, deadline_ms=DEADLINE_MS, hedge_share=0.0)
-    cluster = await start(stack, tmp_path, "--mean-ms=150", policy=policy)
-    caller = await client(stack, cluster, 1)
+    cluster = await start_small_cluster(stack, tmp_path, "--mean-ms=150", policy=policy)
+    caller = await open_caller(stack, cluster, 1)
     for number in range(3):
         await caller.search(SERVICE, f"lot {number}", deadline_ms=DEADLINE_MS)
     searches = [
@@ -30,6 +32,6 @@
     ]
     await asyncio.sleep(0.1)
     cluster.daemons[cluster.plan.daemons[0].vm].send(signal.SIGKILL)
-    told = await asyncio.gather(*searches)
-    missing = [one.coverage.missing for one in told if isinstance(one, SearchAnswer)]
+    result = await asyncio.gather(*searches)
+    missing = [one.coverage.missing for one in result if isinstance(one, SearchAnswer)]
     assert missing == [()] * 4
