--- a/libs/bench/berylspindle_bench/baseline.py
+++ b/libs/bench/berylspindle_bench/baseline.py
@@ -1,15 +1,15 @@
-"""A baseline to measure against: each VM on its own, without owners, hedges or admission.
+"""Baseline query tier for benchmarks: independent VMs without owners, hedges or admission control.
 
 Terms:
-  policy         how one replica of each shard is chosen, and what bounds the work at it
-  random         any replica, nothing bounded
-  two-choices    of two random replicas the one with less work of this VM, nothing bounded
-  static-shares  any replica, with this VM's equal part of the server's slots, at least one
-
-Flow: it serves the callers' route of searches on the same HTTP library, asks one replica of each
-shard through the same adapter, and merges what came by the deadline. It reads the configuration
-from the store every two seconds, so that it learns of a data centre that was taken out, and it pins
-no snapshot.
+  policy         how a replica of each shard is selected, and the limit on concurrent attempts
+  random         a uniformly random replica, no limit
+  two-choices    of two random replicas the one with fewer attempts of this VM, no limit
+  static-shares  a random replica, limited to this VM's equal share of its slots, at least one
+
+Flow: a baseline VM serves the search route for callers with the same HTTP library, sends one
+attempt for each shard through the same backend client, and merges the replies that arrive before
+the deadline. It polls the configuration in the store every two seconds to detect that a data centre
+was taken out, and does not pin a snapshot.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 from berylspindle_wire.http_errors import refusal_response
 from berylspindle_wire.http_server import serve
 
-POLL_SECONDS: Final = 2.0
+POLL_INTERVAL_S: Final = 2.0
 HOST: Final = "127.0.0.1"
 
 
 class BaselinePolicy(enum.StrEnum):
-    """How a baseline chooses and bounds."""
+    """Replica selection and concurrency limit of a baseline."""
 
     RANDOM = "random"
     TWO_CHOICES = "two-choices"
@@ -50,23 +50,23 @@
 
 
 class _Replica:
-    """One backend server as one baseline VM uses it."""
+    """Connections and outstanding attempts of one baseline VM at one backend server."""
 
-    def __init__(self, server: Server, share: int | None) -> None:
+    def __init__(self, server: Server, slot_limit: int | None) -> None:
         self.server: Final = server
         self.outstanding = 0
         self.backend: Final[HttpBackend] = open_http_backend(
             server, BackendOptions(connect_timeout=1.0), lambda _: None
         )
-        self._places = asyncio.Semaphore(share) if share is not None else None
+        self._slots = asyncio.Semaphore(slot_limit) if slot_limit is not None else None
 
     async def run(self, attempt: Attempt, deadline_ms: int) -> AttemptReply:
-        """Run one attempt, after a wait for a place where places are bounded."""
+        """Run one attempt. Wait for a free slot first if the slots are limited."""
         self.outstanding += 1
         try:
-            if self._places is None:
+            if self._slots is None:
                 return await self.backend.run(attempt, deadline_ms=deadline_ms)
-            async with self._places:
+            async with self._slots:
                 return await self.backend.run(attempt, deadline_ms=deadline_ms)
         finally:
             self.outstanding -= 1
@@ -78,25 +78,25 @@
     def __init__(self, policy: BaselinePolicy, vms: int, seed: int) -> None:
         self._policy: Final = policy
         self._vms: Final = vms
-        self._random: Final = random.Random(seed)
+        self._rng: Final = random.Random(seed)
         self._ids: Final = itertools.count(1)
         self._prefix: Final = f"baseline-{seed}"
         self._configuration: Configuration | None = None
         self._replicas: dict[str, _Replica] = {}
 
-    async def follow(self, store: Store) -> None:
-        """Read the configuration again and again, until cancelled."""
+    async def poll_configuration(self, store: Store) -> None:
+        """Poll the configuration until cancelled. A failed read is repeated after the interval."""
         while True:
             try:
                 entry = await store.get(CONFIGURATION_KEY)
                 if entry is not None and entry.value is not None:
-                    self._adopt(from_stored(entry.value))
+                    self._apply(from_stored(entry.value))
             except StoreError:
                 pass
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one search, or the balancer."""
+        """Handle a search or a readiness check of the load balancer."""
         if request.path == protocol.READY_PATH:
             status = 200 if self._configuration is not None else 503
             return json_response(status, b"{}")
@@ -115,24 +115,24 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await asyncio.gather(*(one.backend.close() for one in self._replicas.values()))
+        await asyncio.gather(*(replica.backend.close() for replica in self._replicas.values()))
 
     def _service(self, name: str) -> Service | None:
         return self._configuration.service(name) if self._configuration is not None else None
 
-    def _adopt(self, configuration: Configuration) -> None:
+    def _apply(self, configuration: Configuration) -> None:
         self._configuration = configuration
         for server in configuration.servers:
             if server.id not in self._replicas:
-                bounded = self._policy is BaselinePolicy.STATIC_SHARES
-                share = max(1, server.slots // self._vms) if bounded else None
-                self._replicas[server.id] = _Replica(server, share)
+                is_limited = self._policy is BaselinePolicy.STATIC_SHARES
+                slot_limit = max(1, server.slots // self._vms) if is_limited else None
+                self._replicas[server.id] = _Replica(server, slot_limit)
 
     async def _fan_out(
         self, service: Service, body: protocol.SearchBody, deadline_ms: int
     ) -> list[AttemptReply]:
         tasks = [
-            asyncio.ensure_future(self._ask(service, shard, body, deadline_ms))
+            asyncio.ensure_future(self._run_attempt(service, shard, body, deadline_ms))
             for shard in service.shards
         ]
         done, pending = await asyncio.wait(tasks, timeout=deadline_ms * 0.95 / 1000)
@@ -140,12 +140,12 @@
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
         replies = [task.result() for task in done]
-        good = [reply for reply in replies if reply is not None and reply.error is None]
-        if not good:
+        successful = [reply for reply in replies if reply is not None and reply.error is None]
+        if not successful:
             raise TimeoutError
-        return good
+        return successful
 
-    async def _ask(
+    async def _run_attempt(
         self, service: Service, shard: str, body: protocol.SearchBody, deadline_ms: int
     ) -> AttemptReply | None:
         replica = self._choose(service, shard)
@@ -173,8 +173,8 @@
         if not usable:
             return None
         if self._policy is BaselinePolicy.TWO_CHOICES and len(usable) > 1:
-            return min(self._random.sample(usable, 2), key=lambda one: one.outstanding)
-        return self._random.choice(usable)
+            return min(self._rng.sample(usable, 2), key=lambda replica: replica.outstanding)
+        return self._rng.choice(usable)
 
     def _answer(
         self, service: Service, body: protocol.SearchBody, replies: list[AttemptReply]
@@ -198,7 +198,7 @@
 async def run_baseline(
     policy: BaselinePolicy, *, vms: int, listen_port: int, store_port: int, seed: int
 ) -> None:
-    """Serve one baseline VM until a signal ends it."""
+    """Serve one baseline VM until SIGTERM or SIGINT."""
     stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopped.set)
@@ -206,8 +206,8 @@
         store = await stack.enter_async_context(open_store(HOST, store_port))
         baseline = Baseline(policy, vms, seed)
         stack.push_async_callback(baseline.close)
-        following = asyncio.get_running_loop().create_task(baseline.follow(store))
-        stack.callback(following.cancel)
+        polling = asyncio.get_running_loop().create_task(baseline.poll_configuration(store))
+        stack.callback(polling.cancel)
         server = await serve(baseline.handle, host=HOST, port=listen_port)
         stack.push_async_callback(server.close, 0.0)
         await stopped.wait()
--- a/libs/bench/berylspindle_bench/capacity.py
+++ b/libs/bench/berylspindle_bench/capacity.py
@@ -1,13 +1,12 @@
-"""Write the tables of slopes in docs/MEASUREMENTS.md.
+"""Write the capacity tables of docs/MEASUREMENTS.md.
 
 Terms:
-  plan     the size to design for, `PLAN`
-  demand   what one role needs at that size: a slope times how often the plan asks for it
-  factor   how many times the limit the demand is
+  planned size   the deployment to design for, `PLANNED_SIZE`
+  demand         resources that one role needs at the planned size: a slope times its rate of use
 
 Flow: `measure_capacity` measures all series and fits the slopes; `write_capacity` stores the points
-as data and puts the two tables between the markers of the page. The text around them is written by
-hand and speaks of what the tables say.
+as JSON and replaces the tables between the markers of the page. The text around the tables is
+written by hand and refers to their contents.
 """
 
 from __future__ import annotations
@@ -18,9 +17,9 @@
 
 import attrs
 
-from berylspindle_bench.capacity_slopes import Point, Slope, all_points, slopes
+from berylspindle_bench.capacity_slopes import Point, Slope, fit_slopes, measure_points
 from berylspindle_bench.wire_rates import Row as WireRow
-from berylspindle_bench.wire_rates import measure as measure_wire
+from berylspindle_bench.wire_rates import measure_messages
 from berylspindle_model import codec
 
 BEGIN: Final = "<!-- tables: begin -->"
@@ -29,50 +28,50 @@
 
 
 @attrs.frozen(kw_only=True)
-class SizePlan:
-    """The size to design for, and the limits of control for each node."""
+class PlannedSize:
+    """Deployment to design for, and the limits of the control plane on each node."""
 
     nodes: int = 940
     servers: int = 5200
     queries: float = 220_000.0
     shards: int = 470
     data_centres: int = 5
-    changes_a_day: float = 4100.0
-    replaced_a_day: float = 408.0
-    control_core: float = 0.041
-    control_bytes: float = 4096.0
-    control_memory: float = 256.0 * 1024 * 1024
+    changes_per_day: float = 4100.0
+    replacements_per_day: float = 408.0
+    control_cores: float = 0.041
+    control_bytes_per_s: float = 4096.0
+    control_memory_bytes: float = 256.0 * 1024 * 1024
 
     @property
-    def attempts_a_node(self) -> float:
-        """Return the sub-requests a second that each node has as an entry, and as an owner."""
+    def attempts_per_node(self) -> float:
+        """Return the sub-requests per second of each node as an entry, and equally as an owner."""
         return self.queries * self.shards / self.nodes
 
     @property
-    def members(self) -> float:
-        """Return the VMs of one data centre."""
+    def vms_per_data_centre(self) -> float:
+        """Return the number of VMs in one data centre."""
         return self.nodes / self.data_centres
 
 
-PLAN: Final = SizePlan()
-DAY: Final = 86_400.0
+PLANNED_SIZE: Final = PlannedSize()
+SECONDS_PER_DAY: Final = 86_400.0
 
 DAEMONS: Final = "several daemons a VM, since entries and owners share nothing"
 GROUPING: Final = "grouping by owner; 50 attempts a message where owners are few"
-NONE: Final = "none at this size"
+NOT_NEEDED: Final = "none at this size"
 SHARED_BODY: Final = "sub-requests of several searches in one body; backend servers must offer it"
-PART: Final = "part of the first row"
+PART_OF_FIRST_ROW: Final = "part of the first row"
 MERGING: Final = "owners merge what they hold of one search"
 IN_MEMORY: Final = "one document in memory, replaced whole"
 DELTAS: Final = "deltas by entity, pulled once"
-NOT_TAKEN: Final = "not taken: deltas"
+REPLACED_BY_DELTAS: Final = "not taken: deltas"
 RENDEZVOUS: Final = "rendezvous hashing, kept by view"
 WATCHERS: Final = "two watchers a data centre; all others apply deltas"
 
 
 @attrs.frozen(kw_only=True)
 class Capacity:
-    """All that was measured."""
+    """All measured points, fitted slopes and message costs."""
 
     points: tuple[Point, ...]
     slopes: tuple[Slope, ...]
@@ -81,10 +80,10 @@
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """One row of the sums. `limit` is None where the plan names none."""
+    """One row of the demand table. `limit` is None if the planned size sets no limit."""
 
     role: str
-    what: str
+    item: str
     amount: float
     unit: str
     limit: float | None
@@ -92,13 +91,13 @@
 
 
 def measure_capacity() -> Capacity:
-    """Measure every series; takes about a minute."""
-    points = tuple(all_points())
-    return Capacity(points=points, slopes=tuple(slopes(points)), wire=tuple(measure_wire()))
+    """Measure every series. This takes about a minute."""
+    points = tuple(measure_points())
+    return Capacity(points=points, slopes=tuple(fit_slopes(points)), wire=tuple(measure_messages()))
 
 
 def write_capacity(capacity: Capacity, page: Path) -> None:
-    """Store the points beside the page and write its tables."""
+    """Write the points to a JSON file next to the page and replace the tables of the page."""
     page.with_name(POINTS_FILE).write_bytes(codec.to_json(capacity) + b"\n")
     text = page.read_text(encoding="utf-8")
     before, _, rest = text.partition(BEGIN)
@@ -108,71 +107,101 @@
 
 
 def demands(capacity: Capacity) -> list[Demand]:
-    """Return what each role needs at the size of the plan."""
+    """Return the demand of each role at the planned size."""
     return [*_data_demands(capacity), *_control_demands(capacity)]
 
 
 def _data_demands(capacity: Capacity) -> list[Demand]:
-    """Return the rows of the path of a request: cores a node, by processor time a sub-request."""
-    per, http = _per(capacity), "HTTP, calls in a body"
-    wire = _wire_us(capacity, "attempts over a stream, 10 a batch")
-    shared = _at(capacity, http, 20) / 20
+    """Return the rows of the data plane: cores per node from CPU time per sub-request."""
+    slope_of, http = _slope_lookup(capacity), "HTTP, calls in a body"
+    wire = _message_us(capacity, "attempts over a stream, 10 a batch")
+    shared = _cost_at(capacity, http, 20) / 20
     rows = (
-        ("entry", "fan-out, choice, merging", per("entry, a search by shards"), DAEMONS),
+        ("entry", "fan-out, choice, merging", slope_of("entry, a search by shards"), DAEMONS),
         ("entry and owner", "messages between VMs, 10 attempts each", wire, GROUPING),
-        ("owner", "queue, cap, accounting", per("owner, attempts"), DAEMONS),
-        ("owner and server", "HTTP, one call a body, both sides", _at(capacity, http, 1), NONE),
+        ("owner", "queue, cap, accounting", slope_of("owner, attempts"), DAEMONS),
+        (
+            "owner and server",
+            "HTTP, one call a body, both sides",
+            _cost_at(capacity, http, 1),
+            NOT_NEEDED,
+        ),
         ("owner and server", "the same with 20 calls a body", shared, SHARED_BODY),
-        ("entry", "reading replies, each shard's own", per("entry, replies as they come"), PART),
-        ("entry", "the same, merged at the owner", per("entry, merged at the owner"), MERGING),
+        (
+            "entry",
+            "reading replies, each shard's own",
+            slope_of("entry, replies as they come"),
+            PART_OF_FIRST_ROW,
+        ),
+        ("entry", "the same, merged at the owner", slope_of("entry, merged at the owner"), MERGING),
     )
     return [
         Demand(
             role=role,
-            what=what,
-            amount=micros * PLAN.attempts_a_node / 1e6,
+            item=item,
+            amount=attempt_us * PLANNED_SIZE.attempts_per_node / 1e6,
             unit="cores",
             limit=None,
             mechanism=mechanism,
         )
-        for role, what, micros, mechanism in rows
+        for role, item, attempt_us, mechanism in rows
     ]
 
 
 def _control_demands(capacity: Capacity) -> list[Demand]:
-    """Return the rows of control on each VM."""
-    per = _per(capacity)
-    changes = PLAN.changes_a_day / DAY
-    view_changes = 2 * PLAN.replaced_a_day / PLAN.data_centres / DAY
-    memory = per("configuration, memory") * PLAN.servers
-    delta = per("configuration, packed") * changes
-    view = _at(capacity, "owners after a view change", 188) / 1000 * view_changes
-    parse = per("configuration, parse and check") * PLAN.servers / 1000 * changes
+    """Return the rows of the control plane on each VM."""
+    slope_of = _slope_lookup(capacity)
+    changes = PLANNED_SIZE.changes_per_day / SECONDS_PER_DAY
+    view_changes = (
+        2 * PLANNED_SIZE.replacements_per_day / PLANNED_SIZE.data_centres / SECONDS_PER_DAY
+    )
+    memory = slope_of("configuration, memory") * PLANNED_SIZE.servers
+    delta = slope_of("configuration, packed") * changes
+    view = _cost_at(capacity, "owners after a view change", 188) / 1000 * view_changes
+    parse = slope_of("configuration, parse and check") * PLANNED_SIZE.servers / 1000 * changes
     rows = (
-        ("memory of the configuration", memory, "bytes", PLAN.control_memory, IN_MEMORY),
-        ("changes as deltas", delta, "bytes/s", PLAN.control_bytes, DELTAS),
-        ("changes as documents", delta * PLAN.servers, "bytes/s", PLAN.control_bytes, NOT_TAKEN),
-        ("owners after joins and departures", view, "cores", PLAN.control_core, RENDEZVOUS),
-        ("a watcher's reading and checking", parse, "cores", PLAN.control_core, WATCHERS),
+        (
+            "memory of the configuration",
+            memory,
+            "bytes",
+            PLANNED_SIZE.control_memory_bytes,
+            IN_MEMORY,
+        ),
+        ("changes as deltas", delta, "bytes/s", PLANNED_SIZE.control_bytes_per_s, DELTAS),
+        (
+            "changes as documents",
+            delta * PLANNED_SIZE.servers,
+            "bytes/s",
+            PLANNED_SIZE.control_bytes_per_s,
+            REPLACED_BY_DELTAS,
+        ),
+        (
+            "owners after joins and departures",
+            view,
+            "cores",
+            PLANNED_SIZE.control_cores,
+            RENDEZVOUS,
+        ),
+        ("a watcher's reading and checking", parse, "cores", PLANNED_SIZE.control_cores, WATCHERS),
     )
     return [
         Demand(
-            role="every VM", what=what, amount=amount, unit=unit, limit=limit, mechanism=mechanism
+            role="every VM", item=item, amount=amount, unit=unit, limit=limit, mechanism=mechanism
         )
-        for what, amount, unit, limit, mechanism in rows
+        for item, amount, unit, limit, mechanism in rows
     ]
 
 
-def _per(capacity: Capacity) -> Callable[[str], float]:
+def _slope_lookup(capacity: Capacity) -> Callable[[str], float]:
     by_series = {slope.series: slope.per for slope in capacity.slopes}
     return by_series.__getitem__
 
 
-def _at(capacity: Capacity, series: str, size: int) -> float:
+def _cost_at(capacity: Capacity, series: str, size: int) -> float:
     return next(p.cost for p in capacity.points if (p.series, p.size) == (series, size))
 
 
-def _wire_us(capacity: Capacity, case: str) -> float:
+def _message_us(capacity: Capacity, case: str) -> float:
     row = next(row for row in capacity.wire if row.name == case)
     return row.sender_us + row.receiver_us
 
@@ -183,8 +212,8 @@
         "| --- | --- | ---: | ---: | ---: |",
     ]
     for slope in capacity.slopes:
-        mine = [p for p in capacity.points if p.series == slope.series]
-        points = ", ".join(f"{p.size}: {p.cost:,.0f}" for p in mine)
+        series_points = [p for p in capacity.points if p.series == slope.series]
+        points = ", ".join(f"{p.size}: {p.cost:,.0f}" for p in series_points)
         lines.append(
             f"| {slope.series} | {points} {slope.unit} | {slope.per:,.3g} {slope.unit} "
             f"| {slope.base:,.3g} | {slope.fit:.3f} |"
@@ -213,12 +242,15 @@
         limit = f"{row.limit:,.3g}" if row.limit is not None else "none named"
         share = f"{row.amount / row.limit:.1%}" if row.limit is not None else "-"
         lines.append(
-            f"| {row.role} | {row.what} | {row.amount:,.3g} {row.unit} | {limit} | {share} "
+            f"| {row.role} | {row.item} | {row.amount:,.3g} {row.unit} | {limit} | {share} "
             f"| {row.mechanism} |"
         )
     return "\n".join(lines)
 
 
-def slope_lines(found: Sequence[Slope]) -> list[str]:
-    """Return one line of text for each slope, for the console."""
-    return [f"{one.series}: {one.per:,.4g} {one.unit} each, fit {one.fit:.3f}" for one in found]
+def slope_lines(slopes: Sequence[Slope]) -> list[str]:
+    """Return one line of console output for each slope."""
+    return [
+        f"{slope.series}: {slope.per:,.4g} {slope.unit} each, fit {slope.fit:.3f}"
+        for slope in slopes
+    ]
--- a/libs/bench/berylspindle_bench/capacity_fakes.py
+++ b/libs/bench/berylspindle_bench/capacity_fakes.py
@@ -1,8 +1,8 @@
-"""Parts of a data plane whose neighbours answer at once, so that only their own cost is measured.
+"""Data plane components with fake peers that answer at once, to measure the component alone.
 
-Flow: `instant_entry` gives an entry whose owners are `InstantOwners`, `instant_worker` a worker
-whose backend server is an `InstantBackend`; `make_configuration` and `make_view` give state of any
-size.
+Flow: `instant_entry` returns an entry whose owners are `InstantOwners`, `instant_worker` a server
+worker whose backend server is an `InstantBackend`; `make_configuration` and `make_view` return
+cluster state of a given size.
 """
 
 from __future__ import annotations
@@ -38,44 +38,47 @@
 from berylspindle_telemetry.timeline import Timeline
 
 SNAPSHOT: Final = Snapshot(1, 1)
-SHARDS_A_SERVICE: Final = 470
+SHARDS_PER_SERVICE: Final = 470
 
 
 class InstantOwners:
-    """Owners that answer every attempt in the next turn of the event loop, a shard always alike."""
+    """Owners that answer every attempt in the next iteration of the event loop.
+
+    All replies of one shard have the same hits.
+    """
 
     def __init__(self, *, hits: int) -> None:
         self._hits: Final = hits
-        self._random: Final = random.Random(1)
+        self._rng: Final = random.Random(1)
         self._replies: dict[str, AttemptReply] = {}
         self.batches = 0
 
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Answer a batch, each attempt with its own reply."""
+        """Schedule one reply for each attempt of the batch."""
         self.batches += 1
         asyncio.get_running_loop().call_soon(self._answer, batch, on_reply)
 
     def cancel(self, vm: Vm, attempts: Sequence[str]) -> None:
-        """Ignore it: everything is answered already."""
+        """Do nothing: every attempt has been answered."""
 
     def _answer(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         for attempt in batch.attempts:
             reply = self._replies.get(attempt.shard)
             if reply is None:
-                reply = reply_to(attempt.shard, self._hits, self._random)
+                reply = make_reply(attempt.shard, self._hits, self._rng)
                 self._replies[attempt.shard] = reply
             on_reply(attrs.evolve(reply, attempt=attempt.id, server=attempt.server))
 
 
-class NoOwner(OwnDispatcher):
-    """This VM owns nothing, so that every batch goes to other VMs."""
+class NoLocalOwner(OwnDispatcher):
+    """Local dispatcher of a VM that owns no server: every batch goes to another VM."""
 
     def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
-        """Refuse: no view names this VM."""
+        """Raise NotImplementedError: no view contains this VM."""
         raise NotImplementedError
 
     def cancel(self, attempts: Sequence[str]) -> None:
-        """Refuse likewise."""
+        """Raise NotImplementedError: no view contains this VM."""
         raise NotImplementedError
 
 
@@ -83,42 +86,45 @@
     """A backend server that answers at once."""
 
     async def run(self, attempt: Attempt, *, deadline_ms: int) -> AttemptReply:
-        """Answer an attempt without hits."""
+        """Return a reply without hits."""
         return AttemptReply(
             attempt=attempt.id, server=attempt.server, shard=attempt.shard, snapshot=SNAPSHOT
         )
 
     async def report(self) -> BackendReport | None:
-        """Give no report."""
+        """Return no report."""
         return None
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there is no connection."""
 
 
-class AlwaysHeld(DispatchRights):
-    """The right of a VM that nobody disputes."""
+class UnconditionalRights(DispatchRights):
+    """Dispatch rights that are held for every server."""
 
     def level(self, server_id: str, now: float) -> RightLevel:
-        """Hold every right."""
+        """Return that the right is held."""
         return RightLevel.HELD
 
     def usable_from(self, server_id: str) -> float:
-        """Use every server from the start."""
+        """Return a time before any other: every server is usable at once."""
         return float("-inf")
 
 
 def instant_entry(owners: InstantOwners, *, shards: int) -> tuple[Entry, ClusterState]:
-    """Return an entry before instant owners, and the state that it has adopted but for itself."""
+    """Return an entry whose owners answer at once, and a cluster state.
+
+    The router has adopted the state, the entry itself has not.
+    """
     configuration = make_configuration(shards * 3, shards=shards)
     views = tuple(make_view(40, dc.name) for dc in configuration.data_centres)
     state = ClusterState(configuration=configuration, views=views)
-    me = Vm(id="entry", data_centre="dc-0", host="127.0.0.1", peer_port=1)
+    local_vm = Vm(id="entry", data_centre="dc-0", host="127.0.0.1", peer_port=1)
     table = OwnerTable()
     table.adopt(views)
-    router = Router(me=me, owners=table, own=NoOwner(), links=owners)
+    router = Router(me=local_vm, owners=table, own=NoLocalOwner(), links=owners)
     router.adopt(state)
-    timeline = Timeline(me.id)
+    timeline = Timeline(local_vm.id)
     numbers = itertools.count()
     tools = EntryTools(
         metrics=Metrics(),
@@ -137,9 +143,9 @@
 def instant_worker(
     backend: InstantBackend,
 ) -> tuple[ServerWorker, Callable[[Attempt], asyncio.Future[AttemptReply]]]:
-    """Return a worker of an instant backend server, and what submits an attempt to it."""
+    """Return a worker whose backend server answers at once, and a function to submit an attempt."""
     tools = WorkerTools(
-        rights=AlwaysHeld(),
+        rights=UnconditionalRights(),
         metrics=Metrics(),
         timeline=Timeline("vm"),
         now=time.monotonic,
@@ -159,9 +165,9 @@
 
 
 def make_configuration(
-    servers: int, *, shards: int = SHARDS_A_SERVICE, data_centres: int = 5
+    servers: int, *, shards: int = SHARDS_PER_SERVICE, data_centres: int = 5
 ) -> Configuration:
-    """Return a configuration of one service with this many backend servers."""
+    """Return a configuration with one service and the given number of backend servers."""
     names = [f"dc-{number}" for number in range(data_centres)]
     return Configuration(
         revision=1,
@@ -194,7 +200,7 @@
 
 
 def make_view(members: int, data_centre: str = "dc-0") -> View:
-    """Return a view with this many members."""
+    """Return a view with the given number of members."""
     vms = [
         Vm(id=f"{data_centre}-{n:04}", data_centre=data_centre, host="127.0.0.1", peer_port=1 + n)
         for n in range(members)
@@ -202,9 +208,9 @@
     return View(data_centre=data_centre, epoch=1, members=tuple(vms))
 
 
-def reply_to(shard: str, hits: int, draw: random.Random) -> AttemptReply:
-    """Return a good reply of one shard with this many hits, best first."""
-    scores = sorted((draw.random() for _ in range(hits)), reverse=True)
+def make_reply(shard: str, hits: int, rng: random.Random) -> AttemptReply:
+    """Return a successful reply of a shard with the given number of hits, best first."""
+    scores = sorted((rng.random() for _ in range(hits)), reverse=True)
     return AttemptReply(
         attempt="a",
         server="s",
--- a/libs/bench/berylspindle_bench/capacity_slopes.py
+++ b/libs/bench/berylspindle_bench/capacity_slopes.py
@@ -1,13 +1,13 @@
-"""Measure how the cost of each part grows, for the page on capacity.
+"""Measure how the cost of each component grows with its size, for the capacity tables.
 
 Terms:
-  point   one measured cost at one size
-  slope   the cost of one more of what the size counts, by a least-squares line through the points
-  base    what the line says at size zero
+  point   a measured cost at one size
+  slope   the cost of one more unit of size: the slope of the least-squares line through the points
+  base    the intercept of that line
 
-Flow: each function below runs real code of one part in this process at three sizes or more and
-yields points of processor time or bytes; `slopes` fits a line to each series. Processor time is
-read from the process's own clock, so that other work on the machine changes it little.
+Flow: each function below runs production code of one component in this process at three sizes or
+more and yields points of CPU time or bytes; `fit_slopes` fits a line to each series. CPU time comes
+from the clock of the process, which other load on the machine affects little.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     instant_entry,
     instant_worker,
     make_configuration,
+    make_reply,
     make_view,
-    reply_to,
 )
 from berylspindle_dataplane.owner_table import OwnerTable
 from berylspindle_decisions.merge import merge_hits
@@ -42,17 +42,17 @@
 from berylspindle_wire.http import HttpRequest, HttpResponse, json_response
 from berylspindle_wire.http_server import serve
 
-SHARDS: Final = (10, 50, 150, 470)
-SERVERS: Final = (500, 1500, 5200)
-MEMBERS: Final = (8, 32, 94, 188)
-CALLS: Final = (1, 5, 20, 50)
+SHARD_COUNTS: Final = (10, 50, 150, 470)
+SERVER_COUNTS: Final = (500, 1500, 5200)
+MEMBER_COUNTS: Final = (8, 32, 94, 188)
+CALL_COUNTS: Final = (1, 5, 20, 50)
 HOST: Final = "127.0.0.1"
-HITS: Final = 10
+HITS_PER_SHARD: Final = 10
 
 
 @attrs.frozen(kw_only=True)
 class Point:
-    """One measured cost; `unit` names what `cost` is in."""
+    """One measured cost; `unit` is the unit of `cost`."""
 
     series: str
     size: int
@@ -62,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class Slope:
-    """The line through the points of one series; `fit` is the share of variance it explains."""
+    """Least-squares line of one series: slope `per`, intercept `base`, and R squared `fit`."""
 
     series: str
     unit: str
@@ -71,19 +71,19 @@
     fit: float
 
 
-def slopes(points: Sequence[Point]) -> list[Slope]:
-    """Fit a line to each series."""
-    lines: list[Slope] = []
+def fit_slopes(points: Sequence[Point]) -> list[Slope]:
+    """Return the least-squares line of each series."""
+    fitted: list[Slope] = []
     for series in dict.fromkeys(point.series for point in points):
-        mine = [point for point in points if point.series == series]
-        sizes, costs = [p.size for p in mine], [p.cost for p in mine]
+        series_points = [point for point in points if point.series == series]
+        sizes, costs = [p.size for p in series_points], [p.cost for p in series_points]
         per, base = statistics.linear_regression(sizes, costs)
         fit = statistics.correlation(sizes, costs) ** 2 if len(set(costs)) > 1 else 1.0
-        lines.append(Slope(series=series, unit=mine[0].unit, per=per, base=base, fit=fit))
-    return lines
+        fitted.append(Slope(series=series, unit=series_points[0].unit, per=per, base=base, fit=fit))
+    return fitted
 
 
-def all_points() -> Iterator[Point]:
+def measure_points() -> Iterator[Point]:
     """Measure every series."""
     yield from asyncio.run(_entry_points())
     yield from asyncio.run(_worker_points())
@@ -94,10 +94,10 @@
 
 
 async def _entry_points() -> list[Point]:
-    """Time one search at an entry whose owners answer at once, by the number of shards."""
+    """Measure the CPU time of a search at an entry by the number of shards."""
     points = []
-    for shards in SHARDS:
-        owners = InstantOwners(hits=HITS)
+    for shards in SHARD_COUNTS:
+        owners = InstantOwners(hits=HITS_PER_SHARD)
         entry, state = instant_entry(owners, shards=shards)
         entry.adopt(state)
         searches = max(20, 4000 // shards)
@@ -112,13 +112,15 @@
 
 
 def _request(number: int) -> SearchRequest:
-    """Return one of twenty different searches."""
+    """Return one of twenty distinct searches."""
     query = f"q{number % 20}"
-    return SearchRequest(request_id=str(number), service="all", caller="c", query=query, limit=HITS)
+    return SearchRequest(
+        request_id=str(number), service="all", caller="c", query=query, limit=HITS_PER_SHARD
+    )
 
 
 async def _worker_points() -> list[Point]:
-    """Time attempts at a worker whose backend server answers at once, by attempts."""
+    """Measure the CPU time of a server worker by the number of attempts."""
     points = []
     for count in (500, 1000, 2000):
         backend = InstantBackend()
@@ -136,30 +138,34 @@
 
 
 def _merge_points() -> Iterator[Point]:
-    """Time what the entry does with replies, each shard's own or merged by the owner before."""
-    draw = random.Random(1)
-    for shards in SHARDS:
-        replies = [reply_to(str(n), HITS, draw) for n in range(shards)]
+    """Measure decoding and merging at the entry, with and without earlier merging at the owner."""
+    rng = random.Random(1)
+    for shards in SHARD_COUNTS:
+        replies = [make_reply(str(n), HITS_PER_SHARD, rng) for n in range(shards)]
         for name, group in (("entry, replies as they come", 1), ("entry, merged at the owner", 5)):
-            merged = [_merged(replies[start : start + group]) for start in range(0, shards, group)]
-            packed = [codec.to_pack(one) for one in merged]
+            merged = [
+                _merge_replies(replies[start : start + group]) for start in range(0, shards, group)
+            ]
+            packed = [codec.to_pack(reply) for reply in merged]
             rounds = max(5, 2000 // shards)
             started = time.process_time()
             for _ in range(rounds):
-                read = [codec.from_pack(data, AttemptReply) for data in packed]
-                merge_hits((one.hits for one in read), offset=0, limit=HITS)
+                decoded_replies = [codec.from_pack(data, AttemptReply) for data in packed]
+                merge_hits(
+                    (reply.hits for reply in decoded_replies), offset=0, limit=HITS_PER_SHARD
+                )
             cost = (time.process_time() - started) / rounds * 1e6
             yield Point(series=name, size=shards, cost=cost, unit="us")
 
 
-def _merged(replies: Sequence[AttemptReply]) -> AttemptReply:
-    page = merge_hits((reply.hits for reply in replies), offset=0, limit=HITS)
+def _merge_replies(replies: Sequence[AttemptReply]) -> AttemptReply:
+    page = merge_hits((reply.hits for reply in replies), offset=0, limit=HITS_PER_SHARD)
     return attrs.evolve(replies[0], hits=page.hits)
 
 
 def _configuration_points() -> Iterator[Point]:
-    """Time and size of the whole configuration, by backend servers."""
-    for servers in SERVERS:
+    """Measure size and parsing of the whole configuration by the number of backend servers."""
+    for servers in SERVER_COUNTS:
         configuration = make_configuration(servers)
         text = canonical(configuration)
         yield Point(
@@ -174,16 +180,18 @@
         yield Point(series="configuration, parse and check", size=servers, cost=cost, unit="ms")
         packed = codec.to_pack(configuration)
         tracemalloc.start()
-        kept = codec.from_pack(packed, type(configuration))
+        decoded = codec.from_pack(packed, type(configuration))
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        yield Point(series="configuration, memory", size=len(kept.servers), cost=size, unit="bytes")
+        yield Point(
+            series="configuration, memory", size=len(decoded.servers), cost=size, unit="bytes"
+        )
 
 
 def _owner_points() -> Iterator[Point]:
-    """Time for all owners of one data centre's 1,040 servers, by members of its view."""
+    """Measure computing the owners of 1,040 servers of a data centre by the members of its view."""
     configuration = make_configuration(1040, data_centres=1)
-    for members in MEMBERS:
+    for members in MEMBER_COUNTS:
         state = ClusterState(configuration=configuration, views=(make_view(members),))
         table = OwnerTable()
         started = time.process_time()
@@ -195,18 +203,20 @@
 
 
 async def _http_points() -> list[Point]:
-    """Time one HTTP round trip, both sides and the decoding, by the calls that share its body."""
-    replies = [reply_to(str(n), HITS, random.Random(1)) for n in range(max(CALLS))]
+    """Measure an HTTP round trip, both sides with decoding, by the number of calls in a body."""
+    replies = [
+        make_reply(str(n), HITS_PER_SHARD, random.Random(1)) for n in range(max(CALL_COUNTS))
+    ]
 
-    async def answer(request: HttpRequest) -> HttpResponse:
+    async def handle(request: HttpRequest) -> HttpResponse:
         calls = codec.from_json(request.body, tuple[Attempt, ...])
         return json_response(200, codec.to_json(replies[: len(calls)]))
 
     points = []
     async with AsyncExitStack() as stack:
-        server = await stack.enter_async_context(await serve(answer, host=HOST, port=0))
+        server = await stack.enter_async_context(await serve(handle, host=HOST, port=0))
         client = await stack.enter_async_context(HttpClient(HOST, server.port))
-        for calls in CALLS:
+        for calls in CALL_COUNTS:
             cost = await _round_trip(client, calls)
             points.append(Point(series="HTTP, calls in a body", size=calls, cost=cost, unit="us"))
     return points
--- a/libs/bench/berylspindle_bench/control_rates.py
+++ b/libs/bench/berylspindle_bench/control_rates.py
@@ -1,15 +1,16 @@
-"""Measure the control plane over real sockets: how fast it spreads, and what it costs a node.
+"""Benchmark the control plane over real sockets: propagation delay and cost per node.
 
 Terms:
-  node      one control plane with its own peers' server, links, datagram port and store client
+  node      a control plane with its own peer server, links, datagram port and store client
   at rest   all nodes are members and nothing changes
   in force  a node has adopted the revision that the store accepted
 
-Flow: `measure` starts the platform's stand-in and the nodes in this process, waits until all are
-members, measures a span at rest, then accepts one configuration after the other and notes when each
-node has it. Bytes are those of datagrams with 28 bytes of IP and UDP headers each, both directions;
-processor time is the whole process's, the stand-in included, divided by the nodes. It is shared by
-all nodes of one loop, so the times to in-force hold the queues of one core as well.
+Flow: `measure_cluster` starts the platform's stand-in and the nodes in this process, waits until
+all are members, measures an interval at rest, then writes one configuration after the other and
+records when each node has adopted it. Bytes are those of datagrams in both directions, each with 28
+bytes of IP and UDP headers. CPU time is that of the whole process with the stand-in, divided by the
+number of nodes. All nodes share one event loop, so the times to in-force include queueing for one
+core.
 """
 
 from __future__ import annotations
@@ -43,19 +44,19 @@
 from berylspindle_wire.peer_server import PeerServer
 
 SIZES: Final = (8, 32, 128)
-CENTRES: Final = ("a", "b", "c", "d")
-SERVERS_A_NODE: Final = 6
+DATA_CENTRES: Final = ("a", "b", "c", "d")
+SERVERS_PER_NODE: Final = 6
 HEADER_BYTES: Final = 28
-# Nodes that start at once: one core carries them all, and each change of a view reaches each node.
-GROUP: Final = 16
+# Nodes that start together: all run on one core, and every view change goes to every node.
+START_GROUP_SIZE: Final = 16
 KEY: Final = b"a key of the measurement"
-# Ports below the range from which the kernel takes those of outgoing connections.
+# Below the ephemeral port range of the kernel, so that no outgoing connection takes a port.
 FIRST_PORT: Final = 26_000
 
 
 @attrs.frozen(kw_only=True)
 class ControlRates:
-    """What one size cost; bytes and messages a second and node, both directions together."""
+    """Costs at one cluster size; messages and bytes are per second and node, in both directions."""
 
     nodes: int
     joined_seconds: float
@@ -67,24 +68,24 @@
     in_force_p50: float
     in_force_p99: float
     in_force_worst: float
-    calls_a_change: float
-    bytes_a_change: float
-    cpu_ms_a_change: float
+    calls_per_change: float
+    bytes_per_change: float
+    cpu_ms_per_change: float
 
 
 class _Node:
-    """One control plane with all it needs."""
+    """A control plane with its sockets and its store client."""
 
     def __init__(self, vm: Vm, on_revision: asyncio.Queue[tuple[str, int, float]]) -> None:
         self.vm: Final = vm
         self.plane: ControlPlane
         self.port: DatagramPort
         self._revisions: Final = on_revision
-        self._known = 0
+        self._newest_revision = 0
         self._stack: Final = AsyncExitStack()
 
     async def start(self, platform: PlatformStandin, seeds: Sequence[tuple[str, int]]) -> None:
-        """Open the sockets and start the plane."""
+        """Open the sockets and start the control plane."""
         links = PeerLinks(self.vm.id, key=KEY)
         self._stack.push_async_callback(links.close)
         self.port = await open_datagrams(
@@ -115,7 +116,7 @@
         await self.plane.start()
 
     async def close(self) -> None:
-        """Close the plane, then its sockets."""
+        """Close the control plane, then its sockets."""
         await self._stack.aclose()
 
     def _on_message(self, data: bytes, source: tuple[str, int]) -> None:
@@ -123,13 +124,13 @@
 
     def _on_state(self, state: ClusterState) -> None:
         revision = state.configuration.revision if state.configuration is not None else 0
-        if revision > self._known:
-            self._known = revision
+        if revision > self._newest_revision:
+            self._newest_revision = revision
             self._revisions.put_nowait((self.vm.id, revision, time.monotonic()))
 
 
 class _NoBatches(BatchHandler):
-    """Take no work; the measurement sends none."""
+    """Batch handler that is never called: the benchmark sends no batches."""
 
     async def run(self, batch: AttemptBatch, reply: Callable[[AttemptReply], None]) -> None:
         raise NotImplementedError
@@ -147,8 +148,11 @@
     calls: int
 
 
-async def measure(nodes: int, *, rest: float = 15.0, changes: int = 20) -> ControlRates:
-    """Return what a fleet of this size costs, at rest and for each change."""
+async def measure_cluster(nodes: int, *, rest: float = 15.0, changes: int = 20) -> ControlRates:
+    """Return the costs of a cluster of this size at rest and for each configuration change.
+
+    `rest` is the length of the interval at rest, in seconds.
+    """
     async with AsyncExitStack() as stack:
         platform = await stack.enter_async_context(await start_platform())
         store = await stack.enter_async_context(open_store("127.0.0.1", platform.port))
@@ -156,21 +160,21 @@
         stored = await store.compare_and_swap(CONFIGURATION_KEY, to_stored(configuration), expect=0)
         revisions: asyncio.Queue[tuple[str, int, float]] = asyncio.Queue()
         fleet = [_Node(vm, revisions) for vm in _vms(nodes)]
-        began = time.monotonic()
-        for first_of_group in range(0, nodes, GROUP):
-            group = fleet[first_of_group : first_of_group + GROUP]
+        started = time.monotonic()
+        for first_of_group in range(0, nodes, START_GROUP_SIZE):
+            group = fleet[first_of_group : first_of_group + START_GROUP_SIZE]
             for node in group:
                 stack.push_async_callback(node.close)
             seeds = [("127.0.0.1", FIRST_PORT)]
             await asyncio.gather(*(node.start(platform, seeds) for node in group))
-            await _all_known(fleet[: first_of_group + GROUP])
-        joined = time.monotonic() - began
+            await _wait_until_all_joined(fleet[: first_of_group + START_GROUP_SIZE])
+        joined = time.monotonic() - started
         await asyncio.sleep(3.0)
         first = _reading(fleet, platform)
         await asyncio.sleep(rest)
         second = _reading(fleet, platform)
         watches = platform.counts.waiting_watches
-        delays = await _change(store, stored, configuration, revisions, nodes, changes)
+        delays = await _apply_changes(store, stored, configuration, revisions, nodes, changes)
         third = _reading(fleet, platform)
         return _rates(nodes, joined, watches, delays, (first, second, third), changes)
 
@@ -202,14 +206,14 @@
         in_force_p50=ranked[len(ranked) // 2],
         in_force_p99=ranked[int(len(ranked) * 0.99)],
         in_force_worst=ranked[-1],
-        # The write itself is not counted, only what the nodes add to it.
-        calls_a_change=(third.calls - second.calls - calls * busy) / changes - 1,
-        bytes_a_change=extra_bytes / changes / nodes,
-        cpu_ms_a_change=1000 * extra_cpu / changes / nodes,
+        # Without the write itself: only the calls that the nodes make.
+        calls_per_change=(third.calls - second.calls - calls * busy) / changes - 1,
+        bytes_per_change=extra_bytes / changes / nodes,
+        cpu_ms_per_change=1000 * extra_cpu / changes / nodes,
     )
 
 
-async def _change(
+async def _apply_changes(
     store: HttpStore,
     stored: StoredValue,
     configuration: Configuration,
@@ -237,19 +241,24 @@
     return delays
 
 
-async def _all_known(fleet: Sequence[_Node]) -> None:
-    wanted = {node.vm.id for node in fleet}
+async def _wait_until_all_joined(fleet: Sequence[_Node]) -> None:
+    expected = {node.vm.id for node in fleet}
     while True:
-        seen = ({vm.id for view in node.plane.state.views for vm in view.members} for node in fleet)
-        if all(known == wanted for known in seen):
+        members_by_node = (
+            {vm.id for view in node.plane.state.views for vm in view.members} for node in fleet
+        )
+        if all(members == expected for members in members_by_node):
             return
         await asyncio.sleep(0.1)
 
 
 def _reading(fleet: Sequence[_Node], platform: PlatformStandin) -> _Reading:
     counters = [node.port.counters for node in fleet]
-    messages = sum(c.sent + c.received for c in counters)
-    size = sum(c.sent_bytes + c.received_bytes for c in counters) + HEADER_BYTES * messages
+    messages = sum(counter.sent + counter.received for counter in counters)
+    size = (
+        sum(counter.sent_bytes + counter.received_bytes for counter in counters)
+        + HEADER_BYTES * messages
+    )
     counts = platform.counts
     return _Reading(
         time.monotonic(), messages, size, time.process_time(), counts.reads + counts.writes
@@ -260,7 +269,7 @@
     return [
         Vm(
             id=f"vm-{number:04d}",
-            data_centre=CENTRES[number % len(CENTRES)],
+            data_centre=DATA_CENTRES[number % len(DATA_CENTRES)],
             host="127.0.0.1",
             peer_port=FIRST_PORT + number,
         )
@@ -275,25 +284,25 @@
             id=f"server-{number:05d}",
             service="desk",
             shard=shards[number % len(shards)],
-            data_centre=CENTRES[number % len(CENTRES)],
+            data_centre=DATA_CENTRES[number % len(DATA_CENTRES)],
             host="127.0.0.1",
             port=10_000 + number,
             slots=3,
             connections=30,
         )
-        for number in range(SERVERS_A_NODE * nodes)
+        for number in range(SERVERS_PER_NODE * nodes)
     )
     return Configuration(
         revision=1,
         deployment="measured",
-        data_centres=tuple(DataCentre(name=name, region="n") for name in CENTRES),
+        data_centres=tuple(DataCentre(name=name, region="n") for name in DATA_CENTRES),
         services=(Service(name="desk", epoch=1, shards=shards),),
         servers=servers,
     )
 
 
 def slope(points: Sequence[tuple[float, float]]) -> float:
-    """Return the growth for each node, by the least-squares line through the points."""
+    """Return the slope of the least-squares line through (nodes, value) points, 0 for one point."""
     if len(points) < 2:
         return 0.0
     return statistics.linear_regression(
@@ -302,14 +311,14 @@
 
 
 def control_table(rates: Sequence[ControlRates]) -> Table:
-    """Return the table of all sizes, with the slope of each row."""
+    """Return a table with one column per size and the slope of each row."""
     table = Table(title="control plane")
     for heading in ("measure", *(f"{rate.nodes} nodes" for rate in rates), "slope a node"):
         table.add_column(heading, justify="right")
     for name, field, scale, digits in _ROWS:
         values = [scale * float(getattr(rate, field)) for rate in rates]
-        grows = slope([(rate.nodes, value) for rate, value in zip(rates, values, strict=True)])
-        table.add_row(name, *(f"{value:.{digits}f}" for value in values), f"{grows:+.4f}")
+        growth = slope([(rate.nodes, value) for rate, value in zip(rates, values, strict=True)])
+        table.add_row(name, *(f"{value:.{digits}f}" for value in values), f"{growth:+.4f}")
     return table
 
 
@@ -323,26 +332,26 @@
     ("in force p50, ms", "in_force_p50", 1000, 0),
     ("in force p99, ms", "in_force_p99", 1000, 0),
     ("in force worst, ms", "in_force_worst", 1000, 0),
-    ("store calls a change", "calls_a_change", 1, 1),
-    ("bytes a change and node", "bytes_a_change", 1, 0),
-    ("CPU ms a change and node", "cpu_ms_a_change", 1, 2),
+    ("store calls a change", "calls_per_change", 1, 1),
+    ("bytes a change and node", "bytes_per_change", 1, 0),
+    ("CPU ms a change and node", "cpu_ms_per_change", 1, 2),
 )
 
 
 async def run_control_rates(sizes: Sequence[int] = SIZES) -> list[ControlRates]:
     """Measure each size in turn."""
-    return [await measure(nodes) for nodes in sizes]
+    return [await measure_cluster(nodes) for nodes in sizes]
 
 
-def _allow_sockets() -> None:
-    # Many nodes with links among them hold some thousands of sockets in this one process.
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+def _raise_file_limit() -> None:
+    # The links among many nodes need several thousand sockets in this process.
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
 def main() -> None:
-    """Measure the sizes on the command line, or the usual ones, and print the table."""
-    _allow_sockets()
+    """Measure the sizes given on the command line, by default `SIZES`, and print the table."""
+    _raise_file_limit()
     sizes = tuple(int(word) for word in sys.argv[1:]) or SIZES
     Console(width=120).print(control_table(asyncio.run(run_control_rates(sizes))))
 
--- a/libs/bench/berylspindle_bench/crash_trials.py
+++ b/libs/bench/berylspindle_bench/crash_trials.py
@@ -1,13 +1,13 @@
-"""Trials of the quarantine: how many backend servers does one request kill that crashes them.
+"""Simulate the quarantine: count the backend servers that a crashing request takes down.
 
 Terms:
-  bad request   crashes each backend server that runs it, 2 ms after it has started
-  kill          one backend server that went down; it is back after 5 s and can be killed again
-  innocent      a harmless search that was refused because of what it was in flight with
-  gossip        the time after which what one VM has learnt is known to the others
+  bad request   a request that crashes each backend server that runs it, 2 ms after its start
+  kill          a crash of a backend server; it restarts after 5 s and can crash again
+  innocent      a harmless search that is refused because it was in flight with a bad request
+  gossip        the delay until the quarantine records of a VM reach the others
 
-Flow: a caller sends its bad request through eight VMs in turn, twice around, 0.2 s after each
-answer, among harmless searches. The baseline tries each lost sub-request on another replica.
+Flow: a caller sends each bad request 16 times, 0.2 s apart and to eight VMs in turn, among harmless
+searches. The baseline retries each lost sub-request on another replica.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 VMS: Final = 8
 SHARDS: Final = 10
 REPLICAS: Final = 3
-TRIES: Final = 16
+SENDS_PER_REQUEST: Final = 16
 SERVICE_S: Final = 0.005
 CRASH_S: Final = 0.002
-WAY_S: Final = 0.0005
-DOWN_S: Final = 5.0
+ONE_WAY_S: Final = 0.0005
+RESTART_S: Final = 5.0
 RESEND_S: Final = 0.2
 
 
 @attrs.frozen(kw_only=True)
-class Guard:
-    """What a variant does against bad requests; `first_seen` None is no quarantine at all."""
+class Protection:
+    """A protection against bad requests; `first_seen` None means no quarantine."""
 
     name: str
     first_seen: FirstSeen | None = None
@@ -50,23 +50,27 @@
     owners: bool = False
 
 
-GUARDS: Final = (
-    Guard(name="retry elsewhere", retries=True),
-    Guard(name="no retry"),
-    Guard(name="quarantine", first_seen=FirstSeen.NEVER),
-    Guard(name="+ canary in alert", first_seen=FirstSeen.ALERT),
-    Guard(name="+ canary always", first_seen=FirstSeen.ALWAYS),
-    Guard(name="+ in alert, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0),
-    Guard(name="+ in alert, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9),
-    Guard(name="+ owners too", first_seen=FirstSeen.ALERT, owners=True),
-    Guard(name="+ owners too, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0, owners=True),
-    Guard(name="+ owners too, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9, owners=True),
+PROTECTIONS: Final = (
+    Protection(name="retry elsewhere", retries=True),
+    Protection(name="no retry"),
+    Protection(name="quarantine", first_seen=FirstSeen.NEVER),
+    Protection(name="+ canary in alert", first_seen=FirstSeen.ALERT),
+    Protection(name="+ canary always", first_seen=FirstSeen.ALWAYS),
+    Protection(name="+ in alert, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0),
+    Protection(name="+ in alert, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9),
+    Protection(name="+ owners too", first_seen=FirstSeen.ALERT, owners=True),
+    Protection(
+        name="+ owners too, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0, owners=True
+    ),
+    Protection(
+        name="+ owners too, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9, owners=True
+    ),
 )
 
 
 @attrs.frozen(kw_only=True)
 class CrashRow:
-    """Figures of one variant: kills by one bad request, and by three different ones in turn."""
+    """Results of one variant: kills by one bad request, and by three distinct ones in turn."""
 
     guard: str
     kills: int
@@ -79,8 +83,8 @@
 @attrs.define(eq=False)
 class _Server:
     name: str
-    running: list[_Sub] = attrs.field(factory=list)
-    back_at: float = 0.0
+    running: list[_SubRequest] = attrs.field(factory=list)
+    restart_at: float = 0.0
 
 
 @attrs.define(eq=False)
@@ -92,43 +96,43 @@
 
 
 @attrs.define(eq=False)
-class _Sub:
+class _SubRequest:
     search: _Search
     shard: int
     is_canary: bool
-    tries: int = 1
+    attempts: int = 1
     sent: float = 0.0
 
 
-class _World:
-    """Servers, VMs with a quarantine each, one caller with bad requests and harmless searches."""
+class _Simulation:
+    """Servers, VMs with one quarantine each, and a caller of bad and harmless requests."""
 
-    def __init__(self, guard: Guard, bad: int) -> None:
+    def __init__(self, protection: Protection, bad_requests: int) -> None:
         self.kills = 0
         self.innocents = 0
         self.canaries = 0
         self.searches = 0
-        self._guard = guard
+        self._protection = protection
         self._clock = EventClock()
-        self._random = random.Random(3)
+        self._rng = random.Random(3)
         self._servers = [[_Server(f"{s}-{r}") for r in range(REPLICAS)] for s in range(SHARDS)]
-        options = QuarantineOptions(first_seen=guard.first_seen or FirstSeen.NEVER)
+        options = QuarantineOptions(first_seen=protection.first_seen or FirstSeen.NEVER)
         self._quarantines = [Quarantine(options) for _ in range(VMS)]
-        # An owner asks a quarantine of its own: what it saw crash its servers needs no gossip.
+        # An owner has its own quarantine: crashes of its own servers need no gossip.
         self._owners = [Quarantine(QuarantineOptions()) for _ in range(VMS)]
-        self._bad = bad
+        self._bad_requests = bad_requests
 
     def run(self) -> None:
-        """Play all tries of all bad requests, with harmless searches at 200 a second."""
-        end = 3.0 + self._bad * TRIES * RESEND_S + 2.0
+        """Send all bad requests, with 200 harmless searches per second."""
+        end = 3.0 + self._bad_requests * SENDS_PER_REQUEST * RESEND_S + 2.0
         time = 0.0
         while time < end:
-            time += self._random.expovariate(200.0)
-            # A third of the searches have been asked before, as on a desk.
-            number = self._random.randrange(20 if self._random.random() < 0.3 else 10**9)
+            time += self._rng.expovariate(200.0)
+            # 30% of the searches repeat one of 20 queries, as those of human users do.
+            number = self._rng.randrange(20 if self._rng.random() < 0.3 else 10**9)
             self._clock.at(time, partial(self._send, f"good-{number}", number % VMS))
-        for n in range(self._bad * TRIES):
-            name = f"bad-{n // TRIES}"
+        for n in range(self._bad_requests * SENDS_PER_REQUEST):
+            name = f"bad-{n // SENDS_PER_REQUEST}"
             self._clock.at(3.0 + n * RESEND_S, partial(self._send, name, n % VMS))
         self._clock.run(end)
 
@@ -137,70 +141,70 @@
         is_bad = fingerprint.startswith("bad")
         self.searches += not is_bad
         mode: RunMode | Refusal = RunMode.PLAIN
-        if self._guard.first_seen is not None:
+        if self._protection.first_seen is not None:
             mode = self._quarantines[vm].decide(self._clock.now, fingerprint)
         if isinstance(mode, Refusal):
             self.innocents += not is_bad
             return
         if mode is RunMode.CANARY:
             self.canaries += not is_bad
-            self._dispatch(_Sub(search, self._random.randrange(SHARDS), is_canary=True))
+            self._dispatch(_SubRequest(search, self._rng.randrange(SHARDS), is_canary=True))
             return
         for shard in range(SHARDS):
-            self._dispatch(_Sub(search, shard, is_canary=False))
+            self._dispatch(_SubRequest(search, shard, is_canary=False))
 
-    def _dispatch(self, sub: _Sub) -> None:
-        alive = [s for s in self._servers[sub.shard] if s.back_at <= self._clock.now]
+    def _dispatch(self, sub: _SubRequest) -> None:
+        alive = [s for s in self._servers[sub.shard] if s.restart_at <= self._clock.now]
         if not alive:
             return
-        server = self._random.choice(alive)
-        if self._guard.owners and self._is_refused(server, sub):
+        server = self._rng.choice(alive)
+        if self._protection.owners and self._is_refused(server, sub):
             return
         sub.search.pending += 1
         sub.sent = self._clock.now
         server.running.append(sub)
         if sub.search.fingerprint.startswith("bad"):
-            self._clock.after(WAY_S + CRASH_S, lambda: self._crash(server, sub))
+            self._clock.after(ONE_WAY_S + CRASH_S, lambda: self._crash(server, sub))
         else:
-            self._clock.after(WAY_S + SERVICE_S, lambda: self._finish(server, sub))
+            self._clock.after(ONE_WAY_S + SERVICE_S, lambda: self._finish(server, sub))
 
-    def _crash(self, server: _Server, sub: _Sub) -> None:
+    def _crash(self, server: _Server, sub: _SubRequest) -> None:
         if sub not in server.running:
             return
         self.kills += 1
-        server.back_at = self._clock.now + DOWN_S
+        server.restart_at = self._clock.now + RESTART_S
         lost, server.running = server.running, []
-        for each in lost:
+        for lost_sub in lost:
             self._owner(server).on_lost(
                 self._clock.now,
-                each.search.fingerprint,
+                lost_sub.search.fingerprint,
                 server.name,
-                elapsed_ms=(self._clock.now - each.sent) * 1000,
+                elapsed_ms=(self._clock.now - lost_sub.sent) * 1000,
                 in_flight=len(lost),
             )
-        for each in lost:
-            self._clock.after(WAY_S, partial(self._on_lost, each, server, len(lost)))
+        for lost_sub in lost:
+            self._clock.after(ONE_WAY_S, partial(self._on_lost, lost_sub, server, len(lost)))
 
-    def _finish(self, server: _Server, sub: _Sub) -> None:
+    def _finish(self, server: _Server, sub: _SubRequest) -> None:
         if sub not in server.running:
             return
         server.running.remove(sub)
         sub.search.pending -= 1
         self._owner(server).on_success(self._clock.now, sub.search.fingerprint)
-        if self._guard.first_seen is None:
+        if self._protection.first_seen is None:
             return
         vm = sub.search.vm
         before = self._quarantines[vm].export(self._clock.now)
         self._quarantines[vm].on_success(self._clock.now, sub.search.fingerprint)
         if self._quarantines[vm].export(self._clock.now) != before:
-            self._tell(vm)
+            self._send_gossip(vm)
         if sub.is_canary:
             for shard in range(SHARDS):
                 if shard != sub.shard:
-                    self._dispatch(_Sub(sub.search, shard, is_canary=False))
+                    self._dispatch(_SubRequest(sub.search, shard, is_canary=False))
 
-    def _on_lost(self, sub: _Sub, server: _Server, in_flight: int) -> None:
-        if self._guard.first_seen is not None:
+    def _on_lost(self, sub: _SubRequest, server: _Server, in_flight: int) -> None:
+        if self._protection.first_seen is not None:
             self._quarantines[sub.search.vm].on_lost(
                 self._clock.now,
                 sub.search.fingerprint,
@@ -208,11 +212,11 @@
                 elapsed_ms=(self._clock.now - sub.sent) * 1000,
                 in_flight=in_flight,
             )
-            self._tell(sub.search.vm)
-        elif self._guard.retries and sub.tries == 1:
-            self._dispatch(_Sub(sub.search, sub.shard, is_canary=False, tries=2))
+            self._send_gossip(sub.search.vm)
+        elif self._protection.retries and sub.attempts == 1:
+            self._dispatch(_SubRequest(sub.search, sub.shard, is_canary=False, attempts=2))
 
-    def _is_refused(self, server: _Server, sub: _Sub) -> bool:
+    def _is_refused(self, server: _Server, sub: _SubRequest) -> bool:
         now, fingerprint = self._clock.now, sub.search.fingerprint
         owner, entry = self._owner(server), self._quarantines[sub.search.vm]
         if owner.allows(now, fingerprint, canary=sub.is_canary) is None:
@@ -225,24 +229,24 @@
         shard, replica = server.name.split("-")
         return self._owners[(int(shard) * REPLICAS + int(replica)) % VMS]
 
-    def _tell(self, vm: int) -> None:
+    def _send_gossip(self, vm: int) -> None:
         records = self._quarantines[vm].export(self._clock.now)
 
-        def arrive() -> None:
+        def merge_records() -> None:
             for other in self._quarantines:
                 other.merge(records, self._clock.now)
 
-        self._clock.after(self._guard.gossip_s, arrive)
+        self._clock.after(self._protection.gossip_s, merge_records)
 
 
 def crash_rows() -> Iterator[CrashRow]:
-    """Run every variant."""
-    for guard in GUARDS:
-        one, three = _World(guard, 1), _World(guard, 3)
+    """Run every variant and yield its results."""
+    for protection in PROTECTIONS:
+        one, three = _Simulation(protection, 1), _Simulation(protection, 3)
         one.run()
         three.run()
         yield CrashRow(
-            guard=guard.name,
+            guard=protection.name,
             kills=one.kills,
             kills_of_three=three.kills,
             innocents=one.innocents,
@@ -252,18 +256,19 @@
 
 
 def canary_latency_ms(*, seed: int = 1, searches: int = 20_000) -> tuple[float, ...]:
-    """Return the median and 99th percentile of a search without and with a canary.
+    """Return the median and 99th percentile of a search without and with a canary, in ms.
 
-    Service times spread around 5 ms as in the other trials, at low load, over ten shards.
+    Service times are log-normal with a median of 5 ms as in the other trials, at low load, over
+    ten shards.
     """
-    draws = random.Random(seed)
+    rng = random.Random(seed)
 
     def shard_ms() -> float:
-        return draws.lognormvariate(1.6094, 0.4) + 2 * WAY_S * 1000
+        return rng.lognormvariate(1.6094, 0.4) + 2 * ONE_WAY_S * 1000
 
     plain = sorted(max(shard_ms() for _ in range(SHARDS)) for _ in range(searches))
     canary = sorted(
         shard_ms() + max(shard_ms() for _ in range(SHARDS - 1)) for _ in range(searches)
     )
-    middle, high = searches // 2, int(searches * 0.99)
-    return plain[middle], plain[high], canary[middle], canary[high]
+    median, p99_index = searches // 2, int(searches * 0.99)
+    return plain[median], plain[p99_index], canary[median], canary[p99_index]
--- a/libs/bench/berylspindle_bench/experiment.py
+++ b/libs/bench/berylspindle_bench/experiment.py
@@ -1,13 +1,14 @@
-"""Compare policies of forwarding on a day of the project's own, on a clock of events.
+"""Compare forwarding policies in a discrete-event simulation of an experiment file.
 
 Terms:
-  day      a pattern of load and troubles, in a TOML file
-  policy   switches as the daemon's setting writes them, "hedges=off"; empty is as it is
+  experiment file   a TOML file with a pattern of load and slow replicas over time
+  policy            switches in the format of the daemon's setting, such as "hedges=off"; an empty
+                    text is the default policy
 
-Flow: `read_day` checks a day file, `compare` plays it with each policy on the same seeds, and the
-program prints a table, a JSON line, and a picture where one is asked for.
+Flow: `read_day` parses and checks an experiment file, `compare` simulates it under each policy with
+the same seeds, and the command prints a table and a JSON line and draws a plot if requested.
 
-The spread is a confidence of 95% over the seeds, by Student's distribution.
+The spread is half the 95% confidence interval over the seeds, by Student's t-distribution.
 """
 
 from __future__ import annotations
@@ -24,31 +25,32 @@
 
 from berylspindle_bench.forward_callers import (
     KINDS,
-    Caller,
+    CallerRequest,
     Pattern,
-    credit_of,
-    late_of,
-    unserved_of,
+    credit_share,
+    late_share,
+    unserved_share,
 )
 from berylspindle_bench.forward_model import Variant, run_pattern
 from berylspindle_decisions.forward_policy import read_policy
 
 # Two-sided 95% quantiles of Student's distribution for 1 to 9 degrees of freedom.
-_STUDENT: Final = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
-_NORMAL: Final = 1.96
+_T_QUANTILES: Final = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
+_NORMAL_QUANTILE: Final = 1.96
 
 
 class DayError(Exception):
-    """A day file can't be used; the text says why, in one line."""
+    """An experiment file is unreadable or invalid; the message gives the reason in one line."""
 
 
 @attrs.frozen(kw_only=True)
 class PolicyResult:
-    """What callers got with one policy; credit is a share of what was owed.
+    """Results of callers under one policy.
 
     Attributes:
+        credit: credit earned, as a share of the worth of all requests.
         spread: half the width of the 95% confidence interval of `credit` over the seeds.
-        by_kind, by_second: credit of each kind of request, and of those that came in each second.
+        by_kind, by_second: credit by kind of request, and by the second of arrival.
         late, unserved: shares of the requests.
     """
 
@@ -62,81 +64,95 @@
 
 
 def read_day(path: Path) -> Pattern:
-    """Return the pattern of a day file; raises DayError."""
+    """Return the pattern of an experiment file. Raise DayError if it is invalid."""
     try:
         fields = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise DayError(f"{path}: {error}") from error
     known = attrs.fields_dict(Pattern)
     if unknown := fields.keys() - known.keys():
-        raise DayError(f"{path}: unknown {', '.join(sorted(unknown))}; known: {', '.join(known)}")
+        raise DayError(
+            f"{path}: unknown fields: {', '.join(sorted(unknown))}; known: {', '.join(known)}"
+        )
     try:
-        return _pattern(fields)
+        return _parse_pattern(fields)
     except (KeyError, TypeError, ValueError) as error:
         raise DayError(f"{path}: {error}") from error
 
 
 def compare(
-    day: Pattern, policies: Sequence[str], seeds: Sequence[int]
+    pattern: Pattern, policies: Sequence[str], seeds: Sequence[int]
 ) -> tuple[PolicyResult, ...]:
-    """Play a day with each policy on the same seeds; raises ValueError for an unknown switch."""
+    """Simulate a pattern under each policy with the same seeds.
+
+    Raise ValueError for an unknown switch.
+    """
     variants = [Variant(name=text, policy=read_policy(text)) for text in policies]
     return tuple(
-        _result(variant.name, day, [run_pattern(day, variant, seed) for seed in seeds])
+        _summarize(variant.name, pattern, [run_pattern(pattern, variant, seed) for seed in seeds])
         for variant in variants
     )
 
 
 def experiment_table(results: Sequence[PolicyResult]) -> Table:
-    """Return the results as a table, one row a policy."""
+    """Return the results as a table with one row per policy."""
     kinds = [kind.name for kind in KINDS]
     table = Table("policy", "credit", "+-", *kinds, "late", "not served")
-    for one in results:
-        figures = [one.credit, one.spread, *(one.by_kind[kind] for kind in kinds)]
-        shares = [one.late, one.unserved]
-        cells = [f"{figure:.3f}" for figure in (*figures, *shares)]
-        table.add_row(one.policy or "as it is", *cells)
+    for result in results:
+        values = [result.credit, result.spread, *(result.by_kind[kind] for kind in kinds)]
+        shares = [result.late, result.unserved]
+        cells = [f"{value:.3f}" for value in (*values, *shares)]
+        table.add_row(result.policy or "as it is", *cells)
     return table
 
 
-def _pattern(fields: dict[str, Any]) -> Pattern:
-    load = tuple((float(begin), float(factor)) for begin, factor in fields["load"])
+def _parse_pattern(fields: dict[str, Any]) -> Pattern:
+    load = tuple((float(start), float(factor)) for start, factor in fields["load"])
     numbers = {name: float(value) for name, value in fields.items() if name not in ("name", "load")}
-    day = Pattern(name=str(fields["name"]), load=load, **numbers)
-    begins = [begin for begin, _ in load]
-    if not load or begins[0] != 0.0 or begins != sorted(begins):
-        raise ValueError("load begins at 0 and goes on in order")
-    if any(factor <= 0.0 for _, factor in load) or day.seconds <= 0.0:
-        raise ValueError("factors and seconds are above 0")
-    if not (0.0 <= day.slow_share <= 1.0 and 0.0 <= day.long_share <= 1.0):
-        raise ValueError("shares are from 0 to 1")
-    return day
-
-
-def _result(policy: str, day: Pattern, runs: Sequence[Sequence[Caller]]) -> PolicyResult:
-    by_seed = [_credit(callers) for callers in runs]
-    everyone = [caller for callers in runs for caller in callers]
+    pattern = Pattern(name=str(fields["name"]), load=load, **numbers)
+    starts = [start for start, _ in load]
+    if not load or starts[0] != 0.0 or starts != sorted(starts):
+        raise ValueError("load must begin at 0 and be in order of time")
+    if any(factor <= 0.0 for _, factor in load) or pattern.seconds <= 0.0:
+        raise ValueError("seconds and the factors of load must be above 0")
+    if not (0.0 <= pattern.slow_share <= 1.0 and 0.0 <= pattern.long_share <= 1.0):
+        raise ValueError("shares must be from 0 to 1")
+    return pattern
+
+
+def _summarize(
+    policy: str, pattern: Pattern, runs: Sequence[Sequence[CallerRequest]]
+) -> PolicyResult:
+    by_seed = [_rounded_credit(requests) for requests in runs]
+    all_requests = [request for requests in runs for request in requests]
     return PolicyResult(
         policy=policy,
         credit=round(statistics.mean(by_seed), 4),
-        spread=round(_spread(by_seed), 4),
-        by_kind={k.name: _credit([c for c in everyone if c.kind is k]) for k in KINDS},
+        spread=round(_confidence_half_width(by_seed), 4),
+        by_kind={
+            kind.name: _rounded_credit(
+                [request for request in all_requests if request.kind is kind]
+            )
+            for kind in KINDS
+        },
         by_second=[
-            _credit([c for c in everyone if second <= c.born < second + 1])
-            for second in range(math.ceil(day.seconds))
+            _rounded_credit(
+                [request for request in all_requests if second <= request.arrived_at < second + 1]
+            )
+            for second in range(math.ceil(pattern.seconds))
         ],
-        late=round(late_of(everyone), 4),
-        unserved=round(unserved_of(everyone), 4),
+        late=round(late_share(all_requests), 4),
+        unserved=round(unserved_share(all_requests), 4),
     )
 
 
-def _spread(values: Sequence[float]) -> float:
+def _confidence_half_width(values: Sequence[float]) -> float:
     if len(values) < 2:
         return 0.0
     degrees = len(values) - 1
-    factor = _STUDENT[degrees - 1] if degrees <= len(_STUDENT) else _NORMAL
+    factor = _T_QUANTILES[degrees - 1] if degrees <= len(_T_QUANTILES) else _NORMAL_QUANTILE
     return factor * statistics.stdev(values) / math.sqrt(len(values))
 
 
-def _credit(callers: Sequence[Caller]) -> float:
-    return round(credit_of(callers), 4)
+def _rounded_credit(requests: Sequence[CallerRequest]) -> float:
+    return round(credit_share(requests), 4)
--- a/libs/bench/berylspindle_bench/forward_callers.py
+++ b/libs/bench/berylspindle_bench/forward_callers.py
@@ -1,13 +1,14 @@
-"""What callers of forwarded searches send in a trial, and what they got for it.
+"""Requests of callers in a simulation of forwarded searches, and the score of their answers.
 
 Terms:
-  pattern    the load and the troubles of one run, by second
-  kind       one kind of request: its work, aim, deadline and least share of shards
-  credit     worth of an answer: the square of the share of its shards in time, a tenth later, and
-             the mean of both where it was in time from a second try after a refusal
-
-Flow: the model plays a pattern and fills in each `Caller`; trials and experiments read shares of
-many callers by `credit_of`, `late_of` and `unserved_of`.
+  pattern    load and slow replicas of one simulation over time
+  kind       a kind of request: its work, latency target, deadline and least number of shards
+  credit     score of an answer: the square of its share of shards if it arrived within the target,
+             0.1 of that if later, and 0.55 of it if a second attempt after a refusal was answered
+             within the target of that attempt
+
+Flow: the model simulates a pattern and fills in each `CallerRequest`; trials and experiments
+aggregate the requests with `credit_share`, `late_share` and `unserved_share`.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 @attrs.frozen(kw_only=True)
 class Kind:
-    """One kind of request; times in milliseconds, `share` of all requests."""
+    """A kind of request; `share` is its share of all requests, `worth` the weight of its credit."""
 
     name: str
     share: float
     priority: int
     work_ms: float
-    aim_ms: float
+    target_ms: float
     deadline_ms: float
-    least: int
+    min_shards: int
     worth: float
 
 
@@ -39,9 +40,9 @@
         share=0.75,
         priority=1,
         work_ms=16.5,
-        aim_ms=118.0,
+        target_ms=118.0,
         deadline_ms=1500.0,
-        least=9,
+        min_shards=9,
         worth=2.0,
     ),
     Kind(
@@ -49,9 +50,9 @@
         share=0.25,
         priority=2,
         work_ms=5.7,
-        aim_ms=56.0,
+        target_ms=56.0,
         deadline_ms=800.0,
-        least=8,
+        min_shards=8,
         worth=1.0,
     ),
 )
@@ -59,12 +60,13 @@
 
 @attrs.frozen(kw_only=True)
 class Pattern:
-    """Load over the usual one by time, and replicas that are slow by time.
+    """Load relative to the base rate over time, slow replicas and long searches.
 
     Attributes:
-        load: rows of (from second, factor).
-        slow_share, slow_factor, slow_from: replicas that turn slow, and when.
-        long_share, long_factor: searches whose work is so many times as long.
+        load: rows of (start in seconds, factor).
+        slow_share, slow_factor, slow_from: share of slow replicas, multiplier of their service
+            times, and the time in seconds from which they are slow.
+        long_share, long_factor: share of searches with more work, and the multiplier of their work.
     """
 
     name: str
@@ -77,53 +79,57 @@
     long_factor: float = 1.0
 
     def factor(self, now: float) -> float:
-        """Return the load at a time, over the usual one."""
-        return [x for begin, x in self.load if begin <= now][-1]
+        """Return the load factor at a time in seconds."""
+        return [factor for start, factor in self.load if start <= now][-1]
 
 
 @attrs.define(eq=False)
-class Caller:
-    """One request of a caller, with its second try where the first was refused."""
+class CallerRequest:
+    """A request of a caller, with a second attempt if the first one was refused."""
 
     kind: Kind
-    born: float
-    length: float = 1.0
-    tries: int = 0
-    tried_at: float = 0.0
+    arrived_at: float
+    work_factor: float = 1.0
+    attempts: int = 0
+    sent_at: float = 0.0
     answered_at: float | None = None
     share: float = 0.0
 
     @property
     def latency_ms(self) -> float:
-        """Return how long the caller waited for its answer, from its first try."""
-        return math.inf if self.answered_at is None else (self.answered_at - self.born) * 1000
+        """Return the time from the first attempt to the answer, infinite without an answer."""
+        return math.inf if self.answered_at is None else (self.answered_at - self.arrived_at) * 1000
 
     @property
     def credit(self) -> float:
-        """Return the credit earned, of 1."""
+        """Return the credit earned, from 0 to 1."""
         if self.answered_at is None:
             return 0.0
-        if self.latency_ms <= self.kind.aim_ms:
+        if self.latency_ms <= self.kind.target_ms:
             return self.share**2
-        second_ms = (self.answered_at - self.tried_at) * 1000
-        is_second = self.tries > 1 and second_ms <= self.kind.aim_ms
-        return self.share**2 * (0.55 if is_second else 0.1)
+        last_attempt_ms = (self.answered_at - self.sent_at) * 1000
+        is_retry_in_time = self.attempts > 1 and last_attempt_ms <= self.kind.target_ms
+        return self.share**2 * (0.55 if is_retry_in_time else 0.1)
 
 
-def credit_of(callers: Sequence[Caller]) -> float:
-    """Return the credit that callers got, as a share of the worth that was owed; 1 for nobody."""
-    owed = sum(caller.kind.worth for caller in callers)
-    if not owed:
+def credit_share(requests: Sequence[CallerRequest]) -> float:
+    """Return the credit earned as a share of the worth of all requests; 1 without requests."""
+    total_worth = sum(request.kind.worth for request in requests)
+    if not total_worth:
         return 1.0
-    return sum(caller.kind.worth * caller.credit for caller in callers) / owed
+    return sum(request.kind.worth * request.credit for request in requests) / total_worth
 
 
-def late_of(callers: Sequence[Caller]) -> float:
-    """Return the share of callers whose answer came after the aim."""
-    late = [c for c in callers if c.answered_at is not None and c.latency_ms > c.kind.aim_ms]
-    return len(late) / len(callers)
+def late_share(requests: Sequence[CallerRequest]) -> float:
+    """Return the share of requests that were answered after the latency target."""
+    late = [
+        request
+        for request in requests
+        if request.answered_at is not None and request.latency_ms > request.kind.target_ms
+    ]
+    return len(late) / len(requests)
 
 
-def unserved_of(callers: Sequence[Caller]) -> float:
-    """Return the share of callers who got no answer."""
-    return sum(caller.answered_at is None for caller in callers) / len(callers)
+def unserved_share(requests: Sequence[CallerRequest]) -> float:
+    """Return the share of requests without an answer."""
+    return sum(request.answered_at is None for request in requests) / len(requests)
--- a/libs/bench/berylspindle_bench/forward_model.py
+++ b/libs/bench/berylspindle_bench/forward_model.py
@@ -1,12 +1,12 @@
-"""Forwarded searches on a clock of events: the real decisions over replicas that queue first-come.
+"""Discrete-event simulation of forwarded searches: production decisions over FIFO replicas.
 
 Terms:
-  variant    a policy, by which some decisions are left out
+  variant    a forwarding policy, which can disable single decisions
 
-Flow: `run_pattern` starts a world of shards, replicas and VMs that share nothing but the replicas;
-callers send at random times, come back once when they are refused, and are counted by second.
-Replica health, latency profiles, hedge delays, retry budgets, attempts, admission and the verdict
-on parts are those of the forwarding path; sockets and the network between VMs are left out.
+Flow: `run_pattern` simulates shards, replicas and VMs; the VMs share no state except the replicas.
+Requests arrive at random times, and a refused request is sent once more. Replica health, latency
+profiles, hedge delays, retry budgets, attempts, admission control and the verdict on partial
+results are those of the forwarding path. Sockets and messages between VMs are not simulated.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import attrs
 
 from berylspindle_bench.event_clock import EventClock
-from berylspindle_bench.forward_callers import KINDS, Caller, Pattern
+from berylspindle_bench.forward_callers import KINDS, CallerRequest, Pattern
 from berylspindle_decisions.admission_controller import (
     AdmissionController,
     AdmissionRequest,
@@ -52,21 +52,21 @@
 SHARDS: Final = 10
 REPLICAS: Final = 3
 SLOTS: Final = 2
-QUEUE: Final = 12
+QUEUE_LIMIT: Final = 12
 VMS: Final = 8
-USUAL_RATE: Final = 90.0
-"""Searches a second of all VMs at the usual load."""
+BASE_RATE_PER_S: Final = 90.0
+"""Searches per second of all VMs at a load factor of 1."""
 
-WAY_S: Final = 0.001
+ONE_WAY_S: Final = 0.001
 PAUSE_S: Final = 0.12
-PAUSE_EACH_S: Final = 3.0
-SPREAD: Final = 0.35
+PAUSE_INTERVAL_S: Final = 3.0
+WORK_SIGMA: Final = 0.35
 NO_REPLICA_WAIT_S: Final = 0.25
 
 
 @attrs.frozen(kw_only=True)
 class Variant:
-    """A name for a policy."""
+    """A named policy."""
 
     name: str
     policy: ForwardPolicy = attrs.field(factory=ForwardPolicy)
@@ -74,7 +74,7 @@
 
 @attrs.define(eq=False)
 class _Attempt:
-    drive: _Drive
+    request_run: _RequestRun
     index: int
     record: AttemptRecord
     explained: float
@@ -82,80 +82,82 @@
 
 
 class _Replica:
-    """A replica: `SLOTS` at once, a first-come queue, pauses, perhaps slow for a while."""
+    """A replica with `SLOTS` slots, a bounded FIFO queue and periodic pauses; some turn slow."""
 
-    def __init__(self, world: World) -> None:
-        self._world: Final = world
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation: Final = simulation
         self._queue: Final[deque[_Attempt]] = deque()
         self._running = 0
         self._paused_until = 0.0
-        pattern, rng = world.pattern, world.rng
+        pattern, rng = simulation.pattern, simulation.rng
         self._slow = pattern.slow_factor if rng.random() < pattern.slow_share else 1.0
         self._speed = rng.choice((0.8, 1.0, 1.3))
-        world.clock.after(rng.random() * PAUSE_EACH_S, self._pause)
+        simulation.clock.after(rng.random() * PAUSE_INTERVAL_S, self._pause)
 
-    def take(self, attempt: _Attempt) -> None:
-        """Take a request that has just arrived."""
-        if len(self._queue) >= QUEUE:
-            self._world.clock.after(WAY_S, lambda: attempt.drive.refused(attempt))
+    def enqueue(self, attempt: _Attempt) -> None:
+        """Queue an arriving request, or refuse it if the queue is full."""
+        if len(self._queue) >= QUEUE_LIMIT:
+            self._simulation.clock.after(ONE_WAY_S, lambda: attempt.request_run.on_refused(attempt))
             return
         self._queue.append(attempt)
-        self._pump()
+        self._start_waiting()
 
     def _pause(self) -> None:
-        now = self._world.clock.now
+        now = self._simulation.clock.now
         self._paused_until = now + PAUSE_S
-        self._world.clock.after(PAUSE_S, self._pump)
-        self._world.clock.after(PAUSE_EACH_S, self._pause)
+        self._simulation.clock.after(PAUSE_S, self._start_waiting)
+        self._simulation.clock.after(PAUSE_INTERVAL_S, self._pause)
 
-    def _pump(self) -> None:
-        now = self._world.clock.now
+    def _start_waiting(self) -> None:
+        now = self._simulation.clock.now
         while self._queue and self._running < SLOTS and now >= self._paused_until:
             attempt = self._queue.popleft()
             self._running += 1
-            slow = self._slow if now >= self._world.pattern.slow_from else 1.0
+            slow = self._slow if now >= self._simulation.pattern.slow_from else 1.0
             seconds = attempt.work_ms / 1000 * slow * self._speed
-            self._world.clock.after(seconds, lambda one=attempt: self._finish(one))  # type: ignore[misc]
+            self._simulation.clock.after(seconds, lambda one=attempt: self._finish(one))  # type: ignore[misc]
 
     def _finish(self, attempt: _Attempt) -> None:
-        now = self._world.clock.now
+        now = self._simulation.clock.now
         if now < self._paused_until:
-            self._world.clock.at(self._paused_until, lambda: self._finish(attempt))
+            self._simulation.clock.at(self._paused_until, lambda: self._finish(attempt))
             return
         running, waiting = self._running, len(self._queue)
         self._running -= 1
-        self._world.clock.after(WAY_S, lambda: attempt.drive.answered(attempt, running, waiting))
-        self._pump()
+        self._simulation.clock.after(
+            ONE_WAY_S, lambda: attempt.request_run.on_answered(attempt, running, waiting)
+        )
+        self._start_waiting()
 
 
 class _Vm:
-    """What one VM knows."""
+    """State of one VM: replica health, latency profiles, retry budgets and admission control."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, simulation: Simulation) -> None:
         self.healths: Final = {
-            name: ReplicaHealth(slots=SLOTS, is_local=False, policy=world.variant.policy)
-            for name in world.replicas
+            name: ReplicaHealth(slots=SLOTS, is_local=False, policy=simulation.variant.policy)
+            for name in simulation.replicas
         }
         self.profiles: Final = {kind.name: LatencyProfile() for kind in KINDS}
         self.unqueued: Final = {kind.name: LatencyProfile() for kind in KINDS}
-        self.shares: Final = [
+        self.retry_budgets: Final = [
             SharedRetryBudget(SharedBudgetOptions(), started=-60.0) for _ in range(SHARDS)
         ]
-        self.gate: Final = AdmissionController(world.variant.policy)
+        self.admission: Final = AdmissionController(simulation.variant.policy)
 
 
-class _Drive(AttemptPolicy):
-    """One try of a caller at one VM."""
+class _RequestRun(AttemptPolicy):
+    """One attempt of a caller's request at one VM."""
 
-    def __init__(self, world: World, vm: _Vm, caller: Caller) -> None:
-        self._world: Final = world
+    def __init__(self, simulation: Simulation, vm: _Vm, request: CallerRequest) -> None:
+        self._simulation: Final = simulation
         self._vm: Final = vm
-        self._caller: Final = caller
-        self._kind: Final = caller.kind
-        now = world.clock.now
-        self._deadline: Final = caller.born + caller.kind.deadline_ms / 1000
-        self._aim_cut: Final = now + (caller.kind.aim_ms - MARGIN_MS) / 1000
-        self._races: Final = [
+        self._request: Final = request
+        self._kind: Final = request.kind
+        now = simulation.clock.now
+        self._deadline: Final = request.arrived_at + request.kind.deadline_ms / 1000
+        self._target_at: Final = now + (request.kind.target_ms - MARGIN_MS) / 1000
+        self._hedged_requests: Final = [
             HedgedRequest(
                 str(shard),
                 repeatable=True,
@@ -165,54 +167,54 @@
             )
             for shard in range(SHARDS)
         ]
-        self._parts: Final[set[int]] = set()
-        self._lost = 0
+        self._answered_shards: Final[set[int]] = set()
+        self._lost_parts = 0
         self._done = False
 
-    def begin(self) -> None:
-        """Send to all shards, or refuse."""
-        now = self._world.clock.now
-        for share in self._vm.shares:
-            share.on_request(now)
+    def start(self) -> None:
+        """Send a sub-request to each shard, or refuse the request."""
+        now = self._simulation.clock.now
+        for budget in self._vm.retry_budgets:
+            budget.on_request(now)
         if not self._is_admitted(now):
             return
         for index in range(SHARDS):
-            self._step(index)
-        self._world.clock.at(self._aim_cut, self._settle)
-        self._world.clock.at(self._deadline, self._settle)
+            self._advance(index)
+        self._simulation.clock.at(self._target_at, self._update_verdict)
+        self._simulation.clock.at(self._deadline, self._update_verdict)
 
     def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
-        """Return the replica of least cost."""
-        now, best, best_cost = self._world.clock.now, None, math.inf
-        policy = self._world.variant.policy
+        """Return the replica with the lowest cost, or None if no replica is suitable."""
+        now, best, best_cost = self._simulation.clock.now, None, math.inf
+        policy = self._simulation.variant.policy
         if hedge and not policy.hedges:
             return None
-        for name in self._world.names[int(service)]:
+        for name in self._simulation.names[int(service)]:
             health = self._vm.healths[name]
             if name in tried:
                 continue
             if hedge and policy.hedge_idle_only and not health.has_free_slot(now):
                 continue
-            cost = health.cost(now, u=self._world.rng.random())
+            cost = health.cost(now, u=self._simulation.rng.random())
             if cost < best_cost:
                 best, best_cost = name, cost
         return None if hedge and best_cost >= STALLED else best
 
     def may_take_extra(self, service: str, *, hedge: bool) -> bool:
-        """Ask the extra share."""
-        share, now = self._vm.shares[int(service)], self._world.clock.now
-        if not share.may_take(now, vms=VMS, hedge=hedge):
+        """Acquire an extra attempt from the retry budget of the shard."""
+        budget, now = self._vm.retry_budgets[int(service)], self._simulation.clock.now
+        if not budget.may_take(now, vms=VMS, hedge=hedge):
             return False
-        share.take(now)
+        budget.take(now)
         return True
 
     def hedge_after(self, service: str) -> float:
-        """Return the hedge delay."""
+        """Return the hedge delay in seconds."""
         return self._hedge_times().delay_ms / 1000
 
-    def answered(self, attempt: _Attempt, running: int, waiting: int) -> None:
-        """Take an answer with the replica's report."""
-        now, race = self._world.clock.now, self._races[attempt.index]
+    def on_answered(self, attempt: _Attempt, running: int, waiting: int) -> None:
+        """Handle an answer with the load report of the replica."""
+        now, hedged_request = self._simulation.clock.now, self._hedged_requests[attempt.index]
         health = self._vm.healths[attempt.record.replica]
         health.reported(now, running=running, waiting=waiting, slots=SLOTS)
         elapsed_ms = (now - attempt.record.sent_at) * 1000
@@ -220,105 +222,109 @@
             self._vm.profiles[self._kind.name],
             self._vm.unqueued[self._kind.name],
         )
-        usual = unqueued.quantile(0.5) or self._hedge_times().usual_ms
+        usual_ms = unqueued.quantile(0.5) or self._hedge_times().usual_ms
         profile.add(elapsed_ms)
         if attempt.explained <= 1.0 or not unqueued.known:
             unqueued.add(elapsed_ms)
-        health.answered(now, attempt, ratio=elapsed_ms / max(usual * attempt.explained, 0.1))
-        if race.state is not RequestState.WON:
-            race.answered(attempt.record)
-            self._parts.add(attempt.index)
-        self._settle()
-
-    def refused(self, attempt: _Attempt) -> None:
-        """Take that a replica's queue is full."""
-        now = self._world.clock.now
+        health.answered(now, attempt, ratio=elapsed_ms / max(usual_ms * attempt.explained, 0.1))
+        if hedged_request.state is not RequestState.WON:
+            hedged_request.answered(attempt.record)
+            self._answered_shards.add(attempt.index)
+        self._update_verdict()
+
+    def on_refused(self, attempt: _Attempt) -> None:
+        """Handle the refusal of a replica whose queue is full."""
+        now = self._simulation.clock.now
         self._vm.healths[attempt.record.replica].refused(now, attempt)
-        race = self._races[attempt.index]
-        race.ended(now, attempt.record, AttemptEnd.NOT_RUN, refused=True)
-        if not self._done and race.state is RequestState.OPEN:
-            self._step(attempt.index)
-            self._settle()
+        hedged_request = self._hedged_requests[attempt.index]
+        hedged_request.ended(now, attempt.record, AttemptEnd.NOT_RUN, refused=True)
+        if not self._done and hedged_request.state is RequestState.OPEN:
+            self._advance(attempt.index)
+            self._update_verdict()
 
     def _is_admitted(self, now: float) -> bool:
         unqueued = self._vm.unqueued[self._kind.name]
-        usual = unqueued.quantile(0.5) if unqueued.known else 0.0
+        usual_ms = unqueued.quantile(0.5) if unqueued.known else 0.0
         added = [
-            added_ms_of(map(self._vm.healths.__getitem__, names), now, usual_ms=usual)
-            for names in self._world.names
+            added_ms_of(map(self._vm.healths.__getitem__, names), now, usual_ms=usual_ms)
+            for names in self._simulation.names
         ]
         request = AdmissionRequest(
             group="shards",
             priority=self._kind.priority,
             pressure=pressure_of(
-                added, least=self._kind.least, aim_ms=(self._aim_cut - now) * 1000
+                added, least=self._kind.min_shards, aim_ms=(self._target_at - now) * 1000
             ),
         )
-        if self._vm.gate.admits(now, request, u=self._world.rng.random()):
+        if self._vm.admission.admits(now, request, u=self._simulation.rng.random()):
             return True
         left_ms = (self._deadline - now) * 1000
-        wait = return_after_ms(added_ms=max(added), left_ms=left_ms, u=self._world.rng.random())
-        if self._caller.tries < 2:
-            self._world.clock.after(wait / 1000, lambda: self._world.send(self._caller))
+        retry_ms = return_after_ms(
+            added_ms=max(added), left_ms=left_ms, u=self._simulation.rng.random()
+        )
+        if self._request.attempts < 2:
+            self._simulation.clock.after(
+                retry_ms / 1000, lambda: self._simulation.send(self._request)
+            )
         return False
 
-    def _step(self, index: int) -> None:
-        race = self._races[index]
-        while race.state is RequestState.OPEN and not self._done:
-            step = race.step(self._world.clock.now, self)
+    def _advance(self, index: int) -> None:
+        hedged_request = self._hedged_requests[index]
+        while hedged_request.state is RequestState.OPEN and not self._done:
+            step = hedged_request.step(self._simulation.clock.now, self)
             if isinstance(step, SendTo):
                 self._send(index, step.replica)
                 continue
             if isinstance(step, GiveUp):
-                self._lost += 1
+                self._lost_parts += 1
             elif step.time < math.inf:
-                self._world.clock.at(step.time, lambda: self._on_timer(index))
+                self._simulation.clock.at(step.time, lambda: self._on_timer(index))
             return
 
     def _on_timer(self, index: int) -> None:
-        if not self._done and self._races[index].state is RequestState.OPEN:
-            self._step(index)
-            self._settle()
+        if not self._done and self._hedged_requests[index].state is RequestState.OPEN:
+            self._advance(index)
+            self._update_verdict()
 
     def _send(self, index: int, name: str) -> None:
-        now, health = self._world.clock.now, self._vm.healths[name]
-        record = self._races[index].sent(now, name, self)
-        work = self._world.rng.lognormvariate(math.log(self._kind.work_ms), SPREAD)
-        work *= self._caller.length
-        attempt = _Attempt(self, index, record, health.explained(now), work)
-        delay = record.hedge_at - now
+        now, health = self._simulation.clock.now, self._vm.healths[name]
+        record = self._hedged_requests[index].sent(now, name, self)
+        work_ms = self._simulation.rng.lognormvariate(math.log(self._kind.work_ms), WORK_SIGMA)
+        work_ms *= self._request.work_factor
+        attempt = _Attempt(self, index, record, health.explained(now), work_ms)
+        hedge_delay = record.hedge_at - now
         health.sent(
-            attempt, late_at=record.hedge_at, unexplained_at=now + delay * attempt.explained
+            attempt, late_at=record.hedge_at, unexplained_at=now + hedge_delay * attempt.explained
         )
-        replica = self._world.replicas[name]
-        self._world.clock.after(WAY_S, lambda: replica.take(attempt))
+        replica = self._simulation.replicas[name]
+        self._simulation.clock.after(ONE_WAY_S, lambda: replica.enqueue(attempt))
 
-    def _settle(self) -> None:
+    def _update_verdict(self) -> None:
         if self._done:
             return
-        now = self._world.clock.now
+        now = self._simulation.clock.now
         verdict = parts_verdict(
             asked=SHARDS,
-            least=self._kind.least,
-            parts=len(self._parts),
-            lost=self._lost,
-            aim_passed=now >= self._aim_cut and self._world.variant.policy.partial_at_target,
+            least=self._kind.min_shards,
+            parts=len(self._answered_shards),
+            lost=self._lost_parts,
+            aim_passed=now >= self._target_at and self._simulation.variant.policy.partial_at_target,
         )
         if verdict is PartsVerdict.ANSWER:
-            self._caller.answered_at = now + MARGIN_MS / 2000
-            self._caller.share = len(self._parts) / SHARDS
+            self._request.answered_at = now + MARGIN_MS / 2000
+            self._request.share = len(self._answered_shards) / SHARDS
         if verdict is not PartsVerdict.WAIT or now >= self._deadline:
             self._done = True
 
     def _hedge_times(self) -> HedgeTimes:
-        left_ms = (self._aim_cut - self._world.clock.now) * 1000
+        left_ms = (self._target_at - self._simulation.clock.now) * 1000
         return hedge_times(
-            self._vm.profiles[self._kind.name], aim_left_ms=left_ms, aim_ms=self._kind.aim_ms
+            self._vm.profiles[self._kind.name], aim_left_ms=left_ms, aim_ms=self._kind.target_ms
         )
 
 
-class World:
-    """One run: shards, replicas, VMs and callers."""
+class Simulation:
+    """One simulation: shards, replicas, VMs and requests of callers."""
 
     def __init__(self, pattern: Pattern, variant: Variant, seed: int) -> None:
         self.pattern: Final = pattern
@@ -330,19 +336,19 @@
         ]
         self.replicas: Final = {name: _Replica(self) for names in self.names for name in names}
         self._vms: Final = [_Vm(self) for _ in range(VMS)]
-        self.callers: Final[list[Caller]] = []
+        self.requests: Final[list[CallerRequest]] = []
 
-    def run(self) -> Sequence[Caller]:
-        """Play the pattern and return all callers."""
+    def run(self) -> Sequence[CallerRequest]:
+        """Simulate the pattern and return all requests."""
         self._arrive()
         self.clock.run(self.pattern.seconds + 2.0)
-        return self.callers
+        return self.requests
 
-    def send(self, caller: Caller) -> None:
-        """Have a caller try at some VM."""
-        caller.tries += 1
-        caller.tried_at = self.clock.now
-        _Drive(self, self.rng.choice(self._vms), caller).begin()
+    def send(self, request: CallerRequest) -> None:
+        """Send a request to a random VM."""
+        request.attempts += 1
+        request.sent_at = self.clock.now
+        _RequestRun(self, self.rng.choice(self._vms), request).start()
 
     def _arrive(self) -> None:
         now = self.clock.now
@@ -351,13 +357,13 @@
         if now > 0.0:
             kind = self.rng.choices(KINDS, [kind.share for kind in KINDS])[0]
             is_long = self.rng.random() < self.pattern.long_share
-            caller = Caller(kind, now, self.pattern.long_factor if is_long else 1.0)
-            self.callers.append(caller)
-            self.send(caller)
-        gap = self.rng.expovariate(USUAL_RATE * self.pattern.factor(now))
-        self.clock.after(gap, self._arrive)
+            request = CallerRequest(kind, now, self.pattern.long_factor if is_long else 1.0)
+            self.requests.append(request)
+            self.send(request)
+        interval = self.rng.expovariate(BASE_RATE_PER_S * self.pattern.factor(now))
+        self.clock.after(interval, self._arrive)
 
 
-def run_pattern(pattern: Pattern, variant: Variant, seed: int) -> Sequence[Caller]:
-    """Play a pattern with one variant; return what all callers got."""
-    return World(pattern, variant, seed).run()
+def run_pattern(pattern: Pattern, variant: Variant, seed: int) -> Sequence[CallerRequest]:
+    """Simulate a pattern with one variant and return all requests with their results."""
+    return Simulation(pattern, variant, seed).run()
--- a/libs/bench/berylspindle_bench/forward_trials.py
+++ b/libs/bench/berylspindle_bench/forward_trials.py
@@ -1,11 +1,11 @@
-"""Trials of forwarded searches under bursts: as they are decided, and with decisions left out.
+"""Simulate forwarded searches under bursts with all decisions and without some of them.
 
 Terms:
-  knee     the highest load at which nearly all that is offered earns its credit
-  goodput  credit earned a second, over that of the load at the knee
+  knee     the highest load at which nearly all offered requests earn their credit
+  goodput  credit earned per second, relative to that at the knee
 
-Flow: `forward_rows` plays each pattern with each variant on the same seeds and returns one row a
-run's mean; docs/LOAD.md keeps them.
+Flow: `forward_rows` simulates each pattern with each variant on the same seeds and yields one row
+with the means over the seeds, which are listed in docs/LOAD.md.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 from berylspindle_bench.forward_callers import (
     KINDS,
-    Caller,
+    CallerRequest,
     Pattern,
-    credit_of,
-    late_of,
-    unserved_of,
+    credit_share,
+    late_share,
+    unserved_share,
 )
 from berylspindle_bench.forward_model import Variant, run_pattern
 from berylspindle_decisions.forward_policy import ForwardPolicy
 
 SEEDS: Final = (1, 2, 3)
 QUICK_SEEDS: Final = (1,)
-BURST_FROM: Final = 3.0
+BURST_START_S: Final = 3.0
 BURST_S: Final = 6.0
 
 VARIANTS: Final = (
@@ -39,12 +39,12 @@
 
 
 def burst(factor: float, **changes: float) -> Pattern:
-    """Return a pattern: usual load, a burst of six seconds, usual load again."""
-    load = ((0.0, 1.0), (BURST_FROM, factor), (BURST_FROM + BURST_S, 1.0))
+    """Return a pattern with a six-second burst between spans at the base rate."""
+    load = ((0.0, 1.0), (BURST_START_S, factor), (BURST_START_S + BURST_S, 1.0))
     return Pattern(
         name=f"burst of {factor:g}" + (", a third slow" if changes else ""),
         load=load,
-        seconds=BURST_FROM + BURST_S + 2.0,
+        seconds=BURST_START_S + BURST_S + 2.0,
         **changes,
     )
 
@@ -54,13 +54,13 @@
     burst(3.0),
     burst(4.0),
     burst(6.0),
-    burst(2.5, slow_share=0.33, slow_factor=3.0, slow_from=BURST_FROM),
+    burst(2.5, slow_share=0.33, slow_factor=3.0, slow_from=BURST_START_S),
 )
 
 
 @attrs.frozen(kw_only=True)
 class ForwardRow:
-    """What callers got in the burst, as shares of what was asked; the mean over the seeds."""
+    """Results of requests in the burst, as shares and over all seeds; `credit_after` follows it."""
 
     pattern: str
     variant: str
@@ -77,26 +77,30 @@
     variants: Sequence[Variant] = VARIANTS,
     seeds: Sequence[int] = SEEDS,
 ) -> Iterator[ForwardRow]:
-    """Play all patterns with all variants."""
+    """Simulate all patterns with all variants and yield the results."""
     for pattern in patterns:
         for variant in variants:
-            callers = [c for seed in seeds for c in run_pattern(pattern, variant, seed)]
-            yield _row(pattern, variant, callers)
-
-
-def _row(pattern: Pattern, variant: Variant, callers: Sequence[Caller]) -> ForwardRow:
-    end = BURST_FROM + BURST_S
-    during = [caller for caller in callers if BURST_FROM <= caller.born < end]
-    # Half a second after the burst its queues are to be gone.
-    after = [caller for caller in callers if caller.born >= end + 0.5]
-    urgent, less = ([c for c in during if c.kind is kind] for kind in KINDS)
+            requests = [
+                request for seed in seeds for request in run_pattern(pattern, variant, seed)
+            ]
+            yield _row(pattern, variant, requests)
+
+
+def _row(pattern: Pattern, variant: Variant, requests: Sequence[CallerRequest]) -> ForwardRow:
+    end = BURST_START_S + BURST_S
+    during = [request for request in requests if BURST_START_S <= request.arrived_at < end]
+    # The queues of the burst must be empty half a second after its end.
+    after = [request for request in requests if request.arrived_at >= end + 0.5]
+    urgent, less_urgent = (
+        [request for request in during if request.kind is kind] for kind in KINDS
+    )
     return ForwardRow(
         pattern=pattern.name,
         variant=variant.name,
-        credit=round(credit_of(during), 3),
-        urgent_credit=round(credit_of(urgent), 3),
-        less_urgent_credit=round(credit_of(less), 3),
-        late=round(late_of(during), 3),
-        refused=round(unserved_of(during), 3),
-        credit_after=round(credit_of(after), 3),
+        credit=round(credit_share(during), 3),
+        urgent_credit=round(credit_share(urgent), 3),
+        less_urgent_credit=round(credit_share(less_urgent), 3),
+        late=round(late_share(during), 3),
+        refused=round(unserved_share(during), 3),
+        credit_after=round(credit_share(after), 3),
     )
--- a/libs/bench/berylspindle_bench/load_trials.py
+++ b/libs/bench/berylspindle_bench/load_trials.py
@@ -1,11 +1,11 @@
-"""All trials of the decisions under load, as tables and one JSON object on the last line.
+"""Run all simulations of the decisions under load; print tables and one JSON object at the end.
 
 Terms:
-  trial   a run of the pure decisions on a clock of events, with no socket and no real time; its
-          figures compare variants with each other and are no measure of the daemon
+  trial   a discrete-event simulation of the decisions without sockets or real time; its results
+          compare variants with each other and do not predict the performance of the daemon
 
 Flow: `.venv/bin/python -m berylspindle_bench.load_trials [--quick]`. Seeds are fixed, so that the
-same code gives the same figures on each machine.
+same code gives the same results on every machine.
 """
 
 from __future__ import annotations
@@ -22,30 +22,31 @@
 from berylspindle_bench.crash_trials import canary_latency_ms, crash_rows
 from berylspindle_bench.fanout_trials import fanout_rows
 from berylspindle_bench.forward_trials import QUICK_SEEDS, SEEDS, forward_rows
-from berylspindle_bench.queue_trials import comeback_rows, queue_rows
+from berylspindle_bench.queue_trials import queue_rows, retry_rows
 from berylspindle_bench.snapshot_trials import snapshot_rows
 from berylspindle_bench.warmup_trials import warmup_rows
 
-SECONDS: Final = 6.0
-QUICK_SECONDS: Final = 1.0
+FANOUT_SECONDS: Final = 6.0
+QUICK_FANOUT_SECONDS: Final = 1.0
 
-app: Final = cyclopts.App(name="load-trials", help="Try the decisions under load.")
+app: Final = cyclopts.App(name="load-trials", help="Simulate the decisions under load.")
 
 
 @app.default
 def run(*, quick: bool = False) -> None:
-    """Run all trials and print what they gave.
+    """Run all simulations and print their results.
 
     Args:
-        quick: play one second of each fan-out instead of six, and one seed of forwarded searches.
+        quick: simulate one second of each fan-out instead of six, and one seed of forwarded
+            searches instead of three.
     """
     console = Console(width=140)
-    seconds = QUICK_SECONDS if quick else SECONDS
+    seconds = QUICK_FANOUT_SECONDS if quick else FANOUT_SECONDS
     trials: dict[str, Callable[[], Iterable[Any]]] = {
         "fan-out": lambda: fanout_rows(seconds=seconds),
         "forwarded searches": lambda: forward_rows(seeds=QUICK_SEEDS if quick else SEEDS),
         "queue": queue_rows,
-        "coming back": comeback_rows,
+        "coming back": retry_rows,
         "warm-up": warmup_rows,
         "requests that crash servers": crash_rows,
         "snapshots": snapshot_rows,
--- a/libs/bench/berylspindle_bench/measures.py
+++ b/libs/bench/berylspindle_bench/measures.py
@@ -1,15 +1,16 @@
-"""The four measures: tail latency, coverage, extra load, and service while a data centre leaves.
+"""Benchmark tail latency, coverage, extra load, and service while a data centre is taken out.
 
 Terms:
-  system       what is measured: this project, or a baseline on the same stand-ins
-  saturation   searches a second that keep every slot of the service busy at the mean service time
-  goodput      answers a second; a baseline has no least coverage and answers with whatever came
-  whole        answers a second that miss no shard
-  extra load   searches that backend servers started, over those that the requests asked for
-
-Flow: `run_measures` starts one deployment, then for each system in turn makes load by rising
-factors of the saturation, load with stragglers, and load under which an operator takes a data
-centre out and returns it. Tables go to the console and all rows to a file as JSON.
+  system       the system under test: this project, or a baseline on the same stand-ins
+  saturation   searches per second that keep every slot of the service busy at the mean service time
+  goodput      answers per second; a baseline has no minimum coverage and returns any partial result
+  whole        answers per second that miss no shard
+  extra load   sub-requests started by backend servers beyond one for each shard of a search, as a
+               share of the latter
+
+Flow: `run_measures` starts one deployment for each system in turn and generates load at rising
+factors of the saturation, load with stragglers, and load while an operator takes a data centre out
+and returns it. It prints tables to the console and returns all rows.
 """
 
 from __future__ import annotations
@@ -38,23 +39,23 @@
 OWN: Final = "berylspindle"
 MEAN_MS: Final = 40.0
 DEADLINE_MS: Final = 1000
-# Long enough that every owner has seen its servers answer often enough to use all their slots.
+# Long enough for every owner to raise the limit of each of its servers to all slots.
 WARM_UP_FACTOR: Final = 0.35
 WARM_UP_SECONDS: Final = 12.0
-FACTORS: Final = (0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0)
+LOAD_FACTORS: Final = (0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0)
 SWEEP_SECONDS: Final = 5.0
 TAIL_SECONDS: Final = 10.0
 TAIL_FACTOR: Final = 0.3
-STRAGGLERS: Final = 0.01
+STRAGGLER_SHARE: Final = 0.01
 PHASE_SECONDS: Final = 5.0
-LEAVE_FACTOR: Final = 0.4
-# Between two runs the servers' queues and the entries' estimates go back to rest.
-PAUSE_SECONDS: Final = 1.5
+TAKE_OUT_FACTOR: Final = 0.4
+# Between two runs, for the queues to empty and the estimates of the entries to decay.
+SETTLE_SECONDS: Final = 1.5
 
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """One run of one system. Latencies are of answers, in milliseconds; rates are a second."""
+    """Results of one run of one system. Latencies cover answers only; rates are per second."""
 
     system: str
     scenario: str
@@ -72,8 +73,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Setting:
-    """What all runs of one deployment share. `policy` waits long enough for 40 ms servers."""
+class RunContext:
+    """Cluster, service and saturation that all runs of one deployment share."""
 
     cluster: Cluster
     service: Service
@@ -81,7 +82,10 @@
 
 
 async def run_measures(deployment: str, folder: Path, console: Console) -> list[Row]:
-    """Measure one deployment and its baselines, print tables, and return all rows."""
+    """Measure one deployment and its baselines, print tables, and return all rows.
+
+    The policy of the service has a patience of 400 ms, ten times the mean service time.
+    """
     policy = attrs.evolve(
         DEPLOYMENTS[deployment](1024).services[0].policy, patience_ms=400, deadline_ms=DEADLINE_MS
     )
@@ -101,18 +105,18 @@
     rows: list[Row] = []
     async with start_cluster(deployment, folder, backend_flags=flags, policy=policy) as cluster:
         service = cluster.plan.configuration.services[0]
-        setting = Setting(
+        context = RunContext(
             cluster=cluster, service=service, saturation=_saturation(cluster, service)
         )
         daemons = [daemon.callers for daemon in cluster.plan.daemons]
         if system != OWN:
             daemons = list(await cluster.start_baselines(system))
-        await _run(setting, daemons, WARM_UP_FACTOR, WARM_UP_SECONDS)
-        for factor in FACTORS:
-            rows.append(await _sweep(setting, system, daemons, factor))
+        await _run_load(context, daemons, WARM_UP_FACTOR, WARM_UP_SECONDS)
+        for factor in LOAD_FACTORS:
+            rows.append(await _measure_load(context, system, daemons, factor))
             console.print(f"{system} at {factor} of saturation: {rows[-1].goodput:.0f} answers/s")
-        rows.append(await _stragglers(setting, system, daemons))
-        rows += await _leave_and_return(setting, system, daemons)
+        rows.append(await _measure_stragglers(context, system, daemons))
+        rows += await _measure_take_out(context, system, daemons)
         await cluster.stop_baselines()
     return rows
 
@@ -122,83 +126,89 @@
     return sum(s.slots for s in servers) / (MEAN_MS / 1000) / len(service.shards)
 
 
-async def _run(
-    setting: Setting, daemons: Sequence[Address], factor: float, seconds: float
+async def _run_load(
+    context: RunContext, daemons: Sequence[Address], factor: float, seconds: float
 ) -> tuple[list[Sample], float]:
-    """Make load and return its samples, with the extra load of the servers."""
-    before = await _started(setting)
+    """Generate load; return its samples and the extra load of the backend servers."""
+    before = await _searches_started(context)
     plan = LoadPlan(
-        rate=setting.saturation * factor,
+        rate=context.saturation * factor,
         seconds=seconds,
-        services=(setting.service.name,),
+        services=(context.service.name,),
         deadline_ms=DEADLINE_MS,
     )
     samples = await asyncio.to_thread(run_loads, plan, daemons)
-    started = await _started(setting) - before
-    await asyncio.sleep(PAUSE_SECONDS)
-    wanted = len(samples) * len(setting.service.shards)
-    return samples, started / wanted - 1 if wanted else 0.0
+    started = await _searches_started(context) - before
+    await asyncio.sleep(SETTLE_SECONDS)
+    expected = len(samples) * len(context.service.shards)
+    return samples, started / expected - 1 if expected else 0.0
 
 
-async def _started(setting: Setting) -> int:
-    counts = await setting.cluster.backend_counts()
-    mine = (one for one in counts.values() if one.service == setting.service.name)
-    return sum(one.counts.searches_started for one in mine)
+async def _searches_started(context: RunContext) -> int:
+    counts = await context.cluster.backend_counts()
+    servers = (server for server in counts.values() if server.service == context.service.name)
+    return sum(server.counts.searches_started for server in servers)
 
 
-async def _sweep(setting: Setting, system: str, daemons: Sequence[Address], factor: float) -> Row:
-    samples, extra = await _run(setting, daemons, factor, SWEEP_SECONDS)
+async def _measure_load(
+    context: RunContext, system: str, daemons: Sequence[Address], factor: float
+) -> Row:
+    samples, extra = await _run_load(context, daemons, factor, SWEEP_SECONDS)
     return _row(system, "load sweep", factor, samples, SWEEP_SECONDS, extra)
 
 
-async def _stragglers(setting: Setting, system: str, daemons: Sequence[Address]) -> Row:
-    slow = FaultChange(set={"straggler_probability": STRAGGLERS})
-    await setting.cluster.change_backends(slow)
-    samples, extra = await _run(setting, daemons, TAIL_FACTOR, TAIL_SECONDS)
-    await setting.cluster.change_backends(FaultChange(clear=True))
+async def _measure_stragglers(context: RunContext, system: str, daemons: Sequence[Address]) -> Row:
+    slow = FaultChange(set={"straggler_probability": STRAGGLER_SHARE})
+    await context.cluster.change_backends(slow)
+    samples, extra = await _run_load(context, daemons, TAIL_FACTOR, TAIL_SECONDS)
+    await context.cluster.change_backends(FaultChange(clear=True))
     return _row(system, "stragglers", TAIL_FACTOR, samples, TAIL_SECONDS, extra)
 
 
-async def _leave_and_return(setting: Setting, system: str, daemons: Sequence[Address]) -> list[Row]:
-    data_centre = setting.cluster.plan.configuration.data_centres[1].name
-    running = asyncio.ensure_future(_run(setting, daemons, LEAVE_FACTOR, 3 * PHASE_SECONDS))
-    # The load's processes take about a second to start.
+async def _measure_take_out(
+    context: RunContext, system: str, daemons: Sequence[Address]
+) -> list[Row]:
+    data_centre = context.cluster.plan.configuration.data_centres[1].name
+    running = asyncio.ensure_future(_run_load(context, daemons, TAKE_OUT_FACTOR, 3 * PHASE_SECONDS))
+    # The processes of the load generator take about a second to start.
     await asyncio.sleep(1.0 + PHASE_SECONDS)
-    left = await _confirm(setting, IntentKind.TAKE_OUT, data_centre)
+    taken_out_at = await _execute_intent(context, IntentKind.TAKE_OUT, data_centre)
     await asyncio.sleep(PHASE_SECONDS)
-    last = await _last_arrival(setting, data_centre)
-    await _confirm(setting, IntentKind.RETURN, data_centre)
+    last_arrival = await _last_arrival(context, data_centre)
+    await _execute_intent(context, IntentKind.RETURN, data_centre)
     samples, extra = await running
-    late_ms = max(0.0, last - left) * 1000
+    late_ms = max(0.0, last_arrival - taken_out_at) * 1000
     note = f"last new work there {late_ms:.0f} ms after the confirm"
     spans = ("before", "while out", "after return")
     rows = []
     for number, name in enumerate(spans):
         start = number * PHASE_SECONDS
-        part = [s for s in samples if start <= s.started < start + PHASE_SECONDS]
-        row = _row(system, "data centre leaves", LEAVE_FACTOR, part, PHASE_SECONDS, extra)
+        phase_samples = [s for s in samples if start <= s.started < start + PHASE_SECONDS]
+        row = _row(
+            system, "data centre leaves", TAKE_OUT_FACTOR, phase_samples, PHASE_SECONDS, extra
+        )
         rows.append(attrs.evolve(row, note=f"{name}; {note}" if number == 1 else name))
     return rows
 
 
-async def _confirm(setting: Setting, kind: IntentKind, data_centre: str) -> float:
-    """Plan and confirm an intent as an operator would; return when it was accepted."""
-    cluster = setting.cluster
+async def _execute_intent(context: RunContext, kind: IntentKind, data_centre: str) -> float:
+    """Plan and confirm an intent as an operator; return the time of acceptance as Unix time."""
+    cluster = context.cluster
     addresses = [daemon.admin for daemon in cluster.plan.daemons]
     async with OperatorClient(addresses, token=Secret(cluster.token), operator="bench") as client:
         plan = await client.plan(Intent(kind=kind, subject=data_centre))
         if not isinstance(plan, Plan):
-            raise RuntimeError(f"no plan: {plan}")
+            raise RuntimeError(f"operator API returned no plan: {plan}")
         confirmation = await client.confirm(plan, override=True)
         if not isinstance(confirmation, Confirmation):
-            raise RuntimeError(f"not confirmed: {confirmation}")
+            raise RuntimeError(f"operator API did not confirm the plan: {confirmation}")
     return time.time()
 
 
-async def _last_arrival(setting: Setting, data_centre: str) -> float:
-    counts = await setting.cluster.backend_counts()
-    there = (one for one in counts.values() if one.data_centre == data_centre)
-    return max(one.counts.last_arrival_wall for one in there)
+async def _last_arrival(context: RunContext, data_centre: str) -> float:
+    counts = await context.cluster.backend_counts()
+    servers = (server for server in counts.values() if server.data_centre == data_centre)
+    return max(server.counts.last_arrival_wall for server in servers)
 
 
 def _row(
--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -1,14 +1,15 @@
-"""Trials of rollouts: how often a version that is bad is found, and what it serves until then.
+"""Simulate rollouts: how often a bad version is detected, and how many requests it gets before.
 
 Terms:
-  kind     how a version is bad: from the start, later, on one route, under a replica's full load
-  judge    what finds it; the fixed thresholds and the judge without routes are baselines
-  lag      seconds until a VM has heard of a step, and until its answers count for the next one
-  fault    what goes wrong beside the rollout, from `FAULT_AT` on
-
-Flow: `play` sends requests through the real decisions (`rollout_plan`, `version_judge`). `python -m
-berylspindle_bench.rollout_trials` prints a row for each rate, share of bad answers of the old
-version and judge; with `faults` as its argument a row for each fault and version.
+  kind     when a version is bad: always, after some seconds, on one route, or under full load
+  judge    function that decides on a version; fixed thresholds and judging the total over all
+           routes are baselines
+  stage    stage of the rollout; a VM learns of it `STAGE_DELAY_S` after the decision
+  fault    a failure beside the rollout that begins at `FAULT_START_S`
+
+Flow: `play` sends requests through the production decisions (`rollout_plan`, `version_judge`).
+`python -m berylspindle_bench.rollout_trials` prints a row for each judge, request rate and share of
+bad answers of the old version; with the argument `faults` a row for each fault and version.
 """
 
 from __future__ import annotations
@@ -41,30 +42,31 @@
 
 Judge = Callable[[Mapping[str, AnswerCounts], Caution], Verdict]
 
-STEP_S: Final = 0.4
-HEARD_S: Final = 0.7
-COUNTED_S: Final = 1.5
-READY_S: Final = 1.5
-LATER_S: Final = 5.0
-QUICK_ROUTE: Final = 0.36
+DECISION_INTERVAL_S: Final = 0.4
+STAGE_DELAY_S: Final = 0.7
+MAX_COUNTING_DELAY_S: Final = 1.5
+TRIAL_READY_S: Final = 1.5
+LATER_START_S: Final = 5.0
+QUICK_ROUTE_SHARE: Final = 0.36
 REPLICAS: Final = 3
 RUNS: Final = 100
 
-FAULT_AT: Final = 4.0
+FAULT_START_S: Final = 4.0
 FAULT_RUNS: Final = 200
-CUT_SHARE: Final = 0.25
-BURST: Final = 3.5
+PARTITIONED_SHARE: Final = 0.25
+BURST_FACTOR: Final = 3.5
 
 
 class Fault(enum.StrEnum):
-    """What goes wrong beside a rollout.
-
-    KEEPER_KILLED: the next VM that follows the store takes over after two seconds. STORE_AWAY: no
-    step and no record is written. POWER_LOSS: all VMs stop, and know only the records afterwards.
-    CUT: a quarter of the requests come in a data centre that hears of no step and is not counted.
-    BURST: more requests, some of them late at either version. OLD_SLOW, TRIAL_SLOW: one replica of
-    the old version, or the one on trial, turns slow. COLD: what the new replicas answer does not
-    count for three seconds.
+    """A failure beside a rollout.
+
+    KEEPER_KILLED: the VM that runs the rollout is killed, and another one takes over after two
+    seconds. STORE_AWAY: neither stages nor answer counts are stored. POWER_LOSS: all VMs restart
+    with only the stored answer counts. CUT: a quarter of the requests arrive in a partitioned data
+    centre, which does not learn of new stages and whose answers do not count. BURST: a higher
+    request rate, with some late answers of both versions. OLD_SLOW, TRIAL_SLOW: one replica of the
+    old version, or the replica on trial, is slow. COLD: the answers of new replicas do not count
+    for three seconds.
     """
 
     NONE = "none"
@@ -78,7 +80,7 @@
     COLD = "cold replicas"
 
 
-FAULT_S: Final[dict[Fault, float]] = {
+FAULT_DURATION_S: Final[dict[Fault, float]] = {
     Fault.NONE: 0.0,
     Fault.KEEPER_KILLED: 2.0,
     Fault.STORE_AWAY: 4.5,
@@ -89,39 +91,50 @@
     Fault.TRIAL_SLOW: 5.0,
     Fault.COLD: 3.0,
 }
-"""Seconds for which each fault lasts."""
+"""Duration of each fault in seconds."""
 
-FAULT_BAD: Final[dict[tuple[Fault, bool], float]] = {
+FAULT_BAD_SHARE: Final[dict[tuple[Fault, bool], float]] = {
     (Fault.BURST, False): 0.1,
     (Fault.BURST, True): 0.1,
     (Fault.OLD_SLOW, False): 0.6,
     (Fault.TRIAL_SLOW, True): 0.45,
 }
-"""Shares of answers, by fault and whether the version is the new one, that it makes bad; of old
-replicas it is the first where one is slow."""
+"""Share of answers that a fault makes bad, by fault and whether the version is the new one.
+
+OLD_SLOW applies to the first old replica only."""
 
 
 @attrs.frozen(kw_only=True)
 class Version:
-    """A new version: of its answers `share` are bad, of the kind that is named; none if sound."""
+    """A new version: `share` of its answers are bad under the condition `kind`, none if sound."""
 
     kind: str = "sound"
     share: float = 0.0
 
     def is_bad(self, now: float, route: str, load: float) -> bool:
-        """Return whether it is bad now; `load` is what one replica gets of its usual load."""
+        """Return whether the version is bad now.
+
+        `load` is the load of one replica as a share of its usual load.
+        """
         return {
             "sound": False,
             "start": True,
-            "later": now >= LATER_S,
+            "later": now >= LATER_START_S,
             "one route": route == "quick",
             "load": load >= 0.9,
         }[self.kind]
 
 
 @attrs.frozen(kw_only=True)
-class Played:
-    """What came of one rollout; `allowed` are the requests that a bad version may get."""
+class RolloutResult:
+    """Result of one rollout.
+
+    Attributes:
+        stage: last stage.
+        exposed: requests sent to the new version.
+        allowed: requests that a bad version may get.
+        ended: time of the last stage change, in seconds.
+    """
 
     stage: Stage
     exposed: int
@@ -131,7 +144,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """Requests a second of all VMs, the share of bad answers of the old version, and the term."""
+    """Requests per second, share of bad answers of the old version, and term in seconds."""
 
     rate: float
     bad: float = 0.02
@@ -145,20 +158,20 @@
     seed: int,
     judge: Judge = judge,
     fault: Fault = Fault.NONE,
-) -> Played:
-    """Play one rollout."""
-    played = _Play(version, service, judge, fault, random.Random(seed))
-    while played.now < service.term:
-        played.request()
-        played.look()
-    allowed = played.bounds.share * played.total + played.bounds.slack
-    at, stage = played.steps[-1]
-    return Played(stage=stage, exposed=played.exposed, allowed=allowed, ended=at)
+) -> RolloutResult:
+    """Simulate one rollout and return its result."""
+    simulation = _Simulation(version, service, judge, fault, random.Random(seed))
+    while simulation.now < service.term:
+        simulation.request()
+        simulation.decide_stage()
+    allowed = simulation.bounds.share * simulation.total + simulation.bounds.slack
+    at, stage = simulation.stages[-1]
+    return RolloutResult(stage=stage, exposed=simulation.exposed, allowed=allowed, ended=at)
 
 
 @attrs.frozen(kw_only=True)
 class _Answer:
-    """One answer, and when it counts."""
+    """An answer and the time from which it counts."""
 
     counted_at: float
     route: str
@@ -167,14 +180,14 @@
     is_bad: bool
 
 
-class _Play:
-    """One rollout: requests one after the other, and a look of the keepers now and then."""
+class _Simulation:
+    """One rollout: requests at a fixed rate and a periodic decision on the stage."""
 
     def __init__(
         self, version: Version, service: Service, judge: Judge, fault: Fault, rng: random.Random
     ) -> None:
         self.bounds: Final = ExposureBounds()
-        self.steps = [(0.0, Stage.TRIAL)]
+        self.stages = [(0.0, Stage.TRIAL)]
         self.now = 0.0
         self.total = self.exposed = 0
         self._version: Final = version
@@ -182,34 +195,40 @@
         self._judge: Final = judge
         self._fault: Final = fault
         self._rng: Final = rng
-        self._told = _no_answers()
-        self._record = _no_answers()
+        self._reported = _no_answers()
+        self._stored = _no_answers()
         self._pending: list[_Answer] = []
-        self._counted = 0
+        self._counted_answers = 0
         self._rate = 0.0
-        self._look_at = STEP_S
+        self._next_decision_at = DECISION_INTERVAL_S
 
     def request(self) -> None:
-        """Send the next request and note what is told of its answer."""
-        self.now += 1.0 / (self._service.rate * (BURST if self._has(Fault.BURST) else 1.0))
-        if self._has(Fault.POWER_LOSS):
-            self.now = FAULT_AT + FAULT_S[Fault.POWER_LOSS]
-            self._told, self._pending = _no_answers(), []
-        is_cut = self._has(Fault.CUT) and self._rng.random() < CUT_SHARE
-        stage = self._heard(FAULT_AT if is_cut else self.now)
+        """Send the next request and record its answer."""
+        self.now += 1.0 / (
+            self._service.rate * (BURST_FACTOR if self._is_active(Fault.BURST) else 1.0)
+        )
+        if self._is_active(Fault.POWER_LOSS):
+            self.now = FAULT_START_S + FAULT_DURATION_S[Fault.POWER_LOSS]
+            self._reported, self._pending = _no_answers(), []
+        is_partitioned = self._is_active(Fault.CUT) and self._rng.random() < PARTITIONED_SHARE
+        stage = self._known_stage(FAULT_START_S if is_partitioned else self.now)
         self.total += 1
         share = self._share(stage)
-        route = "quick" if self._rng.random() < QUICK_ROUTE else "whole"
-        is_new = self.now >= READY_S and self._rng.random() < share
+        route = "quick" if self._rng.random() < QUICK_ROUTE_SHARE else "whole"
+        is_new = self.now >= TRIAL_READY_S and self._rng.random() < share
         load = share if stage is not Stage.TRIAL else share * REPLICAS
         self.exposed += is_new
         replica = self._rng.randrange(REPLICAS)
-        is_cold = is_new and self._fault is Fault.COLD and self.now < READY_S + FAULT_S[self._fault]
-        if is_cut or is_cold:
+        is_cold = (
+            is_new
+            and self._fault is Fault.COLD
+            and self.now < TRIAL_READY_S + FAULT_DURATION_S[self._fault]
+        )
+        if is_partitioned or is_cold:
             return
         self._pending.append(
             _Answer(
-                counted_at=self.now + COUNTED_S * self._rng.random(),
+                counted_at=self.now + MAX_COUNTING_DELAY_S * self._rng.random(),
                 route=route,
                 replica=replica,
                 is_new=is_new,
@@ -217,45 +236,50 @@
             )
         )
 
-    def look(self) -> None:
-        """Take the next step, if the records allow one."""
-        if self.now < self._look_at:
+    def decide_stage(self) -> None:
+        """Move to the next stage if it is time for a decision and the answers allow it."""
+        if self.now < self._next_decision_at:
             return
-        self._look_at += STEP_S
-        if self._has(Fault.KEEPER_KILLED) or self._has(Fault.STORE_AWAY):
+        self._next_decision_at += DECISION_INTERVAL_S
+        if self._is_active(Fault.KEEPER_KILLED) or self._is_active(Fault.STORE_AWAY):
             return
-        self._count()
-        since, stage = self.steps[-1]
+        self._store_counts()
+        entered_at, stage = self.stages[-1]
         term = self._service.term
-        care = caution(self.bounds, term=term, rate=self._service.rate)
-        verdict = self._judge(self._record, care)
-        following = next_stage(
-            stage, verdict, elapsed=self.now, in_stage=self.now - since, term=term
+        level = caution(self.bounds, term=term, rate=self._service.rate)
+        verdict = self._judge(self._stored, level)
+        next_ = next_stage(
+            stage, verdict, elapsed=self.now, in_stage=self.now - entered_at, term=term
         )
-        if following is not stage:
-            self.steps.append((self.now, following))
-
-    def _count(self) -> None:
-        """Bring what was told by now into the record."""
-        for one in self._pending:
-            if one.counted_at <= self.now:
-                self._told[one.route].add(str(one.replica), is_new=one.is_new, is_bad=one.is_bad)
-        self._pending = [one for one in self._pending if one.counted_at > self.now]
-        for route, counts in self._record.items():
-            counts.raise_to(self._told[route])
-        self._counted = sum(
+        if next_ is not stage:
+            self.stages.append((self.now, next_))
+
+    def _store_counts(self) -> None:
+        """Merge the answers that count by now into the stored counts."""
+        for answer in self._pending:
+            if answer.counted_at <= self.now:
+                self._reported[answer.route].add(
+                    str(answer.replica), is_new=answer.is_new, is_bad=answer.is_bad
+                )
+        self._pending = [answer for answer in self._pending if answer.counted_at > self.now]
+        for route, counts in self._stored.items():
+            counts.raise_to(self._reported[route])
+        self._counted_answers = sum(
             counts.new + sum(answers for answers, _ in counts.old.values())
-            for counts in self._record.values()
+            for counts in self._stored.values()
+        )
+        if self.now > 1.0 + MAX_COUNTING_DELAY_S:
+            self._rate = max(self._rate, self._counted_answers / self.now)
+
+    def _is_active(self, fault: Fault) -> bool:
+        """Return whether a fault is active."""
+        return (
+            self._fault is fault
+            and FAULT_START_S <= self.now < FAULT_START_S + FAULT_DURATION_S[fault]
         )
-        if self.now > 1.0 + COUNTED_S:
-            self._rate = max(self._rate, self._counted / self.now)
-
-    def _has(self, fault: Fault) -> bool:
-        """Return whether a fault is under way."""
-        return self._fault is fault and FAULT_AT <= self.now < FAULT_AT + FAULT_S[fault]
 
-    def _heard(self, now: float) -> Stage:
-        return [stage for at, stage in self.steps if at + HEARD_S <= now or at == 0.0][-1]
+    def _known_stage(self, now: float) -> Stage:
+        return [stage for at, stage in self.stages if at + STAGE_DELAY_S <= now or at == 0.0][-1]
 
     def _share(self, stage: Stage) -> float:
         if stage in (Stage.SHIFT, Stage.COMPLETED):
@@ -263,21 +287,21 @@
         if stage is not Stage.TRIAL:
             return 0.0
         term = self._service.term
-        may = may_try(
+        is_allowed = may_try(
             self.bounds,
             elapsed=self.now,
             requests=self.total,
             tried=self.exposed,
-            of_all=self._counted,
+            of_all=self._counted_answers,
             dither=0.5,
         )
         share = trial_share(self.bounds, term=term, rate=self._rate, elapsed=self.now)
-        return share if may else 0.0
+        return share if is_allowed else 0.0
 
     def _is_bad(self, route: str, replica: int, is_new: bool, load: float) -> bool:
         shares = [self._service.bad]
-        if self._has(self._fault) and not (self._fault is Fault.OLD_SLOW and replica):
-            shares.append(FAULT_BAD.get((self._fault, is_new), 0.0))
+        if self._is_active(self._fault) and not (self._fault is Fault.OLD_SLOW and replica):
+            shares.append(FAULT_BAD_SHARE.get((self._fault, is_new), 0.0))
         if is_new and self._version.is_bad(self.now, route, load):
             shares.append(self._version.share)
         return any(self._rng.random() < share for share in shares)
@@ -288,7 +312,7 @@
 
 
 def judge_whole(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
-    """Judge all routes together only."""
+    """Judge the total over all routes."""
     total = AnswerCounts()
     for counts in routes.values():
         total.join(counts)
@@ -296,14 +320,20 @@
 
 
 def judge_by_thresholds(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
-    """Judge by three bad answers that are twice the control's share and a twentieth more."""
+    """Judge by fixed thresholds.
+
+    A version is bad with at least three bad answers if their share is at least twice that of the
+    control plus 0.05.
+    """
     total = AnswerCounts()
     for counts in routes.values():
         total.join(counts)
-    for one in (total, *routes.values()):
-        answers, bad = control_of(one)
+    for counts in (total, *routes.values()):
+        answers, bad = control_of(counts)
         control = (bad + 0.5) / (answers + 10)
-        if one.new >= LEAST_ANSWERS and one.new_bad >= max(3, one.new * (2 * control + 0.05)):
+        if counts.new >= LEAST_ANSWERS and counts.new_bad >= max(
+            3, counts.new * (2 * control + 0.05)
+        ):
             return Verdict.BAD
     return Verdict.SOUND if total.new >= LEAST_ANSWERS else Verdict.UNSURE
 
@@ -324,27 +354,27 @@
 
 
 def rows() -> list[str]:
-    """Return the table: for each version, the share completed and that over its exposure."""
-    named = [f"{one.kind} {one.share or ''}".strip() for one in VERSIONS]
+    """Return a table with the share completed and the share beyond the exposure per version."""
+    named = [f"{version.kind} {version.share or ''}".strip() for version in VERSIONS]
     lines = [" | ".join(["judge", "requests/s", "old bad", *named])]
-    for name, judge_ in JUDGES.items():
+    for name, judge_fn in JUDGES.items():
         for rate in (2.0, 10.0, 63.0):
             for bad in (0.01, 0.05, 0.15):
                 service = Service(rate=rate, bad=bad)
-                cells = [_cell(version, service, judge_) for version in VERSIONS]
+                cells = [_cell(version, service, judge_fn) for version in VERSIONS]
                 lines.append(" | ".join([name, f"{rate:g}", f"{bad:g}", *cells]))
     return lines
 
 
-def _cell(version: Version, service: Service, judge_: Judge) -> str:
-    played = [play(version, service, seed=seed, judge=judge_) for seed in range(RUNS)]
-    completed = sum(one.stage is Stage.COMPLETED for one in played) / RUNS
-    over = sum(one.exposed > one.allowed for one in played) / RUNS
-    return f"{completed:.2f}" if version.kind == "sound" else f"{completed:.2f}, {over:.2f}"
+def _cell(version: Version, service: Service, judge_fn: Judge) -> str:
+    results = [play(version, service, seed=seed, judge=judge_fn) for seed in range(RUNS)]
+    completed = sum(result.stage is Stage.COMPLETED for result in results) / RUNS
+    over_share = sum(result.exposed > result.allowed for result in results) / RUNS
+    return f"{completed:.2f}" if version.kind == "sound" else f"{completed:.2f}, {over_share:.2f}"
 
 
 def fault_rows() -> list[str]:
-    """Return the table of faults: share decided right with its 95% interval, when, and exposure."""
+    """Return a table of faults: share of right decisions, their times, and exposure."""
     lines = ["fault | version | right | 95% | decided after s, median, last | beyond exposure"]
     for fault in Fault:
         for version in VERSIONS:
@@ -354,17 +384,17 @@
 
 def _fault_row(fault: Fault, version: Version) -> str:
     service = Service(rate=63.0, bad=0.05)
-    played = [play(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)]
-    wanted = Stage.COMPLETED if version.kind == "sound" else Stage.ROLLED_BACK
-    right = sum(one.stage is wanted for one in played)
-    low, high = _interval(right, FAULT_RUNS)
-    ends = sorted(one.ended for one in played)
-    over = sum(one.exposed > one.allowed for one in played) / FAULT_RUNS
-    beyond = "" if version.kind == "sound" else f"{over:.3f}"
+    results = [play(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)]
+    expected = Stage.COMPLETED if version.kind == "sound" else Stage.ROLLED_BACK
+    right_count = sum(result.stage is expected for result in results)
+    low, high = _interval(right_count, FAULT_RUNS)
+    ends = sorted(result.ended for result in results)
+    over_share = sum(result.exposed > result.allowed for result in results) / FAULT_RUNS
+    beyond = "" if version.kind == "sound" else f"{over_share:.3f}"
     cells = [
         fault.value,
         f"{version.kind} {version.share or ''}".strip(),
-        f"{right / FAULT_RUNS:.3f}",
+        f"{right_count / FAULT_RUNS:.3f}",
         f"{low:.3f} to {high:.3f}",
         f"{ends[FAULT_RUNS // 2]:.1f}, {ends[-1]:.1f}",
         beyond,
@@ -373,11 +403,11 @@
 
 
 def _interval(hits: int, runs: int, z: float = 1.96) -> tuple[float, float]:
-    """Return Wilson's interval of a share."""
+    """Return the Wilson score interval of a share."""
     share, weight = hits / runs, z * z / runs
-    middle = (share + weight / 2) / (1 + weight)
-    half = z * math.sqrt(share * (1 - share) / runs + weight / (4 * runs)) / (1 + weight)
-    return max(0.0, middle - half), min(1.0, middle + half)
+    centre = (share + weight / 2) / (1 + weight)
+    half_width = z * math.sqrt(share * (1 - share) / runs + weight / (4 * runs)) / (1 + weight)
+    return max(0.0, centre - half_width), min(1.0, centre + half_width)
 
 
 if __name__ == "__main__":
--- a/libs/bench/berylspindle_bench/snapshot_trials.py
+++ b/libs/bench/berylspindle_bench/snapshot_trials.py
@@ -1,13 +1,13 @@
-"""Trials of the choice of a snapshot while index versions change under running searches.
+"""Simulate the choice of a snapshot while new index versions are rolled out.
 
 Terms:
-  roll     a new version reaches the thirty replicas one after the other, within `ROLL_S`
+  rollout  a new version reaches the thirty replicas one after the other within `ROLLOUT_S`
   mixed    an answer whose shards were computed on different snapshots
-  asked    sub-requests of a search for each shard; 1.0 is the least
+  asked    sub-requests per shard of a search; the minimum is 1.0
 
-Flow: an entry searches ten shards with three replicas each, a hundred times a second. Each replica
-keeps its two newest versions and tells them with every reply. Variants differ in what they pin; all
-but the first ask shards again as `SnapshotTracker.reask` says.
+Flow: an entry searches ten shards with three replicas each, a hundred times per second. Each
+replica holds its two newest versions and reports them with every reply. The variants differ in the
+snapshot that they pin; all but the first send to shards again as `SnapshotTracker.reask` decides.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 SHARDS: Final = tuple(f"{n}" for n in range(10))
 REPLICAS: Final = 3
-PERIOD_S: Final = 5.0
-ROLL_S: Final = 4.0
+VERSION_INTERVAL_S: Final = 5.0
+ROLLOUT_S: Final = 4.0
 SECONDS: Final = 60.0
-RATE: Final = 100.0
+SEARCHES_PER_S: Final = 100.0
 VARIANTS: Final = ("no pin, merge all", "no pin, ask again", "newest seen", "newest common")
 
 
 @attrs.frozen(kw_only=True)
 class SnapshotRow:
-    """Figures of one variant."""
+    """Results of one variant."""
 
     variant: str
     mixed: float
@@ -41,40 +41,43 @@
 
 
 class _Replica:
-    """Holds the two newest versions that have reached it."""
+    """A replica that holds the two newest versions that have reached it."""
 
     def __init__(self, name: str, lag_s: float) -> None:
         self.name = name
         self._lag_s = lag_s
 
     def held(self, now: float) -> tuple[Snapshot, ...]:
-        newest = int((now - self._lag_s) // PERIOD_S) + 2
+        newest = int((now - self._lag_s) // VERSION_INTERVAL_S) + 2
         return Snapshot(1, newest - 1), Snapshot(1, newest)
 
 
 class _Entry:
-    """One entry and what it has learnt of the replicas."""
+    """An entry with its record of the versions of the replicas."""
 
     def __init__(self, variant: str) -> None:
         self.asked = 0
         self._variant = variant
-        self._random = random.Random(6)
+        self._rng = random.Random(6)
         self._replicas = {
             shard: [
-                _Replica(f"{shard}-{r}", self._random.uniform(0, ROLL_S)) for r in range(REPLICAS)
+                _Replica(f"{shard}-{r}", self._rng.uniform(0, ROLLOUT_S)) for r in range(REPLICAS)
             ]
             for shard in SHARDS
         }
-        names = {shard: [r.name for r in rows] for shard, rows in self._replicas.items()}
+        names = {
+            shard: [replica.name for replica in replicas]
+            for shard, replicas in self._replicas.items()
+        }
         self._tracker = SnapshotTracker(1, names)
-        self._newest: Snapshot | None = None
+        self._newest_seen: Snapshot | None = None
 
     def search(self, now: float) -> tuple[int, bool]:
-        """Return how many shards answer, and whether the answer is mixed."""
+        """Return the number of answered shards and whether the answer is mixed."""
         pin = self._pin()
         answered: dict[str, Snapshot] = {}
         refused: set[str] = set()
-        self._ask(now, SHARDS, pin, answered, refused)
+        self._send_to_shards(now, SHARDS, pin, answered, refused)
         if self._variant == VARIANTS[0]:
             return len(answered), len(set(answered.values())) > 1
         rounds = 0
@@ -91,7 +94,7 @@
                 for shard in step.shards:
                     answered.pop(shard, None)
                 refused.clear()
-                self._ask(now, step.shards, step.target, answered, refused)
+                self._send_to_shards(now, step.shards, step.target, answered, refused)
                 rounds += 1
                 continue
             missing = len(step.missing) if isinstance(step, KeepOne) else len(SHARDS)
@@ -100,10 +103,10 @@
 
     def _pin(self) -> Snapshot | None:
         if self._variant == "newest seen":
-            return self._newest
+            return self._newest_seen
         return self._tracker.choose() if self._variant == "newest common" else None
 
-    def _ask(
+    def _send_to_shards(
         self,
         now: float,
         shards: tuple[str, ...],
@@ -116,28 +119,32 @@
             replica = self._choose(shard, pin)
             held = replica.held(now)
             self._tracker.observe(shard, replica.name, held)
-            self._newest = max(self._newest or held[-1], held[-1])
+            self._newest_seen = max(self._newest_seen or held[-1], held[-1])
             if pin is None or pin in held:
                 answered[shard] = pin or held[-1]
             else:
                 refused.add(shard)
 
     def _choose(self, shard: str, pin: Snapshot | None) -> _Replica:
-        rows = self._replicas[shard]
+        replicas = self._replicas[shard]
         if pin is None or self._variant in VARIANTS[:2]:
-            return self._random.choice(rows)
-        may = [r for r in rows if self._tracker.holds(shard, r.name, pin) is not False]
-        return self._random.choice(may or rows)
+            return self._rng.choice(replicas)
+        candidates = [
+            replica
+            for replica in replicas
+            if self._tracker.holds(shard, replica.name, pin) is not False
+        ]
+        return self._rng.choice(candidates or replicas)
 
 
 def snapshot_rows() -> Iterator[SnapshotRow]:
-    """Run every variant over the same rolls."""
+    """Run every variant over the same rollouts and yield the results."""
     for variant in VARIANTS:
         entry = _Entry(variant)
-        total = int(SECONDS * RATE)
+        total = int(SECONDS * SEARCHES_PER_S)
         whole = mixed = 0
         for n in range(total):
-            answered, is_mixed = entry.search(10.0 + n / RATE)
+            answered, is_mixed = entry.search(10.0 + n / SEARCHES_PER_S)
             whole += answered == len(SHARDS) and not is_mixed
             mixed += is_mixed
         yield SnapshotRow(
--- a/libs/bench/berylspindle_bench/wire_rates.py
+++ b/libs/bench/berylspindle_bench/wire_rates.py
@@ -1,13 +1,13 @@
-"""Measure what messages cost on the wire: HTTP/1.1, peers' streams and calls, datagrams.
+"""Benchmark the cost of messages: HTTP/1.1, streams and calls between VMs, datagrams, the codec.
 
 Terms:
-  sender, receiver   this process and one other, each with one event loop on one core
-  CPU a message      process time of a side divided by the messages, in microseconds
+  sender, receiver   this process and a second one, each with one event loop on one core
+  CPU a message      CPU time of one side divided by the number of messages, in microseconds
 
-Flow: for each case the receiver is started in a process of its own; the sender warms it up, then
-drives a fixed number of messages with a fixed number in flight, and reads the process times of
-both sides. All cases run one after the other, so that their ratios hold on a busy machine too.
-Batches in flight share frames; the case with one in flight shows what a frame costs by itself.
+Flow: the receiver runs in its own process. For each case the sender warms up, then sends a fixed
+number of messages with a fixed number in flight, and reads the CPU times of both sides. The cases
+run one after the other, so that their ratios hold on a busy machine as well. Batches in flight
+share frames; the case with one in flight gives the cost of a single frame.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 
 HOST: Final = "127.0.0.1"
 KEY: Final = b"bench"
-BODY: Final = b'{"query":"junmai daiginjo","limit":10}' * 4
-ANSWER: Final = b'{"hits":[{"id":"lot-1","score":1.5}]}' * 8
+REQUEST_BODY: Final = b'{"query":"junmai daiginjo","limit":10}' * 4
+RESPONSE_BODY: Final = b'{"hits":[{"id":"lot-1","score":1.5}]}' * 8
 HITS: Final = tuple(
     Hit(id=f"lot-{number}", score=1.0 / (number + 1), fields={"brewery": "Asahi", "cases": number})
     for number in range(3)
 )
 IN_FLIGHT: Final = 16
-WARM_UP: Final = 300
+WARM_UP_MESSAGES: Final = 300
 
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """One case as measured."""
+    """Results of one case: messages per second and CPU time per message on both sides."""
 
     name: str
     messages: int
@@ -60,17 +60,17 @@
 
 
 class _Owner(BatchHandler):
-    """Answer each attempt at once with three hits."""
+    """Batch handler that answers each attempt at once with three hits."""
 
     async def run(self, batch: AttemptBatch, reply: Callable[[AttemptReply], None]) -> None:
         for attempt in batch.attempts:
-            reply(_reply_to(attempt))
+            reply(_make_reply(attempt))
 
     def cancel(self, attempts: Sequence[str]) -> None:
         pass
 
 
-def _reply_to(attempt: Attempt) -> AttemptReply:
+def _make_reply(attempt: Attempt) -> AttemptReply:
     return AttemptReply(
         attempt=attempt.id,
         server=attempt.server,
@@ -81,17 +81,17 @@
     )
 
 
-async def _answer(_: HttpRequest) -> HttpResponse:
-    return json_response(200, ANSWER)
+async def _handle_search(_: HttpRequest) -> HttpResponse:
+    return json_response(200, RESPONSE_BODY)
 
 
 async def _echo(payload: bytes) -> bytes:
     return payload
 
 
-async def _receive(pipe: Connection) -> None:
-    """Serve all protocols, tell the ports and then the process time each time it is asked for."""
-    http = await serve(_answer, host=HOST, port=0)
+async def _serve_all(pipe: Connection) -> None:
+    """Serve all protocols; send the ports through the pipe, then the CPU time on each request."""
+    http = await serve(_handle_search, host=HOST, port=0)
     peers = PeerServer(HOST, 0, batch_handler=_Owner(), control={"echo": _echo}, key=KEY)
     await peers.start()
     ports: list[DatagramPort] = []
@@ -109,12 +109,12 @@
 
 
 def _run_receiver(pipe: Connection) -> None:
-    asyncio.run(_receive(pipe))
+    asyncio.run(_serve_all(pipe))
 
 
 @attrs.frozen
 class _Receiver:
-    """The other process as the sender sees it."""
+    """Ports of the receiver and the pipe to its process."""
 
     pipe: Connection
     http: int
@@ -122,7 +122,7 @@
     datagrams: int
 
     def process_time(self) -> float:
-        """Return the other process's time in seconds."""
+        """Return the CPU time of the receiver in seconds."""
         self.pipe.send(True)
         seconds: float = self.pipe.recv()
         return seconds
@@ -131,33 +131,33 @@
 @contextmanager
 def _receiver() -> Iterator[_Receiver]:
     context = multiprocessing.get_context("spawn")
-    ours, theirs = context.Pipe()
-    process = context.Process(target=_run_receiver, args=(theirs,))
+    sender_pipe, receiver_pipe = context.Pipe()
+    process = context.Process(target=_run_receiver, args=(receiver_pipe,))
     process.start()
     try:
-        yield _Receiver(ours, *ours.recv())
+        yield _Receiver(sender_pipe, *sender_pipe.recv())
     finally:
-        ours.send(False)
+        sender_pipe.send(False)
         process.join()
 
 
 class _Case(ABC):
-    """One kind of message; `send` returns when `count` of them are answered."""
+    """A kind of message to benchmark."""
 
     def __init__(self, receiver: _Receiver) -> None:
         self.receiver = receiver
 
     @abstractmethod
     async def open(self) -> None:
-        """Open what the case needs."""
+        """Open the connections of the case."""
 
     @abstractmethod
     async def send(self, count: int) -> None:
-        """Send messages, a fixed number of them in flight."""
+        """Send `count` messages, a fixed number in flight, and wait for all replies."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Close what was opened."""
+        """Close the connections."""
 
 
 class _Http(_Case):
@@ -167,13 +167,13 @@
         ]
 
     async def send(self, count: int) -> None:
-        request = HttpRequest(method="POST", path="/search", body=BODY)
+        request = HttpRequest(method="POST", path="/search", body=REQUEST_BODY)
 
-        async def use(number: int) -> None:
+        async def send_share(number: int) -> None:
             for _ in range(count // IN_FLIGHT):
                 await self._connections[number].request(request, timeout=30)
 
-        await asyncio.gather(*(use(number) for number in range(IN_FLIGHT)))
+        await asyncio.gather(*(send_share(number) for number in range(IN_FLIGHT)))
 
     async def close(self) -> None:
         for connection in self._connections:
@@ -181,7 +181,7 @@
 
 
 class _Links(_Case):
-    """Base of the cases between peers."""
+    """Base class of the cases between VMs."""
 
     async def open(self) -> None:
         self._links = PeerLinks("sender", key=KEY)
@@ -195,11 +195,11 @@
     async def send(self, count: int) -> None:
         payload = to_pack(_batch(0, 1))
 
-        async def use() -> None:
+        async def send_share() -> None:
             for _ in range(count // IN_FLIGHT):
                 await self._links.call(self._vm, "echo", payload, timeout=30)
 
-        await asyncio.gather(*(use() for _ in range(IN_FLIGHT)))
+        await asyncio.gather(*(send_share() for _ in range(IN_FLIGHT)))
 
 
 class _Stream(_Links):
@@ -211,13 +211,13 @@
 
     async def send(self, count: int) -> None:
         size = self._size
-        left = count // size
+        remaining = count // size
         answered = 0
         done = asyncio.Event()
 
         def submit() -> None:
-            nonlocal left
-            left -= 1
+            nonlocal remaining
+            remaining -= 1
             self._number += 1
             unanswered = size
 
@@ -228,12 +228,12 @@
                 answered += 1
                 if answered == count // size * size:
                     done.set()
-                elif not unanswered and left:
+                elif not unanswered and remaining:
                     submit()
 
             self._links.submit(self._vm, _batch(self._number, size), on_reply)
 
-        for _ in range(min(self._in_flight, left)):
+        for _ in range(min(self._in_flight, remaining)):
             submit()
         await done.wait()
 
@@ -249,7 +249,7 @@
         address = (HOST, self.receiver.datagrams)
         for _ in range(count // IN_FLIGHT):
             for _ in range(IN_FLIGHT):
-                self._port.send(BODY, address)
+                self._port.send(REQUEST_BODY, address)
             for _ in range(IN_FLIGHT):
                 await asyncio.wait_for(self._answered.acquire(), 10)
 
@@ -281,27 +281,31 @@
 async def _measure(name: str, case: _Case, count: int) -> Row:
     await case.open()
     try:
-        await case.send(WARM_UP // IN_FLIGHT * IN_FLIGHT)
-        theirs, ours, start = case.receiver.process_time(), time.process_time(), time.perf_counter()
+        await case.send(WARM_UP_MESSAGES // IN_FLIGHT * IN_FLIGHT)
+        receiver_s, sender_s, start = (
+            case.receiver.process_time(),
+            time.process_time(),
+            time.perf_counter(),
+        )
         await case.send(count)
         seconds = time.perf_counter() - start
-        ours = time.process_time() - ours
-        theirs = case.receiver.process_time() - theirs
+        sender_s = time.process_time() - sender_s
+        receiver_s = case.receiver.process_time() - receiver_s
     finally:
         await case.close()
     return Row(
         name=name,
         messages=count,
         per_second=count / seconds,
-        sender_us=ours / count * 1e6,
-        receiver_us=theirs / count * 1e6,
+        sender_us=sender_s / count * 1e6,
+        receiver_us=receiver_s / count * 1e6,
     )
 
 
 def _codec_row(size: int, count: int) -> Row:
-    """Measure encoding and decoding alone, of the frames both ways, an attempt at a time."""
+    """Measure only encoding and decoding of the frames in both directions, per attempt."""
     batch = PeerFrame(batches=(_batch(1, size),))
-    replies = PeerFrame(replies=tuple(_reply_to(a) for a in batch.batches[0].attempts))
+    replies = PeerFrame(replies=tuple(_make_reply(a) for a in batch.batches[0].attempts))
     packed, packed_replies = to_pack(batch), to_pack(replies)
     rounds = count // size
     start = time.process_time()
@@ -324,8 +328,8 @@
     )
 
 
-def measure(count: int = 8000) -> list[Row]:
-    """Return one row a case, with `count` round trips or attempts in each."""
+def measure_messages(count: int = 8000) -> list[Row]:
+    """Return one row per case, with `count` round trips or attempts each."""
     rows = []
     with _receiver() as receiver:
         cases: list[tuple[str, _Case]] = [
@@ -342,9 +346,9 @@
 
 
 def main() -> None:
-    """Print the measures."""
+    """Run the benchmark and print its results."""
     print(f"{'case':40} {'a second':>10} {'sender us':>10} {'receiver us':>12}")
-    for row in measure():
+    for row in measure_messages():
         print(f"{row.name:40} {row.per_second:10.0f} {row.sender_us:10.1f} {row.receiver_us:12.1f}")
 
 
--- a/tests/bench/test_page_links.py
+++ b/tests/bench/test_page_links.py
@@ -1,4 +1,4 @@
-"""Pages name files that are there."""
+"""Tests of the check for references from pages to missing files."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from berylspindle_bench.page_links import missing
 
 
-def test_a_page_that_was_never_committed_is_found(tmp_path: Path) -> None:
-    """Guards against references to pages that only one working tree ever had."""
+def test_references_to_missing_files_are_reported(tmp_path: Path) -> None:
+    """Guards against references to pages that were never committed and exist in one tree only."""
     docs = tmp_path / "docs"
     (docs / "design").mkdir(parents=True)
     (docs / "design" / "LARGE.md").write_text("see [back](../HOME.md), docs/HOME.md\n")
