--- a/libs/bench/berylspindle_bench/crash_trials.py
+++ b/libs/bench/berylspindle_bench/crash_trials.py
@@ -128,7 +128,7 @@
         time = 0.0
         while time < end:
             time += self._rng.expovariate(200.0)
-            # 30% of the searches repeat one of 20 queries, as those of human users do.
+            # 30% of the searches repeat one of 20 queries, as interactive users do.
             number = self._rng.randrange(20 if self._rng.random() < 0.3 else 10**9)
             self._clock.at(time, partial(self._send, f"good-{number}", number % VMS))
         for n in range(self._bad_requests * SENDS_PER_REQUEST):
--- a/libs/bench/berylspindle_bench/fanout_model.py
+++ b/libs/bench/berylspindle_bench/fanout_model.py
@@ -5,8 +5,8 @@
   variant    the decisions that are enabled; the baseline sends to a random replica and never hedges
 
 Flow: eight entries, each with its own latency estimates, send searches to ten shards with three
-replicas of three slots each. Each replica has a `FairQueue` and a `ServerLimiter`, as at its owner.
-`Simulation.run` simulates one scenario with one variant.
+replicas of three slots each, the sizes of the users' deployments. Each replica has a `FairQueue`
+and a `ServerLimiter`, as at its owner. `Simulation.run` simulates one scenario with one variant.
 """
 
 from __future__ import annotations
--- a/libs/bench/berylspindle_bench/queue_trials.py
+++ b/libs/bench/berylspindle_bench/queue_trials.py
@@ -212,8 +212,8 @@
 
 def retry_rows() -> Iterator[RetryRow]:
     """Simulate 60 clients at a limit of 20 requests, with computed and with fixed retry delays."""
-    for told in (None, 2, 20, 500):
-        yield _RetryTrial(told).run()
+    for retry_after_ms in (None, 2, 20, 500):
+        yield _RetryTrial(retry_after_ms).run()
 
 
 class _RetryTrial:
--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -4,7 +4,8 @@
   kind     when a version is bad: always, after some seconds, on one route, or under full load
   judge    function that decides on a version; fixed thresholds and judging the total over all
            routes are baselines
-  stage    stage of the rollout; a VM learns of it `STAGE_DELAY_S` after the decision
+  stage    stage of the rollout; it reaches the VMs `STAGE_DELAY_S` after the decision, and their
+           answers count after up to `MAX_COUNTING_DELAY_S`
   fault    a failure beside the rollout that begins at `FAULT_START_S`
 
 Flow: `play` sends requests through the production decisions (`rollout_plan`, `version_judge`).
@@ -63,10 +64,10 @@
     KEEPER_KILLED: the VM that runs the rollout is killed, and another one takes over after two
     seconds. STORE_AWAY: neither stages nor answer counts are stored. POWER_LOSS: all VMs restart
     with only the stored answer counts. CUT: a quarter of the requests arrive in a partitioned data
-    centre, which does not learn of new stages and whose answers do not count. BURST: a higher
-    request rate, with some late answers of both versions. OLD_SLOW, TRIAL_SLOW: one replica of the
-    old version, or the replica on trial, is slow. COLD: the answers of new replicas do not count
-    for three seconds.
+    centre, which new stages do not reach and whose answers do not count. BURST: a higher request
+    rate, with some late answers of both versions. OLD_SLOW, TRIAL_SLOW: one replica of the old
+    version, or the replica on trial, is slow. COLD: the answers of new replicas do not count for
+    three seconds.
     """
 
     NONE = "none"
--- a/libs/bench/berylspindle_bench/snapshot_trials.py
+++ b/libs/bench/berylspindle_bench/snapshot_trials.py
@@ -7,7 +7,7 @@
 
 Flow: an entry searches ten shards with three replicas each, a hundred times per second. Each
 replica holds its two newest versions and reports them with every reply. The variants differ in the
-snapshot that they pin; all but the first send to shards again as `SnapshotTracker.reask` decides.
+snapshot that they pin; all but the first repeat sub-requests as `SnapshotTracker.reask` decides.
 """
 
 from __future__ import annotations
