--- a/libs/bench/berylspindle_bench/baseline.py
+++ b/libs/bench/berylspindle_bench/baseline.py
@@ -27,8 +27,8 @@
 from berylspindle_decisions.merge import merge_hits
 from berylspindle_model import caller_protocol as protocol
 from berylspindle_model import codec
-from berylspindle_model.checked import from_stored
 from berylspindle_model.configuration import Configuration, Server, ServerState, Service
+from berylspindle_model.configuration_codec import from_stored
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.messages import Attempt, AttemptReply, Coverage, SearchAnswer
 from berylspindle_store.http_store import open_store
--- a/libs/bench/berylspindle_bench/capacity_fakes.py
+++ b/libs/bench/berylspindle_bench/capacity_fakes.py
@@ -18,15 +18,15 @@
 
 from berylspindle_dataplane.backend import Backend, BackendReport
 from berylspindle_dataplane.entry import Entry
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
 from berylspindle_dataplane.owner_table import OwnerTable
-from berylspindle_dataplane.router import OnReply, OwnDispatcher, Router
+from berylspindle_dataplane.router import LocalDispatcher, OnReply, Router
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.shedding import Shedding
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
-from berylspindle_dataplane.worker_tools import Queued, WorkerTools
+from berylspindle_dataplane.shedding_events import SheddingEvents
+from berylspindle_dataplane.worker_context import QueuedAttempt, WorkerContext
 from berylspindle_decisions.admission import AdmissionOptions
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.fair_queue import FairQueueOptions
 from berylspindle_decisions.ownership import DispatchRights, RightLevel
@@ -67,10 +67,10 @@
             on_reply(attrs.evolve(reply, attempt=attempt.id, server=attempt.server))
 
 
-class NoOwner(OwnDispatcher):
+class NoOwner(LocalDispatcher):
     """This VM owns nothing, so that every batch goes to other VMs."""
 
-    def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
+    def submit_local(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Refuse: no view names this VM."""
         raise NotImplementedError
 
@@ -116,20 +116,20 @@
     me = Vm(id="entry", data_centre="dc-0", host="127.0.0.1", peer_port=1)
     table = OwnerTable()
     table.adopt(views)
-    router = Router(me=me, owners=table, own=NoOwner(), links=owners)
+    router = Router(me=me, owners=table, local=NoOwner(), links=owners)
     router.adopt(state)
     timeline = Timeline(me.id)
     numbers = itertools.count()
-    tools = EntryTools(
+    tools = EntryContext(
         metrics=Metrics(),
         timeline=timeline,
         now=time.monotonic,
         random=random.Random(1).random,
         new_id=lambda: f"a{next(numbers)}",
         deadlines=Deadlines(),
-        quarantine=WatchedQuarantine(timeline),
+        quarantine=EntryQuarantine(timeline),
         admission=AdmissionOptions(),
-        shedding=Shedding(timeline),
+        shedding=SheddingEvents(timeline),
     )
     return Entry(router, tools), state
 
@@ -138,7 +138,7 @@
     backend: InstantBackend,
 ) -> tuple[ServerWorker, Callable[[Attempt], asyncio.Future[AttemptReply]]]:
     """Return a worker of an instant backend server, and what submits an attempt to it."""
-    tools = WorkerTools(
+    tools = WorkerContext(
         rights=AlwaysHeld(),
         metrics=Metrics(),
         timeline=Timeline("vm"),
@@ -147,12 +147,12 @@
         queue=FairQueueOptions(),
     )
     server = make_configuration(1).servers[0]
-    worker = ServerWorker(server, backend, tools, Trust(cap=3, shown_ms=1.0))
+    worker = ServerWorker(server, backend, tools, WarmUpState(cap=3, baseline_ms=1.0))
 
     def submit(attempt: Attempt) -> asyncio.Future[AttemptReply]:
         done: asyncio.Future[AttemptReply] = asyncio.get_running_loop().create_future()
         now = time.monotonic()
-        worker.submit(Queued(attempt, "c", now + 10.0, done.set_result, now))
+        worker.submit(QueuedAttempt(attempt, "c", now + 10.0, done.set_result, now))
         return done
 
     return worker, submit
--- a/libs/bench/berylspindle_bench/capacity_slopes.py
+++ b/libs/bench/berylspindle_bench/capacity_slopes.py
@@ -35,7 +35,7 @@
 from berylspindle_dataplane.owner_table import OwnerTable
 from berylspindle_decisions.merge import merge_hits
 from berylspindle_model import codec
-from berylspindle_model.checked import canonical, parse_configuration
+from berylspindle_model.configuration_codec import canonical, parse_configuration
 from berylspindle_model.messages import Attempt, AttemptReply, SearchRequest
 from berylspindle_model.topology import ClusterState
 from berylspindle_wire.client import HttpClient
@@ -142,11 +142,11 @@
         replies = [reply_to(str(n), HITS, draw) for n in range(shards)]
         for name, group in (("entry, replies as they come", 1), ("entry, merged at the owner", 5)):
             merged = [_merged(replies[start : start + group]) for start in range(0, shards, group)]
-            packed = [codec.to_pack(one) for one in merged]
+            packed = [codec.to_msgpack(one) for one in merged]
             rounds = max(5, 2000 // shards)
             started = time.process_time()
             for _ in range(rounds):
-                read = [codec.from_pack(data, AttemptReply) for data in packed]
+                read = [codec.from_msgpack(data, AttemptReply) for data in packed]
                 merge_hits((one.hits for one in read), offset=0, limit=HITS)
             cost = (time.process_time() - started) / rounds * 1e6
             yield Point(series=name, size=shards, cost=cost, unit="us")
@@ -165,16 +165,16 @@
         yield Point(
             series="configuration, packed",
             size=servers,
-            cost=len(codec.to_pack(configuration)),
+            cost=len(codec.to_msgpack(configuration)),
             unit="bytes",
         )
         started = time.process_time()
         parse_configuration(text)
         cost = (time.process_time() - started) * 1000
         yield Point(series="configuration, parse and check", size=servers, cost=cost, unit="ms")
-        packed = codec.to_pack(configuration)
+        packed = codec.to_msgpack(configuration)
         tracemalloc.start()
-        kept = codec.from_pack(packed, type(configuration))
+        kept = codec.from_msgpack(packed, type(configuration))
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         yield Point(series="configuration, memory", size=len(kept.servers), cost=size, unit="bytes")
--- a/libs/bench/berylspindle_bench/cluster.py
+++ b/libs/bench/berylspindle_bench/cluster.py
@@ -28,8 +28,8 @@
 from berylspindle_client.addresses import Address
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_model import caller_protocol, codec
-from berylspindle_model.checked import canonical
 from berylspindle_model.configuration import Configuration, Policy
+from berylspindle_model.configuration_codec import canonical
 from berylspindle_standins.backend_faults import FaultChange
 from berylspindle_standins.backend_standin import CountsDocument, ServerCounts
 from berylspindle_standins.deployments import DEPLOYMENTS
@@ -56,12 +56,12 @@
     peer_port: int
 
     @property
-    def callers(self) -> Address:
+    def callers_address(self) -> Address:
         """Return the address for callers."""
         return Address(host=HOST, port=self.callers_port)
 
     @property
-    def admin(self) -> Address:
+    def admin_address(self) -> Address:
         """Return the address for operators."""
         return Address(host=HOST, port=self.admin_port)
 
@@ -195,7 +195,7 @@
 
     async def wait_ready(self, plan: DaemonPlan, timeout: float = READY_TIMEOUT_S) -> None:
         """Wait until a daemon reports ready; raise TimeoutError after `timeout` seconds."""
-        await self._wait_ready(plan.callers, timeout)
+        await self._wait_ready(plan.callers_address, timeout)
 
     async def _wait_ready(self, address: Address, timeout: float) -> None:
         deadline = time.monotonic() + timeout
--- a/libs/bench/berylspindle_bench/control_rates.py
+++ b/libs/bench/berylspindle_bench/control_rates.py
@@ -27,11 +27,11 @@
 from rich.console import Console
 from rich.table import Table
 
+from berylspindle_controlplane.control_plane import ControlOptions, ControlPlane
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
-from berylspindle_controlplane.plane import ControlOptions, ControlPlane
 from berylspindle_controlplane.wire_transport import WireTransport
-from berylspindle_model.checked import to_stored
 from berylspindle_model.configuration import Configuration, DataCentre, Server, Service
+from berylspindle_model.configuration_codec import to_stored
 from berylspindle_model.messages import AttemptBatch, AttemptReply
 from berylspindle_model.topology import ClusterState, Vm
 from berylspindle_standins.platform_standin import PlatformStandin, start_platform
@@ -94,19 +94,19 @@
         store = await self._stack.enter_async_context(open_store("127.0.0.1", platform.port))
         self.plane = ControlPlane(
             ControlOptions(),
-            me=self.vm,
+            local_vm=self.vm,
             store=store,
             vm_list=None,
             seeds=seeds,
             transport=WireTransport(links, self.port.send),
             on_state=self._on_state,
-            events=lambda kind, fields: None,
+            on_event=lambda kind, fields: None,
         )
         server = PeerServer(
             self.vm.host,
             self.vm.peer_port,
             batch_handler=_NoBatches(),
-            control=self.plane.methods,
+            control=self.plane.peer_handlers,
             key=KEY,
         )
         await server.start()
--- a/libs/bench/berylspindle_bench/crash_trials.py
+++ b/libs/bench/berylspindle_bench/crash_trials.py
@@ -21,7 +21,7 @@
 
 from berylspindle_bench.event_clock import EventClock
 from berylspindle_decisions.quarantine import (
-    FirstSeen,
+    FirstSeenPolicy,
     Quarantine,
     QuarantineOptions,
     RunMode,
@@ -44,7 +44,7 @@
     """What a variant does against bad requests; `first_seen` None is no quarantine at all."""
 
     name: str
-    first_seen: FirstSeen | None = None
+    first_seen: FirstSeenPolicy | None = None
     retries: bool = False
     gossip_s: float = 0.1
     owners: bool = False
@@ -53,14 +53,18 @@
 GUARDS: Final = (
     Guard(name="retry elsewhere", retries=True),
     Guard(name="no retry"),
-    Guard(name="quarantine", first_seen=FirstSeen.NEVER),
-    Guard(name="+ canary in alert", first_seen=FirstSeen.ALERT),
-    Guard(name="+ canary always", first_seen=FirstSeen.ALWAYS),
-    Guard(name="+ in alert, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0),
-    Guard(name="+ in alert, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9),
-    Guard(name="+ owners too", first_seen=FirstSeen.ALERT, owners=True),
-    Guard(name="+ owners too, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0, owners=True),
-    Guard(name="+ owners too, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9, owners=True),
+    Guard(name="quarantine", first_seen=FirstSeenPolicy.NEVER),
+    Guard(name="+ canary in alert", first_seen=FirstSeenPolicy.ALERT),
+    Guard(name="+ canary always", first_seen=FirstSeenPolicy.ALWAYS),
+    Guard(name="+ in alert, gossip 1 s", first_seen=FirstSeenPolicy.ALERT, gossip_s=1.0),
+    Guard(name="+ in alert, no gossip", first_seen=FirstSeenPolicy.ALERT, gossip_s=1e9),
+    Guard(name="+ owners too", first_seen=FirstSeenPolicy.ALERT, owners=True),
+    Guard(
+        name="+ owners too, gossip 1 s", first_seen=FirstSeenPolicy.ALERT, gossip_s=1.0, owners=True
+    ),
+    Guard(
+        name="+ owners too, no gossip", first_seen=FirstSeenPolicy.ALERT, gossip_s=1e9, owners=True
+    ),
 )
 
 
@@ -112,7 +116,7 @@
         self._clock = EventClock()
         self._random = random.Random(3)
         self._servers = [[_Server(f"{s}-{r}") for r in range(REPLICAS)] for s in range(SHARDS)]
-        options = QuarantineOptions(first_seen=guard.first_seen or FirstSeen.NEVER)
+        options = QuarantineOptions(first_seen=guard.first_seen or FirstSeenPolicy.NEVER)
         self._quarantines = [Quarantine(options) for _ in range(VMS)]
         # An owner asks a quarantine of its own: what it saw crash its servers needs no gossip.
         self._owners = [Quarantine(QuarantineOptions()) for _ in range(VMS)]
@@ -171,7 +175,7 @@
         server.back_at = self._clock.now + DOWN_S
         lost, server.running = server.running, []
         for each in lost:
-            self._owner(server).on_lost(
+            self._owner(server).on_connection_lost(
                 self._clock.now,
                 each.search.fingerprint,
                 server.name,
@@ -201,7 +205,7 @@
 
     def _on_lost(self, sub: _Sub, server: _Server, in_flight: int) -> None:
         if self._guard.first_seen is not None:
-            self._quarantines[sub.search.vm].on_lost(
+            self._quarantines[sub.search.vm].on_connection_lost(
                 self._clock.now,
                 sub.search.fingerprint,
                 server.name,
@@ -215,7 +219,7 @@
     def _is_refused(self, server: _Server, sub: _Sub) -> bool:
         now, fingerprint = self._clock.now, sub.search.fingerprint
         owner, entry = self._owner(server), self._quarantines[sub.search.vm]
-        if owner.allows(now, fingerprint, canary=sub.is_canary) is None:
+        if owner.check_attempt(now, fingerprint, canary=sub.is_canary) is None:
             return False
         self.innocents += not fingerprint.startswith("bad")
         entry.on_suspected(now, fingerprint)
--- a/libs/bench/berylspindle_bench/demo.py
+++ b/libs/bench/berylspindle_bench/demo.py
@@ -85,7 +85,7 @@
 
 
 async def _search(daemon: DaemonPlan, service: str, query: str) -> SearchResult:
-    async with CallerClient([daemon.callers], caller="demo") as client:
+    async with CallerClient([daemon.callers_address], caller="demo") as client:
         started = time.monotonic()
         outcome = await client.search(service, query, deadline_ms=DEADLINE_MS)
         elapsed_ms = (time.monotonic() - started) * 1000
@@ -99,7 +99,7 @@
     service = cluster.plan.configuration.services[0]
     outcomes: list[object] = []
     for daemon in (cluster.plan.daemons[0], cluster.plan.daemons[-1]):
-        async with CallerClient([daemon.callers], caller="demo") as client:
+        async with CallerClient([daemon.callers_address], caller="demo") as client:
             outcomes.append(
                 await client.execute(
                     service.name, service.shards[0], "hold-1", {"hold": "lot-7", "cases": 12}
--- a/libs/bench/berylspindle_bench/demo_operator.py
+++ b/libs/bench/berylspindle_bench/demo_operator.py
@@ -17,7 +17,7 @@
 import attrs
 
 from berylspindle_bench.cluster import Cluster
-from berylspindle_bench.load import LoadPlan, Report, Sample, run_loads
+from berylspindle_bench.load import LoadPlan, Report, Sample, run_load_in_processes
 
 RATE: Final = 60.0
 PHASE_SECONDS: Final = 3.0
@@ -89,7 +89,7 @@
         services=tuple(service.name for service in cluster.plan.configuration.services),
         deadline_ms=DEADLINE_MS,
     )
-    return run_loads(plan, [daemon.callers for daemon in cluster.plan.daemons])
+    return run_load_in_processes(plan, [daemon.callers_address for daemon in cluster.plan.daemons])
 
 
 def _phase_reports(samples: list[Sample]) -> dict[str, Report]:
@@ -110,7 +110,7 @@
 
 
 async def _run_tool(cluster: Cluster, *arguments: str) -> ToolRun:
-    admins = ",".join(str(daemon.admin) for daemon in cluster.plan.daemons)
+    admins = ",".join(str(daemon.admin_address) for daemon in cluster.plan.daemons)
     environment = os.environ | {
         "BERYLSPINDLE_CLI_ADMINS": admins,
         "BERYLSPINDLE_CLI_TOKEN": cluster.token,
--- a/libs/bench/berylspindle_bench/experiment.py
+++ b/libs/bench/berylspindle_bench/experiment.py
@@ -4,8 +4,8 @@
   day      a pattern of load and troubles, in a TOML file
   policy   switches as the daemon's setting writes them, "hedges=off"; empty is as it is
 
-Flow: `read_day` checks a day file, `compare` plays it with each policy on the same seeds, and the
-program prints a table, a JSON line, and a picture where one is asked for.
+Flow: `read_experiment` checks a day file, `compare_policies` plays it with each policy on the same
+seeds, and the program prints a table, a JSON line, and a picture where one is asked for.
 
 The spread is a confidence of 95% over the seeds, by Student's distribution.
 """
@@ -31,14 +31,14 @@
     unserved_of,
 )
 from berylspindle_bench.forward_model import Variant, run_pattern
-from berylspindle_decisions.forward_policy import read_policy
+from berylspindle_decisions.forward_policy import parse_policy
 
 # Two-sided 95% quantiles of Student's distribution for 1 to 9 degrees of freedom.
 _STUDENT: Final = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
 _NORMAL: Final = 1.96
 
 
-class DayError(Exception):
+class ExperimentFileError(Exception):
     """A day file can't be used; the text says why, in one line."""
 
 
@@ -61,26 +61,28 @@
     unserved: float
 
 
-def read_day(path: Path) -> Pattern:
-    """Return the pattern of a day file; raises DayError."""
+def read_experiment(path: Path) -> Pattern:
+    """Return the pattern of a day file; raises ExperimentFileError."""
     try:
         fields = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise DayError(f"{path}: {error}") from error
+        raise ExperimentFileError(f"{path}: {error}") from error
     known = attrs.fields_dict(Pattern)
     if unknown := fields.keys() - known.keys():
-        raise DayError(f"{path}: unknown {', '.join(sorted(unknown))}; known: {', '.join(known)}")
+        raise ExperimentFileError(
+            f"{path}: unknown {', '.join(sorted(unknown))}; known: {', '.join(known)}"
+        )
     try:
         return _pattern(fields)
     except (KeyError, TypeError, ValueError) as error:
-        raise DayError(f"{path}: {error}") from error
+        raise ExperimentFileError(f"{path}: {error}") from error
 
 
-def compare(
+def compare_policies(
     day: Pattern, policies: Sequence[str], seeds: Sequence[int]
 ) -> tuple[PolicyResult, ...]:
     """Play a day with each policy on the same seeds; raises ValueError for an unknown switch."""
-    variants = [Variant(name=text, policy=read_policy(text)) for text in policies]
+    variants = [Variant(name=text, policy=parse_policy(text)) for text in policies]
     return tuple(
         _result(variant.name, day, [run_pattern(day, variant, seed) for seed in seeds])
         for variant in variants
--- a/libs/bench/berylspindle_bench/fanout_model.py
+++ b/libs/bench/berylspindle_bench/fanout_model.py
@@ -20,7 +20,7 @@
 from berylspindle_bench.event_clock import EventClock
 from berylspindle_decisions.admission import Admission
 from berylspindle_decisions.budget import RequestRetries, RetryBudget, RetryClass, RetryPolicy
-from berylspindle_decisions.concurrency import FailureKind, ServerLimiter, Trust
+from berylspindle_decisions.concurrency import FailureKind, ServerLimiter, WarmUpState
 from berylspindle_decisions.ejection import Ejector
 from berylspindle_decisions.fair_queue import FairQueue, Pushed
 from berylspindle_decisions.hedging import HedgeOptions, HedgePolicy, HedgeVerdict
@@ -122,14 +122,14 @@
         self._world = world
         self._queue: FairQueue[_Attempt] = FairQueue()
         self._limiter = ServerLimiter(SLOTS, 1)
-        self._limiter.on_takeover(0.0, Trust(cap=SLOTS, shown_ms=None))
+        self._limiter.on_takeover(0.0, WarmUpState(cap=SLOTS, baseline_ms=None))
 
     def submit(self, attempt: _Attempt) -> None:
         now = self._clock.now
         deadline = attempt.sub.search.started + DEADLINE_S
         pushed = self._queue.push(now, attempt, caller=attempt.entry.name, deadline=deadline)
         if isinstance(pushed, Pushed):
-            for victim in pushed.victims:
+            for victim in pushed.evicted:
                 self._give_up(victim)
         else:
             self._give_up(attempt)
@@ -209,8 +209,8 @@
                 return
             self.admission.on_start("c")
             self._clock.after(DEADLINE_S, lambda: self._settle(search))
-        self.hedges.on_first(SHARDS)
-        self.retry_budget.on_first(SHARDS)
+        self.hedges.on_first_attempt(SHARDS)
+        self.retry_budget.on_first_attempt(SHARDS)
         owners: set[str] = set()
         for shard, servers in self._world.shards.items():
             sub = _Sub(search, shard)
@@ -269,7 +269,7 @@
             return
         search.settled = True
         pressed = search.pressed or search.left > 0
-        self.admission.on_done(self._clock.now, "c", queued_ms=search.queued_ms, pressed=pressed)
+        self.admission.on_done(self._clock.now, "c", queued_ms=search.queued_ms, overloaded=pressed)
 
     def _cancel(self, attempt: _Attempt) -> None:
         now = self._clock.now
@@ -287,7 +287,7 @@
         views = [self._view(server) for server in servers]
         if self._world.variant.chooses:
             grouped = owners if self._world.variant.groups else ()
-            return choose(views, now=self._clock.now, u=u, owners=grouped)
+            return choose(views, now=self._clock.now, uniform=u, owners=grouped)
         first = int(u * len(views))
         return tuple(views[first:] + views[:first])
 
--- a/libs/bench/berylspindle_bench/forward_model.py
+++ b/libs/bench/berylspindle_bench/forward_model.py
@@ -24,20 +24,13 @@
 from berylspindle_decisions.admission_controller import (
     AdmissionController,
     AdmissionRequest,
-    added_ms_of,
-    pressure_of,
-    return_after_ms,
-)
-from berylspindle_decisions.answer_time import (
-    MARGIN_MS,
-    HedgeTimes,
-    PartsVerdict,
-    hedge_times,
-    parts_verdict,
+    min_queueing_delay_ms,
+    queueing_pressure,
+    retry_after_ms,
 )
 from berylspindle_decisions.forward_policy import ForwardPolicy
 from berylspindle_decisions.hedged_request import (
-    AttemptEnd,
+    AttemptOutcome,
     AttemptPolicy,
     AttemptRecord,
     GiveUp,
@@ -46,7 +39,14 @@
     SendTo,
 )
 from berylspindle_decisions.latency_profile import LatencyProfile
-from berylspindle_decisions.replica_health import STALLED, ReplicaHealth
+from berylspindle_decisions.replica_health import STALLED_COST, ReplicaHealth
+from berylspindle_decisions.response_timing import (
+    RESPONSE_MARGIN_MS,
+    HedgeTiming,
+    PartialResultVerdict,
+    decide_partial_result,
+    hedge_timing,
+)
 from berylspindle_decisions.shared_retry_budget import SharedBudgetOptions, SharedRetryBudget
 
 SHARDS: Final = 10
@@ -154,13 +154,13 @@
         self._kind: Final = caller.kind
         now = world.clock.now
         self._deadline: Final = caller.born + caller.kind.deadline_ms / 1000
-        self._aim_cut: Final = now + (caller.kind.aim_ms - MARGIN_MS) / 1000
+        self._aim_cut: Final = now + (caller.kind.aim_ms - RESPONSE_MARGIN_MS) / 1000
         self._races: Final = [
             HedgedRequest(
                 str(shard),
                 repeatable=True,
-                most_runs=2,
-                wait_until=now + NO_REPLICA_WAIT_S,
+                max_runs=2,
+                no_replica_deadline=now + NO_REPLICA_WAIT_S,
                 deadline=self._deadline,
             )
             for shard in range(SHARDS)
@@ -181,7 +181,7 @@
         self._world.clock.at(self._aim_cut, self._settle)
         self._world.clock.at(self._deadline, self._settle)
 
-    def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
+    def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         """Return the replica of least cost."""
         now, best, best_cost = self._world.clock.now, None, math.inf
         policy = self._world.variant.policy
@@ -193,20 +193,20 @@
                 continue
             if hedge and policy.hedge_idle_only and not health.has_free_slot(now):
                 continue
-            cost = health.cost(now, u=self._world.rng.random())
+            cost = health.cost(now, uniform=self._world.rng.random())
             if cost < best_cost:
                 best, best_cost = name, cost
-        return None if hedge and best_cost >= STALLED else best
+        return None if hedge and best_cost >= STALLED_COST else best
 
-    def may_take_extra(self, service: str, *, hedge: bool) -> bool:
+    def acquire_extra(self, service: str, *, hedge: bool) -> bool:
         """Ask the extra share."""
         share, now = self._vm.shares[int(service)], self._world.clock.now
-        if not share.may_take(now, vms=VMS, hedge=hedge):
+        if not share.allows(now, vms=VMS, hedge=hedge):
             return False
         share.take(now)
         return True
 
-    def hedge_after(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         """Return the hedge delay."""
         return self._hedge_times().delay_ms / 1000
 
@@ -214,7 +214,7 @@
         """Take an answer with the replica's report."""
         now, race = self._world.clock.now, self._races[attempt.index]
         health = self._vm.healths[attempt.record.replica]
-        health.reported(now, running=running, waiting=waiting, slots=SLOTS)
+        health.on_report(now, running=running, waiting=waiting, slots=SLOTS)
         elapsed_ms = (now - attempt.record.sent_at) * 1000
         profile, unqueued = (
             self._vm.profiles[self._kind.name],
@@ -222,42 +222,46 @@
         )
         usual = unqueued.quantile(0.5) or self._hedge_times().usual_ms
         profile.add(elapsed_ms)
-        if attempt.explained <= 1.0 or not unqueued.known:
+        if attempt.explained <= 1.0 or not unqueued.has_enough_samples:
             unqueued.add(elapsed_ms)
-        health.answered(now, attempt, ratio=elapsed_ms / max(usual * attempt.explained, 0.1))
-        if race.state is not RequestState.WON:
-            race.answered(attempt.record)
+        health.on_answer(
+            now, attempt, latency_ratio=elapsed_ms / max(usual * attempt.explained, 0.1)
+        )
+        if race.state is not RequestState.ANSWERED:
+            race.on_answer(attempt.record)
             self._parts.add(attempt.index)
         self._settle()
 
     def refused(self, attempt: _Attempt) -> None:
         """Take that a replica's queue is full."""
         now = self._world.clock.now
-        self._vm.healths[attempt.record.replica].refused(now, attempt)
+        self._vm.healths[attempt.record.replica].on_refusal(now, attempt)
         race = self._races[attempt.index]
-        race.ended(now, attempt.record, AttemptEnd.NOT_RUN, refused=True)
+        race.on_failure(now, attempt.record, AttemptOutcome.NOT_RUN, refused=True)
         if not self._done and race.state is RequestState.OPEN:
             self._step(attempt.index)
             self._settle()
 
     def _is_admitted(self, now: float) -> bool:
         unqueued = self._vm.unqueued[self._kind.name]
-        usual = unqueued.quantile(0.5) if unqueued.known else 0.0
+        usual = unqueued.quantile(0.5) if unqueued.has_enough_samples else 0.0
         added = [
-            added_ms_of(map(self._vm.healths.__getitem__, names), now, usual_ms=usual)
+            min_queueing_delay_ms(map(self._vm.healths.__getitem__, names), now, usual_ms=usual)
             for names in self._world.names
         ]
         request = AdmissionRequest(
             group="shards",
             priority=self._kind.priority,
-            pressure=pressure_of(
-                added, least=self._kind.least, aim_ms=(self._aim_cut - now) * 1000
+            pressure=queueing_pressure(
+                added, min_parts=self._kind.least, target_ms=(self._aim_cut - now) * 1000
             ),
         )
-        if self._vm.gate.admits(now, request, u=self._world.rng.random()):
+        if self._vm.gate.admit(now, request, uniform=self._world.rng.random()):
             return True
         left_ms = (self._deadline - now) * 1000
-        wait = return_after_ms(added_ms=max(added), left_ms=left_ms, u=self._world.rng.random())
+        wait = retry_after_ms(
+            queueing_delay_ms=max(added), left_ms=left_ms, uniform=self._world.rng.random()
+        )
         if self._caller.tries < 2:
             self._world.clock.after(wait / 1000, lambda: self._world.send(self._caller))
         return False
@@ -282,14 +286,12 @@
 
     def _send(self, index: int, name: str) -> None:
         now, health = self._world.clock.now, self._vm.healths[name]
-        record = self._races[index].sent(now, name, self)
+        record = self._races[index].on_sent(now, name, self)
         work = self._world.rng.lognormvariate(math.log(self._kind.work_ms), SPREAD)
         work *= self._caller.length
-        attempt = _Attempt(self, index, record, health.explained(now), work)
+        attempt = _Attempt(self, index, record, health.queueing_factor(now), work)
         delay = record.hedge_at - now
-        health.sent(
-            attempt, late_at=record.hedge_at, unexplained_at=now + delay * attempt.explained
-        )
+        health.on_sent(attempt, late_at=record.hedge_at, overdue_at=now + delay * attempt.explained)
         replica = self._world.replicas[name]
         self._world.clock.after(WAY_S, lambda: replica.take(attempt))
 
@@ -297,23 +299,23 @@
         if self._done:
             return
         now = self._world.clock.now
-        verdict = parts_verdict(
-            asked=SHARDS,
-            least=self._kind.least,
+        verdict = decide_partial_result(
+            requested=SHARDS,
+            min_parts=self._kind.least,
             parts=len(self._parts),
             lost=self._lost,
-            aim_passed=now >= self._aim_cut and self._world.variant.policy.partial_at_target,
+            target_passed=now >= self._aim_cut and self._world.variant.policy.partial_at_target,
         )
-        if verdict is PartsVerdict.ANSWER:
-            self._caller.answered_at = now + MARGIN_MS / 2000
+        if verdict is PartialResultVerdict.ANSWER:
+            self._caller.answered_at = now + RESPONSE_MARGIN_MS / 2000
             self._caller.share = len(self._parts) / SHARDS
-        if verdict is not PartsVerdict.WAIT or now >= self._deadline:
+        if verdict is not PartialResultVerdict.WAIT or now >= self._deadline:
             self._done = True
 
-    def _hedge_times(self) -> HedgeTimes:
+    def _hedge_times(self) -> HedgeTiming:
         left_ms = (self._aim_cut - self._world.clock.now) * 1000
-        return hedge_times(
-            self._vm.profiles[self._kind.name], aim_left_ms=left_ms, aim_ms=self._kind.aim_ms
+        return hedge_timing(
+            self._vm.profiles[self._kind.name], target_left_ms=left_ms, target_ms=self._kind.aim_ms
         )
 
 
--- a/libs/bench/berylspindle_bench/history_answers.py
+++ b/libs/bench/berylspindle_bench/history_answers.py
@@ -16,7 +16,7 @@
 from berylspindle_bench.history_records import History, OutcomeKind, Try
 from berylspindle_model.messages import Hit, SearchAnswer
 from berylspindle_model.snapshot import Snapshot
-from berylspindle_standins.index import hit_order, shard_hits
+from berylspindle_standins.index import hit_sort_key, shard_hits
 
 
 class SnapshotConsistency(Checker):
@@ -89,7 +89,7 @@
         return f"the hits {', '.join(foreign[:3])} belong to another query"
     if len(try_.answer.hits) > try_.limit:
         return f"{len(try_.answer.hits)} hits exceed the limit of {try_.limit}"
-    if list(try_.answer.hits) != sorted(try_.answer.hits, key=hit_order):
+    if list(try_.answer.hits) != sorted(try_.answer.hits, key=hit_sort_key):
         return "the hits are out of order"
     return ""
 
@@ -116,7 +116,7 @@
         found = shard_hits(try_.service, shard, answer.snapshot, try_.text)
         # A stand-in that searches only a part of its shard omits every second hit.
         hits += found[::2] if shard in answer.coverage.partial else found
-    page = sorted(hits, key=hit_order)[try_.offset : try_.offset + try_.limit]
+    page = sorted(hits, key=hit_sort_key)[try_.offset : try_.offset + try_.limit]
     expected, actual = [hit.id for hit in page], [hit.id for hit in answer.hits]
     if expected == actual:
         return ""
--- a/libs/bench/berylspindle_bench/history_control.py
+++ b/libs/bench/berylspindle_bench/history_control.py
@@ -162,7 +162,7 @@
 def _only_shutdowns(history: History) -> bool:
     """Return whether only shutdowns can have broken connections in this run."""
     harmless = {StepKind.TERMINATED, StepKind.RESTARTED, StepKind.TAKEN_OUT, StepKind.RETURNING}
-    crashed = any(call.step is CallStep.FELL for call in history.calls)
+    crashed = any(call.step is CallStep.CRASHED for call in history.calls)
     return not crashed and all(step.kind in harmless for step in history.steps)
 
 
--- a/libs/bench/berylspindle_bench/history_lives.py
+++ b/libs/bench/berylspindle_bench/history_lives.py
@@ -87,6 +87,8 @@
 
     async def _timeline(self, daemon: DaemonPlan) -> FleetTimeline | None:
         secret = Secret(self._cluster.token)
-        async with OperatorClient([daemon.admin], token=secret, operator="checker") as client:
+        async with OperatorClient(
+            [daemon.admin_address], token=secret, operator="checker"
+        ) as client:
             timeline = await client.timeline(EventFilter())
         return timeline if isinstance(timeline, FleetTimeline) else None
--- a/libs/bench/berylspindle_bench/history_recorder.py
+++ b/libs/bench/berylspindle_bench/history_recorder.py
@@ -52,7 +52,7 @@
 
     async def __aenter__(self) -> Recorder:
         for daemon in self._daemons:
-            client = CallerClient([daemon.callers], caller=f"desk-{daemon.vm}")
+            client = CallerClient([daemon.callers_address], caller=f"desk-{daemon.vm}")
             self._clients[daemon.vm] = await self._stack.enter_async_context(client)
         return self
 
--- a/libs/bench/berylspindle_bench/history_run.py
+++ b/libs/bench/berylspindle_bench/history_run.py
@@ -39,8 +39,8 @@
 from berylspindle_bench.history_vm_faults import VM_FAULTS
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_model import codec
-from berylspindle_model.checked import from_stored
 from berylspindle_model.configuration import Configuration
+from berylspindle_model.configuration_codec import from_stored
 from berylspindle_standins.backend_faults import FaultChange
 from berylspindle_standins.backend_standin import CALLS_PATH
 from berylspindle_standins.call_log import CallsDocument, LoggedStep
@@ -251,7 +251,7 @@
     """Stop all daemons concurrently with SIGTERM; each may use its full grace period."""
     signalled = time.time()
     for process in cluster.daemons.values():
-        process.send(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
     codes = await asyncio.gather(*(p.wait(_STOP_SECONDS) for p in cluster.daemons.values()))
     for vm, code in zip(cluster.daemons, codes, strict=True):
         lives.record_end(vm, code, terminated=signalled)
--- a/libs/bench/berylspindle_bench/history_vm_faults.py
+++ b/libs/bench/berylspindle_bench/history_vm_faults.py
@@ -18,8 +18,8 @@
 from berylspindle_bench.history_faults import Fault, FaultContext, FaultFactory
 from berylspindle_bench.history_records import Confirmed, StepKind
 from berylspindle_client.operators import OperatorClient
-from berylspindle_model.checked import parse_configuration
 from berylspindle_model.configuration import Configuration
+from berylspindle_model.configuration_codec import parse_configuration
 from berylspindle_model.intents import Confirmation, Intent, IntentKind, Plan
 from berylspindle_standins.backend_faults import BackendAction, FaultChange
 from berylspindle_telemetry.secret import Secret
@@ -42,11 +42,11 @@
         process = context.cluster.daemons[daemon.vm]
         await context.random_delay(0.3, 1.0)
         context.record_step(StepKind.PAUSED, daemon.vm)
-        process.send(signal.SIGSTOP)
+        process.send_signal(signal.SIGSTOP)
         try:
             await context.random_delay(1.0, 4.0)
         finally:
-            process.send(signal.SIGCONT)
+            process.send_signal(signal.SIGCONT)
         context.record_step(StepKind.RESUMED, daemon.vm)
 
 
@@ -62,7 +62,7 @@
         await context.random_delay(0.3, 1.0)
         await context.lives.save_adoptions(daemon)
         context.record_step(StepKind.KILLED, daemon.vm)
-        process.send(signal.SIGKILL)
+        process.send_signal(signal.SIGKILL)
         context.lives.record_end(daemon.vm, await process.wait(), terminated=None)
         await context.random_delay(0.2, 2.5)
         await _restart_daemon(context, daemon.vm)
@@ -81,7 +81,7 @@
         await context.lives.save_adoptions(daemon)
         context.record_step(StepKind.TERMINATED, daemon.vm)
         signalled = time.time()
-        process.send(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
         context.lives.record_end(daemon.vm, await process.wait(30.0), terminated=signalled)
         await _restart_daemon(context, daemon.vm)
 
@@ -190,7 +190,7 @@
 
 
 def _operator_client(context: FaultContext, name: str) -> OperatorClient:
-    daemons = [daemon.admin for daemon in context.cluster.plan.daemons]
+    daemons = [daemon.admin_address for daemon in context.cluster.plan.daemons]
     context.rng.shuffle(daemons)
     secret = Secret(context.cluster.token)
     return OperatorClient(daemons, token=secret, operator=name, timeout=2.0)
--- a/libs/bench/berylspindle_bench/history_work.py
+++ b/libs/bench/berylspindle_bench/history_work.py
@@ -45,7 +45,7 @@
         for call in history.calls:
             if call.step is CallStep.TURNED_COLD:
                 unannounced.add(call.server)
-            elif call.step in (CallStep.FELL, CallStep.TURNED_WARM):
+            elif call.step in (CallStep.CRASHED, CallStep.TURNED_WARM):
                 unannounced.discard(call.server)
             over_limit = call.step is CallStep.OVERRUN or (
                 call.step is CallStep.ADMITTED
@@ -161,7 +161,7 @@
                 for c in history.calls
                 if c.server == call.server
                 and c.sequence > call.sequence
-                and c.step in (CallStep.DRAIN_ENDED, CallStep.FELL)
+                and c.step in (CallStep.DRAIN_ENDED, CallStep.CRASHED)
             )
             yield call.server, call.wall, next(ends, float("inf"))
     for step in history.steps:
--- a/libs/bench/berylspindle_bench/load.py
+++ b/libs/bench/berylspindle_bench/load.py
@@ -105,7 +105,7 @@
         return len(self._answers)
 
     @property
-    def whole(self) -> int:
+    def complete(self) -> int:
         """Return the number of answers without missing shards."""
         return sum(not s.outcome.coverage.missing for s in self._answered_samples())
 
@@ -166,13 +166,13 @@
         self._unready: set[Address] = set()
         self._next_index = 0
 
-    def next(self) -> Address:
+    def next_daemon(self) -> Address:
         """Return the daemon for the next request."""
         usable = [one for one in self._daemons if one not in self._unready] or self._daemons
         self._next_index += 1
         return usable[self._next_index % len(usable)]
 
-    async def check(self) -> None:
+    async def run_readiness_checks(self) -> None:
         """Check the readiness of all daemons periodically until cancelled."""
         while True:
             await asyncio.gather(*(self._check(daemon) for daemon in self._daemons))
@@ -188,7 +188,7 @@
         (self._unready.discard if ready else self._unready.add)(daemon)
 
 
-def run_loads(plan: LoadPlan, daemons: Sequence[Address]) -> list[Sample]:
+def run_load_in_processes(plan: LoadPlan, daemons: Sequence[Address]) -> list[Sample]:
     """Run the load in several processes, since one alone would fall behind schedule."""
     part = attrs.evolve(plan, rate=plan.rate / LOAD_PROCESSES)
     plans = [attrs.evolve(part, seed=plan.seed * LOAD_PROCESSES + n) for n in range(LOAD_PROCESSES)]
@@ -215,13 +215,13 @@
             for caller in plan.callers
         }
         balancer = Balancer(daemons)
-        checking = asyncio.get_running_loop().create_task(balancer.check())
+        checking = asyncio.get_running_loop().create_task(balancer.run_readiness_checks())
         stack.callback(checking.cancel)
         begin = time.monotonic()
         due = 0.0
         while (due := due + rng.expovariate(plan.rate)) < plan.seconds:
             await asyncio.sleep(max(0.0, begin + due - time.monotonic()))
-            address = balancer.next()
+            address = balancer.next_daemon()
             caller = rng.choice(plan.callers)
             service = rng.choice(plan.services)
             query = f"{rng.choice(QUERY_WORDS)} {rng.randrange(plan.queries)}"
--- a/libs/bench/berylspindle_bench/main.py
+++ b/libs/bench/berylspindle_bench/main.py
@@ -18,7 +18,12 @@
 from berylspindle_bench import demo as demo_module
 from berylspindle_bench.baseline import BaselinePolicy, run_baseline
 from berylspindle_bench.capacity import measure_capacity, slope_lines, write_capacity
-from berylspindle_bench.experiment import DayError, compare, experiment_table, read_day
+from berylspindle_bench.experiment import (
+    ExperimentFileError,
+    compare_policies,
+    experiment_table,
+    read_experiment,
+)
 from berylspindle_bench.measures import run_measures
 from berylspindle_bench.plots import draw_experiment, draw_measures
 from berylspindle_model import codec
@@ -148,8 +153,8 @@
         plot: output path of a plot of the credit by second.
     """
     try:
-        results = compare(read_day(day), policy or [""], range(1, seeds + 1))
-    except (DayError, ValueError) as error:
+        results = compare_policies(read_experiment(day), policy or [""], range(1, seeds + 1))
+    except (ExperimentFileError, ValueError) as error:
         print(f"invalid experiment: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     Console(width=120).print(experiment_table(results))
--- a/libs/bench/berylspindle_bench/measures.py
+++ b/libs/bench/berylspindle_bench/measures.py
@@ -26,7 +26,7 @@
 
 from berylspindle_bench.baseline import BaselinePolicy
 from berylspindle_bench.cluster import Cluster, start_cluster
-from berylspindle_bench.load import LoadPlan, Report, Sample, run_loads
+from berylspindle_bench.load import LoadPlan, Report, Sample, run_load_in_processes
 from berylspindle_client.addresses import Address
 from berylspindle_client.operators import OperatorClient
 from berylspindle_model.configuration import Policy, Service
@@ -35,7 +35,7 @@
 from berylspindle_standins.deployments import DEPLOYMENTS
 from berylspindle_telemetry.secret import Secret
 
-OWN: Final = "berylspindle"
+OWN_SYSTEM: Final = "berylspindle"
 MEAN_MS: Final = 40.0
 DEADLINE_MS: Final = 1000
 # Long enough that every owner has seen its servers answer often enough to use all their slots.
@@ -86,7 +86,7 @@
         DEPLOYMENTS[deployment](1024).services[0].policy, patience_ms=400, deadline_ms=DEADLINE_MS
     )
     rows: list[Row] = []
-    systems = (OWN, *(baseline.value for baseline in BaselinePolicy))
+    systems = (OWN_SYSTEM, *(baseline.value for baseline in BaselinePolicy))
     for system in systems:
         rows += await _measure_system(system, deployment, policy, folder / system, console)
     for scenario in dict.fromkeys(row.scenario for row in rows):
@@ -104,8 +104,8 @@
         setting = Setting(
             cluster=cluster, service=service, saturation=_saturation(cluster, service)
         )
-        daemons = [daemon.callers for daemon in cluster.plan.daemons]
-        if system != OWN:
+        daemons = [daemon.callers_address for daemon in cluster.plan.daemons]
+        if system != OWN_SYSTEM:
             daemons = list(await cluster.start_baselines(system))
         await _run(setting, daemons, WARM_UP_FACTOR, WARM_UP_SECONDS)
         for factor in FACTORS:
@@ -133,7 +133,7 @@
         services=(setting.service.name,),
         deadline_ms=DEADLINE_MS,
     )
-    samples = await asyncio.to_thread(run_loads, plan, daemons)
+    samples = await asyncio.to_thread(run_load_in_processes, plan, daemons)
     started = await _started(setting) - before
     await asyncio.sleep(PAUSE_SECONDS)
     wanted = len(samples) * len(setting.service.shards)
@@ -184,7 +184,7 @@
 async def _confirm(setting: Setting, kind: IntentKind, data_centre: str) -> float:
     """Plan and confirm an intent as an operator would; return when it was accepted."""
     cluster = setting.cluster
-    addresses = [daemon.admin for daemon in cluster.plan.daemons]
+    addresses = [daemon.admin_address for daemon in cluster.plan.daemons]
     async with OperatorClient(addresses, token=Secret(cluster.token), operator="bench") as client:
         plan = await client.plan(Intent(kind=kind, subject=data_centre))
         if not isinstance(plan, Plan):
@@ -217,7 +217,7 @@
         asked=report.asked,
         answered=report.answered,
         goodput=report.answered / seconds,
-        whole=report.whole / seconds,
+        whole=report.complete / seconds,
         coverage=report.coverage,
         p50_ms=report.quantile_ms(0.5),
         p99_ms=report.quantile_ms(0.99),
--- a/libs/bench/berylspindle_bench/page_links.py
+++ b/libs/bench/berylspindle_bench/page_links.py
@@ -5,8 +5,8 @@
   link       the target of a Markdown link, relative to its page
   path       a file of the repository named in the text, relative to the root
 
-Flow: `missing` yields each reference to a file that does not exist; `main` prints them and returns
-1 if there are any.
+Flow: `missing_references` yields each reference to a file that does not exist; `main` prints them
+and returns 1 if there are any.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         return f"{self.page}:{self.line}: no such file: {self.target}"
 
 
-def missing(root: Path) -> Iterator[Reference]:
+def missing_references(root: Path) -> Iterator[Reference]:
     """Yield the references to files that do not exist, over all pages below `root`."""
     for page in (root / "README.md", *sorted((root / "docs").rglob("*.md"))):
         for number, line in enumerate(page.read_text().splitlines(), 1):
@@ -50,7 +50,7 @@
 
 def main() -> int:
     """Print the dangling references below the working directory; return the exit code."""
-    found = list(missing(Path.cwd()))
+    found = list(missing_references(Path.cwd()))
     for reference in found:
         print(reference)
     return 1 if found else 0
--- a/libs/bench/berylspindle_bench/plots.py
+++ b/libs/bench/berylspindle_bench/plots.py
@@ -20,7 +20,7 @@
 from matplotlib.axes import Axes
 
 from berylspindle_bench.experiment import PolicyResult
-from berylspindle_bench.measures import OWN, Row
+from berylspindle_bench.measures import OWN_SYSTEM, Row
 
 _PANELS: Final[tuple[tuple[str, Callable[[Row], float]], ...]] = (
     ("complete answers per second", lambda row: row.whole),
@@ -56,7 +56,7 @@
     for panel, (title, value) in zip(axes.flat, _PANELS, strict=True):
         for system in dict.fromkeys(row.system for row in rows):
             of_system = [row for row in rows if row.system == system]
-            width = 2.5 if system == OWN else 1.2
+            width = 2.5 if system == OWN_SYSTEM else 1.2
             factors = [row.factor for row in of_system]
             panel.plot(
                 factors, [value(row) for row in of_system], marker=".", lw=width, label=system
@@ -76,7 +76,7 @@
     for panel, (title, value) in zip(axes.flat, values, strict=True):
         for system in dict.fromkeys(row.system for row in rows):
             of_system = [row for row in rows if row.system == system]
-            width = 2.5 if system == OWN else 1.2
+            width = 2.5 if system == OWN_SYSTEM else 1.2
             names = ["before", "while out", "after return"][: len(of_system)]
             panel.plot(names, [value(row) for row in of_system], marker="o", lw=width, label=system)
         _label(panel, title, "")
--- a/libs/bench/berylspindle_bench/process.py
+++ b/libs/bench/berylspindle_bench/process.py
@@ -41,7 +41,7 @@
         """Return the exit code, or None while the process runs."""
         return self._child.returncode
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal if the process still runs."""
         if self.is_running:
             self._child.send_signal(number)
@@ -51,7 +51,7 @@
         try:
             return await asyncio.wait_for(self._child.wait(), timeout)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             return await self._child.wait()
 
     async def stop(self) -> int:
@@ -59,8 +59,8 @@
 
         SIGCONT comes first, since a stopped process does not handle SIGTERM.
         """
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGTERM)
         return await self.wait()
 
 
--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -6,9 +6,10 @@
   lag      seconds until a VM has heard of a step, and until its answers count for the next one
   fault    what goes wrong beside the rollout, from `FAULT_AT` on
 
-Flow: `play` sends requests through the real decisions (`rollout_plan`, `version_judge`). `python -m
-berylspindle_bench.rollout_trials` prints a row for each rate, share of bad answers of the old
-version and judge; with `faults` as its argument a row for each fault and version.
+Flow: `simulate_rollout` sends requests through the real decisions (`rollout_plan`,
+`version_analysis`). `python -m berylspindle_bench.rollout_trials` prints a row for each rate, share
+of bad answers of the old version and judge; with `faults` as its argument a row for each fault
+and version.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 from berylspindle_decisions.rollout_plan import (
     ExposureBounds,
     Stage,
-    caution,
-    may_try,
+    allows_trial_request,
+    evidence_limits,
     next_stage,
     trial_share,
 )
-from berylspindle_decisions.version_judge import (
-    LEAST_ANSWERS,
-    Caution,
+from berylspindle_decisions.version_analysis import (
+    MIN_ANSWERS,
+    EvidenceLimits,
     Verdict,
-    control_of,
-    judge,
+    analyse,
+    control_counts,
 )
 from berylspindle_model.rollout import AnswerCounts
 
-Judge = Callable[[Mapping[str, AnswerCounts], Caution], Verdict]
+Judge = Callable[[Mapping[str, AnswerCounts], EvidenceLimits], Verdict]
 
 STEP_S: Final = 0.4
 HEARD_S: Final = 0.7
@@ -59,8 +60,9 @@
 class Fault(enum.StrEnum):
     """What goes wrong beside a rollout.
 
-    KEEPER_KILLED: the next VM that follows the store takes over after two seconds. STORE_AWAY: no
-    step and no record is written. POWER_LOSS: all VMs stop, and know only the records afterwards.
+    CONTROLLER_KILLED: the next VM that follows the store takes over after two seconds.
+    STORE_UNAVAILABLE: no step and no record is written. POWER_LOSS: all VMs stop, and know only the
+    records afterwards.
     CUT: a quarter of the requests come in a data centre that hears of no step and is not counted.
     BURST: more requests, some of them late at either version. OLD_SLOW, TRIAL_SLOW: one replica of
     the old version, or the one on trial, turns slow. COLD: what the new replicas answer does not
@@ -68,10 +70,10 @@
     """
 
     NONE = "none"
-    KEEPER_KILLED = "keeper killed"
-    STORE_AWAY = "store away"
+    CONTROLLER_KILLED = "keeper killed"
+    STORE_UNAVAILABLE = "store away"
     POWER_LOSS = "power loss"
-    CUT = "cut"
+    PARTITION = "cut"
     BURST = "burst"
     OLD_SLOW = "old replicas slow"
     TRIAL_SLOW = "trial replica slow"
@@ -80,10 +82,10 @@
 
 FAULT_S: Final[dict[Fault, float]] = {
     Fault.NONE: 0.0,
-    Fault.KEEPER_KILLED: 2.0,
-    Fault.STORE_AWAY: 4.5,
+    Fault.CONTROLLER_KILLED: 2.0,
+    Fault.STORE_UNAVAILABLE: 4.5,
     Fault.POWER_LOSS: 1.5,
-    Fault.CUT: 5.0,
+    Fault.PARTITION: 5.0,
     Fault.BURST: 6.0,
     Fault.OLD_SLOW: 5.0,
     Fault.TRIAL_SLOW: 5.0,
@@ -134,21 +136,21 @@
     """Requests a second of all VMs, the share of bad answers of the old version, and the term."""
 
     rate: float
-    bad: float = 0.02
-    term: float = 12.0
+    old_bad_share: float = 0.02
+    term_s: float = 12.0
 
 
-def play(
+def simulate_rollout(
     version: Version,
     service: Service,
     *,
     seed: int,
-    judge: Judge = judge,
+    judge: Judge = analyse,
     fault: Fault = Fault.NONE,
 ) -> Played:
     """Play one rollout."""
     played = _Play(version, service, judge, fault, random.Random(seed))
-    while played.now < service.term:
+    while played.now < service.term_s:
         played.request()
         played.look()
     allowed = played.bounds.share * played.total + played.bounds.slack
@@ -195,7 +197,7 @@
         if self._has(Fault.POWER_LOSS):
             self.now = FAULT_AT + FAULT_S[Fault.POWER_LOSS]
             self._told, self._pending = _no_answers(), []
-        is_cut = self._has(Fault.CUT) and self._rng.random() < CUT_SHARE
+        is_cut = self._has(Fault.PARTITION) and self._rng.random() < CUT_SHARE
         stage = self._heard(FAULT_AT if is_cut else self.now)
         self.total += 1
         share = self._share(stage)
@@ -222,15 +224,15 @@
         if self.now < self._look_at:
             return
         self._look_at += STEP_S
-        if self._has(Fault.KEEPER_KILLED) or self._has(Fault.STORE_AWAY):
+        if self._has(Fault.CONTROLLER_KILLED) or self._has(Fault.STORE_UNAVAILABLE):
             return
         self._count()
         since, stage = self.steps[-1]
-        term = self._service.term
-        care = caution(self.bounds, term=term, rate=self._service.rate)
+        term = self._service.term_s
+        care = evidence_limits(self.bounds, term=term, rate=self._service.rate)
         verdict = self._judge(self._record, care)
         following = next_stage(
-            stage, verdict, elapsed=self.now, in_stage=self.now - since, term=term
+            stage, verdict, elapsed=self.now, stage_elapsed=self.now - since, term=term
         )
         if following is not stage:
             self.steps.append((self.now, following))
@@ -242,7 +244,7 @@
                 self._told[one.route].add(str(one.replica), is_new=one.is_new, is_bad=one.is_bad)
         self._pending = [one for one in self._pending if one.counted_at > self.now]
         for route, counts in self._record.items():
-            counts.raise_to(self._told[route])
+            counts.merge_max(self._told[route])
         self._counted = sum(
             counts.new + sum(answers for answers, _ in counts.old.values())
             for counts in self._record.values()
@@ -262,20 +264,20 @@
             return 1.0
         if stage is not Stage.TRIAL:
             return 0.0
-        term = self._service.term
-        may = may_try(
+        term = self._service.term_s
+        may = allows_trial_request(
             self.bounds,
             elapsed=self.now,
             requests=self.total,
-            tried=self.exposed,
-            of_all=self._counted,
+            trial_requests=self.exposed,
+            total_requests=self._counted,
             dither=0.5,
         )
         share = trial_share(self.bounds, term=term, rate=self._rate, elapsed=self.now)
         return share if may else 0.0
 
     def _is_bad(self, route: str, replica: int, is_new: bool, load: float) -> bool:
-        shares = [self._service.bad]
+        shares = [self._service.old_bad_share]
         if self._has(self._fault) and not (self._fault is Fault.OLD_SLOW and replica):
             shares.append(FAULT_BAD.get((self._fault, is_new), 0.0))
         if is_new and self._version.is_bad(self.now, route, load):
@@ -287,25 +289,25 @@
     return {"whole": AnswerCounts(), "quick": AnswerCounts()}
 
 
-def judge_whole(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
+def judge_without_routes(routes: Mapping[str, AnswerCounts], caution: EvidenceLimits) -> Verdict:
     """Judge all routes together only."""
     total = AnswerCounts()
     for counts in routes.values():
-        total.join(counts)
-    return judge({"all": total}, caution)
+        total.add_all(counts)
+    return analyse({"all": total}, caution)
 
 
-def judge_by_thresholds(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
+def judge_by_thresholds(routes: Mapping[str, AnswerCounts], caution: EvidenceLimits) -> Verdict:
     """Judge by three bad answers that are twice the control's share and a twentieth more."""
     total = AnswerCounts()
     for counts in routes.values():
-        total.join(counts)
+        total.add_all(counts)
     for one in (total, *routes.values()):
-        answers, bad = control_of(one)
+        answers, bad = control_counts(one)
         control = (bad + 0.5) / (answers + 10)
-        if one.new >= LEAST_ANSWERS and one.new_bad >= max(3, one.new * (2 * control + 0.05)):
+        if one.new >= MIN_ANSWERS and one.new_bad >= max(3, one.new * (2 * control + 0.05)):
             return Verdict.BAD
-    return Verdict.SOUND if total.new >= LEAST_ANSWERS else Verdict.UNSURE
+    return Verdict.SOUND if total.new >= MIN_ANSWERS else Verdict.INCONCLUSIVE
 
 
 VERSIONS: Final = (
@@ -317,8 +319,8 @@
     Version(kind="load", share=0.3),
 )
 JUDGES: Final[dict[str, Judge]] = {
-    "mixture by route": judge,
-    "mixture, all routes": judge_whole,
+    "mixture by route": analyse,
+    "mixture, all routes": judge_without_routes,
     "thresholds": judge_by_thresholds,
 }
 
@@ -330,14 +332,14 @@
     for name, judge_ in JUDGES.items():
         for rate in (2.0, 10.0, 63.0):
             for bad in (0.01, 0.05, 0.15):
-                service = Service(rate=rate, bad=bad)
+                service = Service(rate=rate, old_bad_share=bad)
                 cells = [_cell(version, service, judge_) for version in VERSIONS]
                 lines.append(" | ".join([name, f"{rate:g}", f"{bad:g}", *cells]))
     return lines
 
 
 def _cell(version: Version, service: Service, judge_: Judge) -> str:
-    played = [play(version, service, seed=seed, judge=judge_) for seed in range(RUNS)]
+    played = [simulate_rollout(version, service, seed=seed, judge=judge_) for seed in range(RUNS)]
     completed = sum(one.stage is Stage.COMPLETED for one in played) / RUNS
     over = sum(one.exposed > one.allowed for one in played) / RUNS
     return f"{completed:.2f}" if version.kind == "sound" else f"{completed:.2f}, {over:.2f}"
@@ -353,8 +355,10 @@
 
 
 def _fault_row(fault: Fault, version: Version) -> str:
-    service = Service(rate=63.0, bad=0.05)
-    played = [play(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)]
+    service = Service(rate=63.0, old_bad_share=0.05)
+    played = [
+        simulate_rollout(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)
+    ]
     wanted = Stage.COMPLETED if version.kind == "sound" else Stage.ROLLED_BACK
     right = sum(one.stage is wanted for one in played)
     low, high = _interval(right, FAULT_RUNS)
--- a/libs/bench/berylspindle_bench/snapshot_trials.py
+++ b/libs/bench/berylspindle_bench/snapshot_trials.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask, SnapshotTracker
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask, SnapshotTracker
 from berylspindle_model.snapshot import Snapshot
 
 SHARDS: Final = tuple(f"{n}" for n in range(10))
@@ -94,7 +94,7 @@
                 self._ask(now, step.shards, step.target, answered, refused)
                 rounds += 1
                 continue
-            missing = len(step.missing) if isinstance(step, KeepOne) else len(SHARDS)
+            missing = len(step.missing) if isinstance(step, KeepSnapshot) else len(SHARDS)
             return len(SHARDS) - missing, False
         return len(answered), False
 
--- a/libs/bench/berylspindle_bench/warmup_trials.py
+++ b/libs/bench/berylspindle_bench/warmup_trials.py
@@ -90,7 +90,7 @@
         if now < self._back_at:
             # Work is offered all the time; each try while it is down is refused.
             if self._limiter is not None:
-                self._limiter.on_lost(now, FailureKind.REFUSED)
+                self._limiter.on_connection_failure(now, FailureKind.REFUSED)
             self._cap.on_lost(now)
             return
         limit = self._limiter.limit(now) if self._limiter is not None else self._cap.limit(now)
--- a/libs/bench/berylspindle_bench/wire_rates.py
+++ b/libs/bench/berylspindle_bench/wire_rates.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from berylspindle_model.codec import from_pack, to_pack
+from berylspindle_model.codec import from_msgpack, to_msgpack
 from berylspindle_model.messages import Attempt, AttemptBatch, AttemptReply, Hit
 from berylspindle_model.snapshot import Snapshot
 from berylspindle_model.topology import Vm
@@ -193,7 +193,7 @@
 
 class _Unary(_Links):
     async def send(self, count: int) -> None:
-        payload = to_pack(_batch(0, 1))
+        payload = to_msgpack(_batch(0, 1))
 
         async def use() -> None:
             for _ in range(count // IN_FLIGHT):
@@ -302,17 +302,17 @@
     """Measure encoding and decoding alone, of the frames both ways, an attempt at a time."""
     batch = PeerFrame(batches=(_batch(1, size),))
     replies = PeerFrame(replies=tuple(_reply_to(a) for a in batch.batches[0].attempts))
-    packed, packed_replies = to_pack(batch), to_pack(replies)
+    packed, packed_replies = to_msgpack(batch), to_msgpack(replies)
     rounds = count // size
     start = time.process_time()
     for _ in range(rounds):
-        to_pack(batch)
-        from_pack(packed_replies, PeerFrame)
+        to_msgpack(batch)
+        from_msgpack(packed_replies, PeerFrame)
     sender = time.process_time() - start
     start = time.process_time()
     for _ in range(rounds):
-        from_pack(packed, PeerFrame)
-        to_pack(replies)
+        from_msgpack(packed, PeerFrame)
+        to_msgpack(replies)
     receiver = time.process_time() - start
     total = rounds * size
     return Row(
--- a/libs/cli/berylspindle_cli/configuration_commands.py
+++ b/libs/cli/berylspindle_cli/configuration_commands.py
@@ -25,8 +25,12 @@
     read_file,
     write_file,
 )
-from berylspindle_model.checked import ConfigurationFaults, canonical, parse_configuration
 from berylspindle_model.configuration import Configuration
+from berylspindle_model.configuration_codec import (
+    InvalidConfigurationError,
+    canonical,
+    parse_configuration,
+)
 
 _DEFAULT: Final = OperatorSettings()
 
@@ -60,7 +64,7 @@
     """List all faults of a configuration file; exit 2 if there are any."""
     try:
         found = parse_configuration(read_file(file, "the configuration"))
-    except ConfigurationFaults as error:
+    except InvalidConfigurationError as error:
         faults = error.faults
     else:
         parts = ("services", "servers", "data_centres")
@@ -107,6 +111,6 @@
 def _read_configuration(path: Path) -> Configuration:
     try:
         return parse_configuration(read_file(path, str(path)))
-    except ConfigurationFaults as error:
+    except InvalidConfigurationError as error:
         line = f"{path} has {len(error.faults)} faults; `configuration check` lists them"
         raise ToolError(ExitCode.USAGE, line) from None
--- a/libs/controlplane/berylspindle_controlplane/plane.py
+++ b/libs/controlplane/berylspindle_controlplane/control_plane.py
@@ -6,7 +6,7 @@
 Flow: `start_control_plane` starts the joiner (first configuration, membership of the view), the
 ticker (probes, dispatch rights) and the view writer (changes of the view); on two VMs per data
 centre, the store watcher runs too. The daemon passes datagrams to `on_datagram` and serves
-`methods` to its peers.
+`peer_handlers` to its peers.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     Transport,
     TransportError,
 )
-from berylspindle_controlplane.view_keeper import ChangeOutcome, Leave, ViewWriter
+from berylspindle_controlplane.view_writer import ChangeOutcome, Leave, ViewWriter
 from berylspindle_decisions.guarding import ProbeLimits, Removal
 from berylspindle_decisions.ownership import DispatchRights, LeaseLimits
 from berylspindle_decisions.propagation import Adopted
@@ -40,7 +40,7 @@
 from berylspindle_model.intents import Confirmation, Intent, Plan
 from berylspindle_model.operator_protocol import VmReport
 from berylspindle_model.topology import ClusterState, View, Vm
-from berylspindle_store.store import Store, StoreAway, StoreUnsure
+from berylspindle_store.store import Store, StoreOutcomeUnknown, StoreUnavailable
 from berylspindle_store.vm_list import VmList
 
 OnState = Callable[[ClusterState], None]
@@ -89,33 +89,37 @@
         self,
         options: ControlOptions,
         *,
-        me: Vm,
+        local_vm: Vm,
         store: Store,
         vm_list: VmList | None,
         seeds: Sequence[Address],
         transport: Transport,
         on_state: OnState,
-        events: OnEvent,
+        on_event: OnEvent,
         slots_in_use: SlotsInUse = dict,
         rng: random.Random | None = None,
     ) -> None:
         self._options: Final = options
-        self._local_vm: Final = me
+        self._local_vm: Final = local_vm
         self._vm_list: Final = vm_list
         self._transport: Final = transport
         self._on_state: Final = on_state
-        self._on_event: Final = events
+        self._on_event: Final = on_event
         self._rng: Final = rng if rng is not None else random.Random()
         self._gossip: Final = Gossip(
-            me, self, rand_below=self._rand_below, leases=options.leases, probes=options.probes
+            local_vm,
+            self,
+            rand_below=self._rand_below,
+            leases=options.leases,
+            probes=options.probes,
         )
-        self._view_writer: Final = ViewWriter(me.data_centre, store, self._on_view)
+        self._view_writer: Final = ViewWriter(local_vm.data_centre, store, self._on_view)
         self._watcher: Final = StoreWatcher(
             store,
             rand_below=self._rand_below,
             on_changes=self._on_changes,
             on_reachability=self._on_store_reachability,
-            on_rejected=lambda text: events("configuration_rejected", {"detail": text}),
+            on_rejected=lambda text: on_event("configuration_rejected", {"detail": text}),
         )
         self._operations: Final = Operations(
             store,
@@ -132,7 +136,7 @@
         self._store_reachable = True
         self._leaving = False
         self._joiner: Final = Joiner(
-            me,
+            local_vm,
             options.join,
             gossip=self._gossip,
             view_writer=self._view_writer,
@@ -164,7 +168,7 @@
         return self._gossip
 
     @property
-    def methods(self) -> Mapping[str, Method]:
+    def peer_handlers(self) -> Mapping[str, Method]:
         """Return the handlers of the calls that the daemon serves to its peers, by name."""
         return {PULL_METHOD: self._handle_pull, JOIN_METHOD: self._joiner.handle_join}
 
@@ -282,7 +286,7 @@
     def on_tick(self, now: float) -> None:
         """Run the actions that are due at time `now` of the loop; called ten times a second."""
         self._gossip.tick(now)
-        if self._gossip.ownership.wants_store(now) and not self._leaving:
+        if self._gossip.ownership.needs_store_confirmation(now) and not self._leaving:
             self._request_store_confirmation(now)
         orphans = self._gossip.prober.wards.orphans(now)
         if orphans and self._vm_list is not None and now >= self._next_list_read_at:
@@ -309,26 +313,26 @@
         try:
             async with asyncio.timeout(self._options.call_timeout):
                 view = await self._view_writer.read_current()
-        except (StoreAway, StoreUnsure, TimeoutError):
-            self._gossip.ownership.store_failed(sent_at, _now())
+        except (StoreUnavailable, StoreOutcomeUnknown, TimeoutError):
+            self._gossip.ownership.on_store_failure(sent_at, _now())
             return
         if view.epoch > 0:
             self._on_view(view)
-        self._gossip.ownership.store_confirmed(view.epoch, sent_at)
+        self._gossip.ownership.on_store_confirmation(view.epoch, sent_at)
 
     async def _propose_removal(self, removal: Removal) -> None:
         if await self._view_writer.submit(removal) is ChangeOutcome.UNAVAILABLE:
-            self._gossip.prober.wards.withdraw(removal.vm)
+            self._gossip.prober.wards.resume_confirmations(removal.vm)
 
     async def _check_orphans(self, vm_list: VmList, orphans: frozenset[str]) -> None:
         try:
             listed = {vm.id for vm in await vm_list.fetch()}
-        except StoreAway:
+        except StoreUnavailable:
             return
-        self._gossip.prober.unlisted(orphans - listed)
+        self._gossip.prober.set_unlisted(orphans - listed)
 
     async def _pull(self, vm: Vm) -> None:
-        request = codec.to_pack(self._gossip.knowledge.request(self._local_vm.id))
+        request = codec.to_msgpack(self._gossip.knowledge.request(self._local_vm.id))
         try:
             answer = await self._transport.call(
                 vm, PULL_METHOD, request, timeout=self._options.call_timeout
@@ -368,25 +372,25 @@
 async def start_control_plane(
     options: ControlOptions,
     *,
-    me: Vm,
+    local_vm: Vm,
     store: Store,
     vm_list: VmList | None,
     seeds: Sequence[Address],
     transport: Transport,
     on_state: OnState,
-    events: OnEvent,
+    on_event: OnEvent,
     slots_in_use: SlotsInUse = dict,
 ) -> ControlPlane:
     """Return a started control plane. Close it at shutdown, after `leave` if there is time."""
     plane = ControlPlane(
         options,
-        me=me,
+        local_vm=local_vm,
         store=store,
         vm_list=vm_list,
         seeds=seeds,
         transport=transport,
         on_state=on_state,
-        events=events,
+        on_event=on_event,
         slots_in_use=slots_in_use,
     )
     await plane.start()
--- a/libs/controlplane/berylspindle_controlplane/gossip.py
+++ b/libs/controlplane/berylspindle_controlplane/gossip.py
@@ -20,9 +20,9 @@
 
 from berylspindle_controlplane.transport import Address
 from berylspindle_decisions.guarding import ProbeLimits, Removal
-from berylspindle_decisions.membership import Prober, Send
+from berylspindle_decisions.membership import OutgoingMessage, Prober
 from berylspindle_decisions.ownership import LeaseLimits, Ownership
-from berylspindle_decisions.propagation import Adopted, Knowledge
+from berylspindle_decisions.propagation import Adopted, KnownState
 from berylspindle_decisions.suspicions import Suspicions
 from berylspindle_model import codec
 from berylspindle_model.control_messages import (
@@ -98,7 +98,7 @@
         self._state = ClusterState()
         self._last_contacts: dict[str, LastContact] = {}
         self._sorted_names: tuple[int, tuple[str, ...]] = (0, ())
-        self.knowledge: Final = Knowledge()
+        self.knowledge: Final = KnownState()
         self.ownership: Final = Ownership(local_vm, leases or LeaseLimits())
         self.suspicions: Final = Suspicions(local_vm.id, local_vm.data_centre)
         self.prober: Final = Prober(
@@ -132,7 +132,7 @@
 
     def leave(self) -> None:
         """Notify the wards that this VM is no longer their guardian."""
-        self._send_all(self.prober.leave())
+        self._send_all(self.prober.stop_guarding())
 
     def on_datagram(self, data: bytes, source: Address, now: float) -> None:
         """Process a datagram; drop it if it is not a message of this protocol."""
@@ -149,11 +149,11 @@
                 self._process_digest(message.sender, message.digest, source)
                 self._send_all(self.prober.on_ack(message, now))
             case PingRequest():
-                self._send_all(self.prober.on_request(message, source, now))
+                self._send_all(self.prober.on_ping_request(message, source, now))
             case Reached():
-                self.prober.on_reached(message, now)
+                self.prober.on_indirect_success(message, now)
             case Missed():
-                self.prober.on_missed(message, now)
+                self.prober.on_indirect_timeout(message, now)
             case News():
                 self._on_news(message, source, now)
         self._refresh_suspects(now)
@@ -182,7 +182,7 @@
 
     def handle_pull(self, payload: bytes) -> bytes:
         """Return what the sender of a `PullRequest` is missing. Raises codec.MalformedError."""
-        request = codec.from_pack(payload, PullRequest)
+        request = codec.from_msgpack(payload, PullRequest)
         return pack_changes(self.knowledge.changes_since(request.revision, request.epochs))
 
     def probe_all(self) -> None:
@@ -192,7 +192,7 @@
 
     def _on_news(self, news: News, source: Address, now: float) -> None:
         # Most news arrive several times, and unpacking is the main cost of a change.
-        if news.changes and self.knowledge.lacks(news.digest):
+        if news.changes and self.knowledge.is_behind(news.digest):
             try:
                 self.offer(unpack_changes(news.changes), now)
             except codec.MalformedError:
@@ -203,12 +203,12 @@
         now = self._now
         self._last_contacts[sender] = LastContact(revision=digest.revision, at=now)
         for suspicion in digest.suspicions:
-            self.suspicions.hear(suspicion, now)
+            self.suspicions.merge(suspicion, now)
         vm = self.prober.vm(sender)
         same_data_centre = vm is not None and vm.data_centre == self._local_vm.data_centre
         if same_data_centre and digest.revision == self.knowledge.revision:
-            self.suspicions.hear_ages(self._data_centre_names(), digest.ages, now)
-        if self.knowledge.lacks(digest):
+            self.suspicions.merge_contact_ages(self._data_centre_names(), digest.ages, now)
+        if self.knowledge.is_behind(digest):
             # A sender that is in no known view is called at the source address of its datagram.
             unknown = Vm(id=sender, data_centre="", host=source[0], peer_port=source[1])
             self._sink.pull(vm or unknown)
@@ -221,8 +221,12 @@
             summary.revision,
             summary.epochs,
             summary.mark,
-            self.suspicions.ages(self._data_centre_names(), self._now) if same_data_centre else (),
-            self.suspicions.told_to(vm_id, self._now),
+            (
+                self.suspicions.contact_ages(self._data_centre_names(), self._now)
+                if same_data_centre
+                else ()
+            ),
+            self.suspicions.suspicions_for(vm_id, self._now),
         )
 
     def _data_centre_names(self) -> tuple[str, ...]:
@@ -238,7 +242,7 @@
         changes = b"" if missing.is_empty else pack_changes(missing)
         if len(changes) > _MAX_NEWS_CHANGES_BYTES:
             changes = b""
-        for vm in self.prober.peers(NEWS_FANOUT):
+        for vm in self.prober.gossip_peers(NEWS_FANOUT):
             digest = self._digest_for(vm.id)
             data = to_datagram(
                 News(self._local_vm.id, self.suspicions.incarnation, digest, changes)
@@ -249,7 +253,7 @@
                 data = to_datagram(News(self._local_vm.id, self.suspicions.incarnation, digest))
             self._sink.send((vm.host, vm.peer_port), data)
 
-    def _send_all(self, sends: Iterable[Send]) -> None:
+    def _send_all(self, sends: Iterable[OutgoingMessage]) -> None:
         for send in sends:
             self._sink.send(send.to, to_datagram(send.message))
 
--- a/libs/controlplane/berylspindle_controlplane/joiner.py
+++ b/libs/controlplane/berylspindle_controlplane/joiner.py
@@ -27,12 +27,12 @@
     Transport,
     TransportError,
 )
-from berylspindle_controlplane.view_keeper import Join, ViewWriter
+from berylspindle_controlplane.view_writer import Join, ViewWriter
 from berylspindle_model import codec
 from berylspindle_model.control_messages import PullRequest
 from berylspindle_model.delta import Changes, unpack_changes
 from berylspindle_model.topology import Vm
-from berylspindle_store.store import StoreAway, StoreUnsure
+from berylspindle_store.store import StoreOutcomeUnknown, StoreUnavailable
 from berylspindle_store.vm_list import VmList, VmRole
 
 # Joins of other VMs that arrive within this time are combined into one change of the view.
@@ -97,7 +97,7 @@
         while self._gossip.knowledge.revision == 0:
             try:
                 await self._watcher.read_once()
-            except (StoreAway, StoreUnsure):
+            except (StoreUnavailable, StoreOutcomeUnknown):
                 pass
             if self._gossip.knowledge.revision == 0:
                 await self._pull_from_seeds()
@@ -116,12 +116,12 @@
 
     async def handle_join(self, payload: bytes) -> bytes:
         """Add the calling VM to the view, with other VMs that join now; return the full state."""
-        vm = codec.from_pack(payload, Vm)
+        vm = codec.from_msgpack(payload, Vm)
         await asyncio.sleep(JOIN_BATCH_WINDOW_S)
         if vm.data_centre == self._local_vm.data_centre and not self._leaving:
             await self._view_writer.submit(Join(vm))
         from_scratch = PullRequest(sender=vm.id, revision=0, epochs={})
-        return self._gossip.handle_pull(codec.to_pack(from_scratch))
+        return self._gossip.handle_pull(codec.to_msgpack(from_scratch))
 
     async def _back_off(self, wait: float) -> float:
         await asyncio.sleep(wait * (0.5 + self._rng.random()))
@@ -136,7 +136,7 @@
         members = self._members()
         if members:
             await self._fetch_changes(
-                self._rng.choice(members), JOIN_METHOD, codec.to_pack(self._local_vm)
+                self._rng.choice(members), JOIN_METHOD, codec.to_msgpack(self._local_vm)
             )
         if not self._gossip.ownership.is_member and self._may_join_directly(members, now):
             await self._view_writer.submit(Join(self._local_vm))
@@ -171,7 +171,9 @@
                 continue
             seed = Vm(id=f"{host}:{port}", data_centre="", host=host, peer_port=port)
             await self._fetch_changes(
-                seed, PULL_METHOD, codec.to_pack(self._gossip.knowledge.request(self._local_vm.id))
+                seed,
+                PULL_METHOD,
+                codec.to_msgpack(self._gossip.knowledge.request(self._local_vm.id)),
             )
             if self._gossip.knowledge.revision > 0:
                 return
@@ -191,6 +193,6 @@
             return []
         try:
             listed = await self._vm_list.fetch()
-        except StoreAway:
+        except StoreUnavailable:
             return []
         return [(vm.host, vm.port) for vm in listed if vm.role is VmRole.ENTRY]
--- a/libs/controlplane/berylspindle_controlplane/operations.py
+++ b/libs/controlplane/berylspindle_controlplane/operations.py
@@ -22,16 +22,16 @@
 
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_decisions.plans import apply_plan, find_record, make_plan
-from berylspindle_model.checked import ConfigurationFaults, from_stored, to_stored
 from berylspindle_model.configuration import Configuration
+from berylspindle_model.configuration_codec import InvalidConfigurationError, from_stored, to_stored
 from berylspindle_model.errors import ErrorKind, refuse
 from berylspindle_model.intents import Confirmation, Intent, Plan
 from berylspindle_store.store import (
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
-    StoreUnsure,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 
 # For a swap whose reply was lost.
@@ -67,7 +67,7 @@
         """Return the plan of an intent, without changing anything. Raises RefusalError."""
         try:
             current, _ = await self._read_accepted(intent)
-        except (StoreAway, StoreUnsure):
+        except (StoreUnavailable, StoreOutcomeUnknown):
             # Plans can be made during an outage of the store, and confirmed after it.
             current = Configuration(revision=0, deployment=_deployment(intent))
         local = self._local_configuration()
@@ -78,13 +78,13 @@
     async def confirm(self, plan: Plan, operator: str, *, override: bool = False) -> Confirmation:
         """Apply exactly this plan, at most once.
 
-        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN or STORE_AWAY if nothing was changed, and
-        OUTCOME_UNKNOWN if the store stopped responding during the write; a second confirmation then
-        returns the outcome.
+        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN or STORE_UNAVAILABLE if nothing was changed,
+        and OUTCOME_UNKNOWN if the store stopped responding during the write; a second confirmation
+        then returns the outcome.
         """
         try:
             current, revision = await self._read_accepted(plan.intent)
-        except (StoreAway, StoreUnsure) as error:
+        except (StoreUnavailable, StoreOutcomeUnknown) as error:
             raise refuse(ErrorKind.STORE_AWAY, str(error)) from error
         for _ in range(_MAX_CONFLICTS):
             record = find_record(current, plan.id)
@@ -111,7 +111,7 @@
 
         With the lag of a plain read, a plan that was applied could appear stale. This is a
         compare-and-swap that cannot succeed while there is a configuration; the entry in its
-        conflict does not lag. Raises StoreAway, StoreUnsure.
+        conflict does not lag. Raises StoreUnavailable, StoreOutcomeUnknown.
         """
         try:
             await self._store.compare_and_swap(CONFIGURATION_KEY, None, expect=0)
@@ -131,9 +131,9 @@
                 return None
             except StoreConflict as conflict:
                 return self._decode(conflict.current)
-            except StoreUnsure:
+            except StoreOutcomeUnknown:
                 maybe_written = True
-            except StoreAway as error:
+            except StoreUnavailable as error:
                 if not maybe_written:
                     raise refuse(ErrorKind.STORE_AWAY, str(error)) from error
             except ValueError as error:
@@ -149,7 +149,7 @@
             return Configuration(revision=0, deployment="new"), 0
         try:
             return from_stored(stored.value), stored.revision
-        except ConfigurationFaults as error:
+        except InvalidConfigurationError as error:
             raise refuse(ErrorKind.INVALID_CONFIGURATION, str(error)) from error
 
 
--- a/libs/controlplane/berylspindle_controlplane/store_watcher.py
+++ b/libs/controlplane/berylspindle_controlplane/store_watcher.py
@@ -20,13 +20,13 @@
     VIEWS_PREFIX,
     view_from_value,
 )
-from berylspindle_decisions.rendezvous import first_of
+from berylspindle_decisions.rendezvous import top_members
 from berylspindle_model import codec
-from berylspindle_model.checked import ConfigurationFaults, from_stored
 from berylspindle_model.configuration import Configuration
+from berylspindle_model.configuration_codec import InvalidConfigurationError, from_stored
 from berylspindle_model.delta import Changes
 from berylspindle_model.topology import View
-from berylspindle_store.store import Store, StoreAway, StoredValue, StoreUnsure
+from berylspindle_store.store import Store, StoredValue, StoreOutcomeUnknown, StoreUnavailable
 
 # With two, the crash of one causes no delay; a third would cost a third more waiting calls.
 WATCHERS_PER_DATA_CENTRE: Final = 2
@@ -40,7 +40,7 @@
     if view is None:
         return False
     live = [vm for vm in view.members if vm.id not in suspects]
-    return any(vm.id == vm_id for vm in first_of("watcher", live, WATCHERS_PER_DATA_CENTRE))
+    return any(vm.id == vm_id for vm in top_members("watcher", live, WATCHERS_PER_DATA_CENTRE))
 
 
 class StoreWatcher:
@@ -72,7 +72,7 @@
             tasks.create_task(self._watch(VIEWS_PREFIX))
 
     async def read_once(self) -> None:
-        """Read all configurations and views once. Raises StoreAway."""
+        """Read all configurations and views once. Raises StoreUnavailable."""
         for prefix in (CONFIGURATION_PREFIX, VIEWS_PREFIX):
             listed = await self._store.list(prefix)
             self._publish(listed.entries)
@@ -85,7 +85,7 @@
                 after = await self._step(prefix, after)
                 self._on_reachability(True, "")
                 wait = _RETRY_WAIT_S
-            except (StoreAway, StoreUnsure) as error:
+            except (StoreUnavailable, StoreOutcomeUnknown) as error:
                 self._on_reachability(False, str(error))
                 await asyncio.sleep(wait * (0.5 + self._rand_below(1000) / 1000))
                 wait = min(_MAX_RETRY_WAIT_S, 2 * wait)
@@ -110,6 +110,6 @@
                     configuration = from_stored(entry.value)
                 elif entry.key.startswith(VIEWS_PREFIX):
                     views.append(view_from_value(entry.value))
-            except (ConfigurationFaults, codec.MalformedError) as error:
+            except (InvalidConfigurationError, codec.MalformedError) as error:
                 self._on_rejected(f"{entry.key} at {entry.revision}: {error}")
         self._on_changes(Changes(configuration=configuration, views=tuple(views)))
--- a/libs/controlplane/berylspindle_controlplane/view_keeper.py
+++ b/libs/controlplane/berylspindle_controlplane/view_writer.py
@@ -22,15 +22,15 @@
 
 from berylspindle_controlplane.documents import view_from_value, view_key, view_to_value
 from berylspindle_decisions.guarding import Removal
-from berylspindle_decisions.views import empty_view, with_joined, without
+from berylspindle_decisions.views import empty_view, with_joined, with_removed
 from berylspindle_model import codec
 from berylspindle_model.topology import View, Vm
 from berylspindle_store.store import (
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
-    StoreUnsure,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 
 # Wait before a repeated swap: long enough not to overload a recovering store, short enough to hand
@@ -112,7 +112,7 @@
         """Return the current view in the store, without the lag of a plain read.
 
         This is a compare-and-swap that cannot succeed while there is a view; the entry in its
-        conflict does not lag. Raises StoreAway, StoreUnsure.
+        conflict does not lag. Raises StoreUnavailable, StoreOutcomeUnknown.
         """
         try:
             await self._store.compare_and_swap(self._key, None, expect=0)
@@ -134,7 +134,7 @@
     async def _apply_changes(self, changes: Sequence[ViewChange]) -> ChangeOutcome:
         try:
             base = self._base(await self._store.get(self._key))
-        except StoreAway:
+        except StoreUnavailable:
             return ChangeOutcome.UNAVAILABLE
         for _ in range(_MAX_CONFLICTS):
             view = _changed_view(base.view, changes)
@@ -143,7 +143,7 @@
                 return ChangeOutcome.DONE if _is_applied(view, changes) else ChangeOutcome.OBSOLETE
             try:
                 written = await self._write(base, view)
-            except StoreAway:
+            except StoreUnavailable:
                 return ChangeOutcome.UNAVAILABLE
             if written.view == view:
                 self._publish(view)
@@ -152,7 +152,8 @@
         return ChangeOutcome.UNAVAILABLE
 
     async def _write(self, base: _Base, view: View) -> _Base:
-        """Swap, and return the resulting base. Raises StoreAway if the swap had no effect."""
+        """Swap, and return the resulting base. Raises StoreUnavailable if the swap had no
+        effect."""
         maybe_written = False
         wait = _RETRY_WAIT_S
         while True:
@@ -163,9 +164,9 @@
                 return _Base(view, stored.revision)
             except StoreConflict as conflict:
                 return self._base(conflict.current)
-            except StoreUnsure:
+            except StoreOutcomeUnknown:
                 maybe_written = True
-            except StoreAway:
+            except StoreUnavailable:
                 # After a lost reply, an earlier attempt may still take effect.
                 if not maybe_written:
                     raise
@@ -182,7 +183,7 @@
         try:
             return _Base(view_from_value(stored.value), stored.revision)
         except codec.MalformedError as error:
-            raise StoreAway(f"{self._key} holds no valid view: {error}") from error
+            raise StoreUnavailable(f"{self._key} holds no valid view: {error}") from error
 
 
 def _changed_view(view: View, changes: Sequence[ViewChange]) -> View:
@@ -190,10 +191,10 @@
     if isinstance(first, Join):
         return with_joined(view, [r.vm for r in changes if isinstance(r, Join)])
     if isinstance(first, Leave):
-        return without(view, {r.vm for r in changes if isinstance(r, Leave)}, released=True)
+        return with_removed(view, {r.vm for r in changes if isinstance(r, Leave)}, released=True)
     # A removal applies only to the epoch in which its guardian proposed it.
     removed = {r.vm for r in changes if isinstance(r, Removal) and r.epoch == view.epoch}
-    return without(view, removed, released=False)
+    return with_removed(view, removed, released=False)
 
 
 def _is_applied(view: View, changes: Sequence[ViewChange]) -> bool:
--- a/libs/daemon/berylspindle_daemon/admin.py
+++ b/libs/daemon/berylspindle_daemon/admin.py
@@ -23,7 +23,7 @@
 from berylspindle_model import codec
 from berylspindle_model import operator_protocol as protocol
 from berylspindle_model.caller_protocol import REQUEST_ID_HEADER
-from berylspindle_model.checked import ConfigurationFaults, parse_configuration
+from berylspindle_model.configuration_codec import InvalidConfigurationError, parse_configuration
 from berylspindle_model.errors import ErrorKind, Refusal, RefusalError, refuse
 from berylspindle_model.events import EventFilter, EventPage
 from berylspindle_model.intents import (
@@ -192,7 +192,7 @@
 async def _plan_configuration(backend: AdminBackend, request: HttpRequest) -> HttpResponse:
     try:
         requested = parse_configuration(request.body)
-    except ConfigurationFaults as error:
+    except InvalidConfigurationError as error:
         raise refuse(ErrorKind.INVALID_CONFIGURATION, str(error)) from None
     intent = Intent(kind=IntentKind.REPLACE, subject=requested.deployment, configuration=requested)
     return json_response(200, codec.to_json(await backend.plan(intent)))
--- a/libs/daemon/berylspindle_daemon/admin_backend.py
+++ b/libs/daemon/berylspindle_daemon/admin_backend.py
@@ -11,10 +11,10 @@
 from importlib.metadata import version
 from typing import Final
 
-from berylspindle_controlplane.plane import ControlPlane
+from berylspindle_controlplane.control_plane import ControlPlane
 from berylspindle_daemon.admin import AdminBackend
 from berylspindle_dataplane.plane import DataPlane
-from berylspindle_model.checked import canonical
+from berylspindle_model.configuration_codec import canonical
 from berylspindle_model.errors import ErrorKind, Refusal, refuse
 from berylspindle_model.events import EventFilter, EventPage
 from berylspindle_model.intents import Confirmation, ConfirmRequest, Intent, Plan
@@ -51,7 +51,7 @@
 
     def not_ready(self) -> Refusal | None:
         """Return the reason for which the readiness check fails, or None if it passes."""
-        return self._data.unready()
+        return self._data.readiness_refusal()
 
     async def plan(self, intent: Intent) -> Plan:
         """Return the plan for an intent without changing anything."""
@@ -65,7 +65,7 @@
         """Return the status of this VM and its view of the other VMs."""
         vms = await self._control.status()
         configuration = self._control.state.configuration
-        refusal = self._data.unready()
+        refusal = self._data.readiness_refusal()
         unavailable_since = self._store_unavailable_since()
         return StatusReport(
             vm=self._vm.id,
--- a/libs/daemon/berylspindle_daemon/counted_store.py
+++ b/libs/daemon/berylspindle_daemon/counted_store.py
@@ -19,11 +19,11 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_telemetry import metric_names as names
@@ -88,12 +88,12 @@
         started = self._now()
         try:
             answer = await pending
-        except (StoreAway, StoreUnsure) as error:
-            result = "lost" if isinstance(error, StoreUnsure) else "away"
+        except (StoreUnavailable, StoreOutcomeUnknown) as error:
+            result = "lost" if isinstance(error, StoreOutcomeUnknown) else "away"
             self._record_call(operation, result, started)
             self._on_call(False, str(error))
             raise
-        except (StoreConflict, StoreLeaseGone) as error:
+        except (StoreConflict, StoreLeaseNotFound) as error:
             result = "conflict" if isinstance(error, StoreConflict) else "lease_gone"
             self._record_call(operation, result, started)
             self._on_call(True, "")
--- a/libs/daemon/berylspindle_daemon/daemon.py
+++ b/libs/daemon/berylspindle_daemon/daemon.py
@@ -29,7 +29,7 @@
 from contextlib import AsyncExitStack
 from typing import Final
 
-from berylspindle_controlplane.plane import ControlOptions, ControlPlane
+from berylspindle_controlplane.control_plane import ControlOptions, ControlPlane
 from berylspindle_controlplane.transport import TransportError
 from berylspindle_controlplane.wire_transport import WireTransport
 from berylspindle_daemon.admin import AdminEdge
@@ -41,20 +41,20 @@
 from berylspindle_daemon.stamped_transport import StampedTransport
 from berylspindle_dataplane.http_backend import BackendOptions
 from berylspindle_dataplane.plane import DataPlane, DataPlaneOptions
-from berylspindle_dataplane.suspect_share import SUSPECTS
-from berylspindle_model.checked import MAX_TEXT
+from berylspindle_dataplane.quarantine_gossip import SUSPECTS_CALL
+from berylspindle_model.configuration_codec import MAX_DOCUMENT_BYTES
 from berylspindle_model.events import EventKind
 from berylspindle_model.topology import ClusterState, Vm
 from berylspindle_store.claims import ClaimOptions, Claims
 from berylspindle_store.connections import StoreOptions
 from berylspindle_store.http_store import HttpStore, open_store
-from berylspindle_store.store import Store, StoreAway
+from berylspindle_store.store import Store, StoreUnavailable
 from berylspindle_store.vm_list import HttpVmList, VmRole, VmState, open_vm_list
 from berylspindle_telemetry import metric_names as names
 from berylspindle_telemetry.clock import HybridClock
 from berylspindle_telemetry.logs import logger
 from berylspindle_telemetry.metrics import Metrics
-from berylspindle_telemetry.process import watch_loop, watch_process
+from berylspindle_telemetry.process import measure_loop_lag, register_process_metrics
 from berylspindle_telemetry.stamping import MessageStamper
 from berylspindle_telemetry.timeline import Timeline
 from berylspindle_wire.datagrams import DatagramPort, open_datagrams
@@ -113,8 +113,8 @@
     async def start(self) -> None:
         """Open all parts; raises OSError if an address can't be bound."""
         self.timeline.record(EventKind.STARTED, detail=self.me.data_centre)
-        watch_process(self.metrics)
-        self._start_background(watch_loop(self.metrics))
+        register_process_metrics(self.metrics)
+        self._start_background(measure_loop_lag(self.metrics))
         key = self._options.peer_key.reveal().encode() if self._options.peer_key else None
         platform, vm_list = await self._open_platform()
         store = InstrumentedStore(platform, self.metrics, self._observer.on_store_call)
@@ -133,13 +133,13 @@
         )
         self.control = ControlPlane(
             scale_times(ControlOptions(), self._options.control_pace),
-            me=self.me,
+            local_vm=self.me,
             store=store,
             vm_list=vm_list,
             seeds=[(seed.host, seed.port) for seed in self._options.seed_addresses],
             transport=self._transport,
             on_state=self._on_state,
-            events=self._observer.on_event,
+            on_event=self._observer.on_event,
         )
         self.data = self._make_data_plane(store)
         self._stack.push_async_callback(self.data.close)
@@ -158,11 +158,11 @@
         self.data.begin_shutdown()
         await asyncio.sleep(self._options.unready_seconds)
         self._record_stage("handover")
-        finished = await _finishes_by(self.data.hand_over(), deadline)
+        finished = await _finishes_by(self.data.drain_owned_work(), deadline)
         await _finishes_by(self.control.leave(), deadline)
         self._record_stage("drain")
         self._callers.begin_drain()
-        finished = await _finishes_by(self.data.drained(), deadline) and finished
+        finished = await _finishes_by(self.data.wait_idle(), deadline) and finished
         await self._callers.close(max(0.0, deadline - time.monotonic()))
         self._record_stage("close")
         await self._peers.close(min(1.0, max(0.0, deadline - time.monotonic())))
@@ -206,7 +206,7 @@
                 backend=BackendOptions(connect_timeout=self._options.connect_timeout),
             ),
             links=self._links,
-            tell_suspects=self._report_suspects,
+            send_suspects=self._report_suspects,
             rights=self.control.rights,
             claims=claims,
             metrics=self.metrics,
@@ -215,18 +215,18 @@
 
     async def _report_suspects(self, vm: Vm, payload: bytes) -> None:
         try:
-            await self._transport.call(vm, SUSPECTS, payload, timeout=SUSPECT_REPORT_TIMEOUT_S)
+            await self._transport.call(vm, SUSPECTS_CALL, payload, timeout=SUSPECT_REPORT_TIMEOUT_S)
         except TransportError:
             # Other VMs repeat the report; failing that, the VM detects the request by its own loss.
             return
 
     async def _serve_peers(self, key: bytes | None) -> None:
-        methods = {**self.control.methods, SUSPECTS: self.data.share.receive}
+        methods = {**self.control.peer_handlers, SUSPECTS_CALL: self.data.quarantine_gossip.receive}
         self._peers = PeerServer(
             self.me.host,
             self.me.peer_port,
             batch_handler=self.data.owner,
-            control={name: self._stamper.sealing(method) for name, method in methods.items()},
+            control={name: self._stamper.wrap_method(method) for name, method in methods.items()},
             key=key,
             on_fault=self._on_fault,
         )
@@ -269,7 +269,7 @@
             edge.handle,
             host=options.admin_host,
             port=options.admin_port,
-            limits=HttpLimits(body_bytes=MAX_TEXT, connections=options.admin_connections),
+            limits=HttpLimits(body_bytes=MAX_DOCUMENT_BYTES, connections=options.admin_connections),
             tls=_operators_tls(options),
             on_fault=self._on_fault,
         )
@@ -343,7 +343,7 @@
             rights, now = self.control.rights, time.monotonic()
             if all(rights.usable_from(server) <= now for server in self.data.owner.owned):
                 break
-        self.data.mark_settled()
+        self.data.mark_ownership_settled()
 
     async def _poll_vm_list(self, vm_list: HttpVmList) -> None:
         """Poll the VM list for backend servers that are leaving.
@@ -357,7 +357,7 @@
             await asyncio.sleep(self._options.vm_list_interval * max(1.0, members / 8))
             try:
                 listed = await vm_list.fetch()
-            except StoreAway:
+            except StoreUnavailable:
                 continue
             leaving = (
                 vm.id for vm in listed if vm.role is VmRole.BACKEND and vm.state is VmState.LEAVING
--- a/libs/daemon/berylspindle_daemon/main.py
+++ b/libs/daemon/berylspindle_daemon/main.py
@@ -21,7 +21,7 @@
 
 from berylspindle_daemon.exit_codes import DaemonError, ExitCode
 from berylspindle_daemon.options import ENV_PREFIX, Options, complete_options, environment_variable
-from berylspindle_telemetry.logs import logger, logs_to
+from berylspindle_telemetry.logs import log_context, logger
 
 PROGRAM: Final = "berylspindled"
 _LISTEN_ERRORS: Final = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES})
@@ -98,9 +98,9 @@
 
     metrics = Metrics()
     secrets = [secret for secret in (options.peer_key, options.admin_token) if secret is not None]
-    with logs_to(
+    with log_context(
         level=options.log_level,
-        form=options.log_format,
+        log_format=options.log_format,
         vm=options.vm_id,
         secrets=secrets,
         metrics=metrics,
--- a/libs/daemon/berylspindle_daemon/stamped_transport.py
+++ b/libs/daemon/berylspindle_daemon/stamped_transport.py
@@ -1,15 +1,15 @@
 """Carry hybrid logical clock stamps in all messages of the control plane.
 
 Terms:
-  sealed   a message prefixed with the sender's stamp (`berylspindle_telemetry.stamping`)
+  stamped   a message prefixed with the sender's stamp (`berylspindle_telemetry.stamping`)
 
-Flow: `StampedTransport` wraps the network transport: it seals outgoing datagrams and calls and
-opens the responses of calls. The daemon opens datagrams with `open_datagram` and serves the control
-plane's methods through `MessageStamper.sealing`.
+Flow: `StampedTransport` wraps the network transport: it stamps outgoing datagrams and calls and
+strips the stamps of responses. The daemon strips those of datagrams with `open_datagram` and serves
+the control plane's methods through `MessageStamper.wrap_method`.
 
 Without stamps, a VM whose wall clock is behind would record the effect of a message at an earlier
-time than its cause, and the time line would point to the wrong VM. Each message is opened before it
-is handled, so that its effects are recorded with a greater stamp.
+time than its cause, and the time line would point to the wrong VM. Each stamp is merged before its
+message is handled, so that its effects are recorded with a greater stamp.
 """
 
 from __future__ import annotations
@@ -33,13 +33,15 @@
 
     def send(self, to: Address, data: bytes) -> None:
         """Send a datagram; losses are not reported."""
-        self._inner.send(to, self._stamper.seal(data))
+        self._inner.send(to, self._stamper.add_stamp(data))
 
     async def call(self, vm: Vm, method: str, payload: bytes, *, timeout: float) -> bytes:
         """Return a VM's response to a call; raises TransportError."""
-        response = await self._inner.call(vm, method, self._stamper.seal(payload), timeout=timeout)
+        response = await self._inner.call(
+            vm, method, self._stamper.add_stamp(payload), timeout=timeout
+        )
         try:
-            return self._stamper.open(response)
+            return self._stamper.strip_stamp(response)
         except ValueError as error:
             self._malformed.add()
             raise TransportError(str(error)) from error
@@ -47,7 +49,7 @@
     def open_datagram(self, data: bytes) -> bytes | None:
         """Return a received datagram without its stamp, or None if it has no valid stamp."""
         try:
-            return self._stamper.open(data)
+            return self._stamper.strip_stamp(data)
         except ValueError:
             self._malformed.add()
             return None
--- a/libs/dataplane/berylspindle_dataplane/entry.py
+++ b/libs/dataplane/berylspindle_dataplane/entry.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
 from berylspindle_dataplane.fanout_driver import FanoutDriver
 from berylspindle_dataplane.router import Router
 from berylspindle_dataplane.search_fanout import SearchFanout
@@ -31,7 +31,7 @@
 class Entry:
     """Answer searches."""
 
-    def __init__(self, router: Router, context: EntryTools) -> None:
+    def __init__(self, router: Router, context: EntryContext) -> None:
         self._router: Final = router
         self._context: Final = context
         self._services: dict[str, ServiceState] = {}
@@ -93,7 +93,7 @@
                 request.caller,
                 queued_ms=overload.queued_ms,
                 service_ms=state.served_ms,
-                pressed=overload.overloaded,
+                overloaded=overload.overloaded,
             )
 
     async def _run(
@@ -131,7 +131,7 @@
             return await driver.run(deadline)
         finally:
             if is_canary:
-                self._context.quarantine.on_unsettled(fingerprint)
+                self._context.quarantine.on_inconclusive(fingerprint)
 
     def _make_strategy(
         self,
--- a/libs/dataplane/berylspindle_dataplane/entry_tools.py
+++ b/libs/dataplane/berylspindle_dataplane/entry_context.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from berylspindle_dataplane.shedding import Shedding
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
+from berylspindle_dataplane.shedding_events import SheddingEvents
 from berylspindle_decisions.admission import AdmissionOptions
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_telemetry.metrics import Metrics
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EntryTools:
+class EntryContext:
     """Shared dependencies of one entry; `random` is uniform in [0, 1)."""
 
     metrics: Metrics
@@ -24,6 +24,6 @@
     random: Callable[[], float]
     new_id: Callable[[], str]
     deadlines: Deadlines
-    quarantine: WatchedQuarantine
+    quarantine: EntryQuarantine
     admission: AdmissionOptions
-    shedding: Shedding
+    shedding: SheddingEvents
--- a/libs/dataplane/berylspindle_dataplane/watched_quarantine.py
+++ b/libs/dataplane/berylspindle_dataplane/entry_quarantine.py
@@ -5,8 +5,8 @@
   change   a strike, a quarantine or a clearing that other VMs must receive
 
 Flow: the fan-out and the executor pass each reply to `record_reply`. A change calls `on_change`,
-which makes `suspect_share` send it to the other VMs. A fingerprint that becomes quarantined, or is
-no longer quarantined, is recorded in the timeline. `expire` must be called periodically, since a
+which makes `quarantine_gossip` send it to the other VMs. A fingerprint that becomes quarantined, or
+is no longer quarantined, is recorded in the timeline. `expire` must be called periodically, since a
 quarantine ends by time alone.
 """
 
@@ -17,8 +17,8 @@
 
 from berylspindle_decisions.quarantine import (
     UNKNOWN_ELAPSED_MS,
-    Level,
     Quarantine,
+    QuarantineLevel,
     QuarantineOptions,
     SuspectRecord,
 )
@@ -32,7 +32,7 @@
     """Default for `on_change` until a gossip is attached."""
 
 
-class WatchedQuarantine(Quarantine):
+class EntryQuarantine(Quarantine):
     """Quarantine that is updated from replies and reports its changes."""
 
     def __init__(self, timeline: Timeline, options: QuarantineOptions | None = None) -> None:
@@ -58,7 +58,7 @@
         elif reply.error is ErrorKind.QUARANTINED:
             self.on_suspected(now, fingerprint)
         elif is_connection_loss(reply):
-            self.on_lost(
+            self.on_connection_lost(
                 now,
                 fingerprint,
                 reply.server,
@@ -70,10 +70,10 @@
         """Record that a backend server ran the request without crashing."""
         was = self.level(now, fingerprint)
         super().on_success(now, fingerprint)
-        if was is not Level.CLEARED:
+        if was is not QuarantineLevel.CLEARED:
             self._on_local_change(now, (fingerprint,))
 
-    def on_lost(
+    def on_connection_lost(
         self,
         now: float,
         fingerprint: str,
@@ -83,7 +83,9 @@
         in_flight: int = 1,
     ) -> None:
         """Record lost connections during the request; `in_flight` attempts were lost together."""
-        super().on_lost(now, fingerprint, server, elapsed_ms=elapsed_ms, in_flight=in_flight)
+        super().on_connection_lost(
+            now, fingerprint, server, elapsed_ms=elapsed_ms, in_flight=in_flight
+        )
         self._on_local_change(now, (fingerprint,))
 
     def merge(self, records: Iterable[SuspectRecord], now: float) -> bool:
@@ -103,7 +105,7 @@
 
     def _record_levels(self, now: float, fingerprints: Iterable[str]) -> None:
         for fingerprint in fingerprints:
-            is_refused = self.level(now, fingerprint) is Level.QUARANTINED
+            is_refused = self.level(now, fingerprint) is QuarantineLevel.QUARANTINED
             if is_refused and fingerprint not in self._quarantined:
                 self._quarantined.add(fingerprint)
                 self._timeline.record(EventKind.QUARANTINED, detail=fingerprint)
--- a/libs/dataplane/berylspindle_dataplane/executor.py
+++ b/libs/dataplane/berylspindle_dataplane/executor.py
@@ -22,7 +22,7 @@
 import xxhash
 
 from berylspindle_dataplane.entry import Entry
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
 from berylspindle_dataplane.router import Router, Target
 from berylspindle_dataplane.service_state import ServiceState
 from berylspindle_decisions.quarantine import RunMode
@@ -45,10 +45,10 @@
     ClaimState,
     DispatchOutcome,
     KeyReused,
-    SettleState,
+    OutcomeWriteState,
 )
 from berylspindle_store.claims import Claims
-from berylspindle_store.store import StoreAway
+from berylspindle_store.store import StoreUnavailable
 from berylspindle_telemetry import metric_names as names
 
 T = TypeVar("T")
@@ -70,7 +70,7 @@
         router: Router,
         entry: Entry,
         claims: Claims,
-        context: EntryTools,
+        context: EntryContext,
         is_live: Callable[[str], bool],
     ) -> None:
         self._router: Final = router
@@ -104,7 +104,7 @@
         """Return the stored outcome of the request with this key."""
         try:
             record = await self._claims.find(service, key)
-        except StoreAway as error:
+        except StoreUnavailable as error:
             # The store did not answer, so the outcome of the queried request remains unknown.
             return Refusal(ErrorKind.STORE_AWAY, str(error), RunState.MAY_HAVE_RUN)
         if record is None:
@@ -179,14 +179,14 @@
         attempt_id = self._context.new_id()
         left = deadline - self._context.now() - MIN_EXECUTE_MS / 1000
         claimed = await self._claims.claim(
-            request.service, request.key, fingerprint, attempt_id, within=max(0.0, left)
+            request.service, request.key, fingerprint, attempt_id, timeout=max(0.0, left)
         )
         if isinstance(claimed, KeyReused):
             return Refusal(ErrorKind.KEY_REUSED)
         if isinstance(claimed, AlreadyClaimed):
             return self._recorded_outcome(request.request_id, claimed.record)
         if not isinstance(claimed, Claimed):
-            detail = "a claim may remain until it expires" if claimed.may_stand else ""
+            detail = "a claim may remain until it expires" if claimed.may_exist else ""
             return Refusal(ErrorKind.STORE_AWAY, detail, _NOT_RUN)
         claim = claimed.claim
         self._active_tokens.add(claim.record.token)
@@ -206,9 +206,9 @@
         refusal = self._quarantine_refusal(fingerprint)
         if refusal is None:
             reply = await self._dispatch(request, state, claim, fingerprint, deadline)
-            self._context.quarantine.on_unsettled(fingerprint)
+            self._context.quarantine.on_inconclusive(fingerprint)
             if reply.run is not RunState.NOT_RUN:
-                return await self._settle(request, claim, reply, deadline)
+                return await self._store_outcome(request, claim, reply, deadline)
             kind = reply.error or ErrorKind.INTERNAL
             refusal = Refusal(kind, reply.detail, _NOT_RUN, reply.retry_after_ms)
         # Certainly not run: release the key so that the caller can retry at once.
@@ -315,7 +315,7 @@
             if target.server.id not in tried
         }
         views = [state.view(t, local=local, now=now, pin=None) for t in targets.values()]
-        order = choose(views, now=now, u=self._context.random())
+        order = choose(views, now=now, uniform=self._context.random())
         return targets[order[0].server] if order else None
 
     async def _within_deadline(
@@ -333,7 +333,7 @@
         await asyncio.wait({task}, timeout=max(0.0, deadline - self._context.now()))
         return task.result() if task.done() else None
 
-    async def _settle(
+    async def _store_outcome(
         self, request: ExecuteRequest, claim: Claim, reply: AttemptReply, deadline: float
     ) -> ExecuteAnswer | Refusal:
         run = reply.run or RunState.MAY_HAVE_RUN
@@ -343,11 +343,13 @@
         outcome = DispatchOutcome(
             server=reply.server, run=run, result=reply.result, error=kind, detail=reply.detail
         )
-        settled = await self._within_deadline(deadline, self._claims.settle(claim, outcome))
-        if settled is None:
-            settled = SettleState.PENDING
-        if settled is not SettleState.STORED:
-            self._context.metrics.count(names.CLAIMS, result=f"settle_{settled.value}")
+        write_state = await self._within_deadline(
+            deadline, self._claims.store_outcome(claim, outcome)
+        )
+        if write_state is None:
+            write_state = OutcomeWriteState.PENDING
+        if write_state is not OutcomeWriteState.STORED:
+            self._context.metrics.count(names.CLAIMS, result=f"settle_{write_state.value}")
         if kind is not None:
             self._context.timeline.record(
                 EventKind.OUTCOME_UNKNOWN,
--- a/libs/dataplane/berylspindle_dataplane/fanout_driver.py
+++ b/libs/dataplane/berylspindle_dataplane/fanout_driver.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
 from berylspindle_dataplane.fanout_strategy import Action, Cancel, Send
 from berylspindle_dataplane.router import Router
 from berylspindle_dataplane.search_fanout import SearchFanout
@@ -39,7 +39,7 @@
         fanout: SearchFanout,
         state: ServiceState,
         router: Router,
-        context: EntryTools,
+        context: EntryContext,
         request: SearchRequest,
         *,
         fingerprint: str,
@@ -171,8 +171,8 @@
             self._state.meters.on_repin()
         self._pin = pin
         if send.reason in ("first", "canary"):
-            self._state.hedging.on_first()
-            self._state.retry_budget.on_first()
+            self._state.hedging.on_first_attempt()
+            self._state.retry_budget.on_first_attempt()
         self._state.ejector.on_use(self._context.now(), send.target.server.id)
 
     def _record_reply(self, reply: AttemptReply) -> None:
--- a/libs/dataplane/berylspindle_dataplane/fanout_strategy.py
+++ b/libs/dataplane/berylspindle_dataplane/fanout_strategy.py
@@ -18,7 +18,7 @@
 
 from berylspindle_dataplane.router import Target
 from berylspindle_decisions.hedging import HedgeVerdict
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask
 from berylspindle_model.errors import Refusal
 from berylspindle_model.messages import Attempt, AttemptReply
 from berylspindle_model.snapshot import Snapshot
@@ -75,7 +75,7 @@
         refused: frozenset[str],
         rounds: int,
         left_ms: float,
-    ) -> Reask | KeepOne | Refusal:
+    ) -> Reask | KeepSnapshot | Refusal:
         """Return how to proceed when shards no longer hold the pin."""
 
     @abc.abstractmethod
--- a/libs/dataplane/berylspindle_dataplane/loss_attribution.py
+++ b/libs/dataplane/berylspindle_dataplane/loss_attribution.py
@@ -39,7 +39,7 @@
         """Return whether the request crashed a server of this VM and its entry does not know it."""
         if not fingerprint:
             return False
-        return self._quarantine.allows(now, fingerprint, canary=is_canary) is not None
+        return self._quarantine.check_attempt(now, fingerprint, canary=is_canary) is not None
 
     def with_loss_count(
         self, now: float, reply: AttemptReply, *, dispatched_at: float, in_flight: int
@@ -65,7 +65,7 @@
         if reply.error is None:
             self._quarantine.on_success(now, fingerprint)
         elif reply.lost_together:
-            self._quarantine.on_lost(
+            self._quarantine.on_connection_lost(
                 now,
                 fingerprint,
                 self._server_id,
--- a/libs/dataplane/berylspindle_dataplane/owner.py
+++ b/libs/dataplane/berylspindle_dataplane/owner.py
@@ -5,7 +5,7 @@
 
 Flow: `adopt` applies the cluster state: it creates a worker for each server that became owned,
 refuses the queued attempts of each server no longer owned and closes its worker once the running
-attempts have ended. Batches arrive from the entry of this VM through `submit_own` and from peers
+attempts have ended. Batches arrive from the entry of this VM through `submit_local` and from peers
 through `run`. Each attempt goes to the worker of its server or is refused as NOT_RUN.
 """
 
@@ -18,9 +18,9 @@
 
 from berylspindle_dataplane.backend import Backend
 from berylspindle_dataplane.owner_table import OwnerTable
-from berylspindle_dataplane.router import OnReply, OwnDispatcher, refusal_reply
+from berylspindle_dataplane.router import LocalDispatcher, OnReply, refusal_reply
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.worker_tools import Queued, WorkerTools
+from berylspindle_dataplane.worker_context import QueuedAttempt, WorkerContext
 from berylspindle_model.configuration import Server, ServerState
 from berylspindle_model.errors import ErrorKind
 from berylspindle_model.events import EventKind
@@ -33,11 +33,11 @@
 OpenBackend = Callable[[Server], Backend]
 
 
-class Owner(OwnDispatcher, BatchHandler):
+class Owner(LocalDispatcher, BatchHandler):
     """Run attempts at the backend servers that this VM owns."""
 
     def __init__(
-        self, me: Vm, owners: OwnerTable, open_backend: OpenBackend, context: WorkerTools
+        self, me: Vm, owners: OwnerTable, open_backend: OpenBackend, context: WorkerContext
     ) -> None:
         self._me: Final = me
         self._owners: Final = owners
@@ -79,7 +79,7 @@
         self._leaving = servers
         self.adopt(self._state)
 
-    def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
+    def submit_local(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Queue a batch of the entry on this VM."""
         now = self._context.now()
         deadline = now + batch.deadline_ms / 1000
@@ -103,7 +103,7 @@
 
         for attempt in batch.attempts:
             self._cancel_callbacks[attempt.id] = partial(on_settled, attempt.id)
-        self.submit_own(batch, forward)
+        self.submit_local(batch, forward)
         try:
             await done.wait()
         except asyncio.CancelledError:
@@ -150,7 +150,7 @@
                 )
             )
             return
-        queued = Queued(
+        queued = QueuedAttempt(
             attempt=attempt,
             caller=batch.caller,
             deadline=deadline,
--- a/libs/dataplane/berylspindle_dataplane/page_token.py
+++ b/libs/dataplane/berylspindle_dataplane/page_token.py
@@ -41,7 +41,7 @@
 
 def encode_page(position: PagePosition) -> str:
     """Return the token of a position."""
-    return base64.urlsafe_b64encode(codec.to_pack(position)).decode().rstrip("=")
+    return base64.urlsafe_b64encode(codec.to_msgpack(position)).decode().rstrip("=")
 
 
 def decode_page(token: str, *, service: str, query: str) -> PagePosition:
@@ -53,7 +53,7 @@
         raise refuse(ErrorKind.BAD_REQUEST, "the page token is too long")
     try:
         padded = token + "=" * (-len(token) % 4)
-        position = codec.from_pack(base64.urlsafe_b64decode(padded), PagePosition)
+        position = codec.from_msgpack(base64.urlsafe_b64decode(padded), PagePosition)
     except (binascii.Error, ValueError, codec.MalformedError):
         raise refuse(ErrorKind.BAD_REQUEST, "the page token is malformed") from None
     if position.search != search_hash(service, query):
--- a/libs/dataplane/berylspindle_dataplane/plane.py
+++ b/libs/dataplane/berylspindle_dataplane/plane.py
@@ -1,7 +1,7 @@
 """Data plane of one VM: entry, executor and owner behind the HTTP endpoint for callers.
 
 Flow: `DataPlane` creates the components. `adopt` passes each cluster state of the control plane to
-them in order of dependency. `drained` waits for all requests in flight; `close` stops everything.
+them in order of dependency. `wait_idle` waits for all requests in flight; `close` stops everything.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from berylspindle_dataplane.backend import Backend
 from berylspindle_dataplane.edge import CallerEdge, EdgeHandlers
 from berylspindle_dataplane.entry import Entry
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
 from berylspindle_dataplane.executor import Executor
 from berylspindle_dataplane.http_backend import BackendOptions, open_http_backend
 from berylspindle_dataplane.owner import Owner
 from berylspindle_dataplane.owner_table import OwnerTable
+from berylspindle_dataplane.quarantine_gossip import QuarantineGossip, SendRecords
 from berylspindle_dataplane.router import Dispatcher, Router
-from berylspindle_dataplane.shedding import Shedding
-from berylspindle_dataplane.suspect_share import QuarantineGossip, SendRecords
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
-from berylspindle_dataplane.worker_tools import WorkerTools
+from berylspindle_dataplane.shedding_events import SheddingEvents
+from berylspindle_dataplane.worker_context import WorkerContext
 from berylspindle_decisions.admission import AdmissionOptions
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.fair_queue import FairQueueOptions
@@ -70,7 +70,7 @@
         options: DataPlaneOptions,
         *,
         links: Dispatcher,
-        tell_suspects: SendRecords,
+        send_suspects: SendRecords,
         rights: DispatchRights,
         claims: Claims,
         metrics: Metrics,
@@ -89,13 +89,15 @@
         self._owners: Final = OwnerTable()
         worker_context = self._make_worker_context(rights)
         self.owner: Final = Owner(me, self._owners, self._open_backend, worker_context)
-        self._router: Final = Router(me=me, owners=self._owners, own=self.owner, links=links)
+        self._router: Final = Router(me=me, owners=self._owners, local=self.owner, links=links)
         context = self._make_entry_context()
         self.quarantine: Final = context.quarantine
         self._entry: Final = Entry(self._router, context)
         self._executor: Final = Executor(self._router, self._entry, claims, context, self._is_live)
-        self.share: Final = self._make_quarantine_gossip(worker_context, tell_suspects)
-        self._tasks: Final = _start_tasks(self._executor.settle_pending(), self.share.run())
+        self.quarantine_gossip: Final = self._make_quarantine_gossip(worker_context, send_suspects)
+        self._tasks: Final = _start_tasks(
+            self._executor.settle_pending(), self.quarantine_gossip.run()
+        )
         self._requests = 0
         self._idle: Final = asyncio.Event()
         self._idle.set()
@@ -121,14 +123,14 @@
 
     def adopt(self, state: ClusterState) -> None:
         """Apply a new cluster state."""
-        was_ready = self.unready() is None
+        was_ready = self.readiness_refusal() is None
         self._state = state
         self._record_data_centre_state(state)
         self._owners.adopt(state.views)
         self.owner.adopt(state)
         self._router.adopt(state)
         self._entry.adopt(state)
-        self.share.adopt(state)
+        self.quarantine_gossip.adopt(state)
         self._record_readiness(was_ready)
 
     def mark_leaving(self, servers: frozenset[str]) -> None:
@@ -136,7 +138,7 @@
         self._router.mark_leaving(servers)
         self.owner.mark_leaving(servers)
 
-    def unready(self) -> Refusal | None:
+    def readiness_refusal(self) -> Refusal | None:
         """Return why the load balancer should not send requests here, or None if it may."""
         if self._shutting_down:
             return Refusal(ErrorKind.SHUTTING_DOWN)
@@ -148,19 +150,19 @@
             return Refusal(ErrorKind.NOT_READY, "waiting for ownership of backend servers")
         return None
 
-    def mark_settled(self) -> None:
+    def mark_ownership_settled(self) -> None:
         """Report readiness once this VM may dispatch to its servers or has waited long enough."""
-        was_ready = self.unready() is None
+        was_ready = self.readiness_refusal() is None
         self._ownership_settled = True
         self._record_readiness(was_ready)
 
     def begin_shutdown(self) -> None:
         """Report this VM as not ready; requests that still arrive are served."""
-        was_ready = self.unready() is None
+        was_ready = self.readiness_refusal() is None
         self._shutting_down = True
         self._record_readiness(was_ready)
 
-    async def hand_over(self) -> None:
+    async def drain_owned_work(self) -> None:
         """Stop accepting executes and attempts, and wait for those in progress.
 
         Executes come first, while the backend servers of this VM still run claimed requests.
@@ -170,7 +172,7 @@
         self.owner.stop_accepting()
         await self.owner.wait_idle()
 
-    async def drained(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no caller's request and no attempt at an owned server is in progress."""
         await self._idle.wait()
         await self._executor.wait_idle()
@@ -183,8 +185,8 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.owner.close()
 
-    def _make_worker_context(self, rights: DispatchRights) -> WorkerTools:
-        return WorkerTools(
+    def _make_worker_context(self, rights: DispatchRights) -> WorkerContext:
+        return WorkerContext(
             rights=rights,
             metrics=self._metrics,
             timeline=self._timeline,
@@ -193,21 +195,21 @@
             queue=FairQueueOptions(max_entries=self._options.server_queue),
         )
 
-    def _make_entry_context(self) -> EntryTools:
-        return EntryTools(
+    def _make_entry_context(self) -> EntryContext:
+        return EntryContext(
             metrics=self._metrics,
             timeline=self._timeline,
             now=self._now,
             random=random.Random().random,
             new_id=_make_id_generator(),
             deadlines=Deadlines(),
-            quarantine=WatchedQuarantine(self._timeline),
+            quarantine=EntryQuarantine(self._timeline),
             admission=AdmissionOptions(max_work=self._options.requests_in_flight),
-            shedding=Shedding(self._timeline),
+            shedding=SheddingEvents(self._timeline),
         )
 
     def _make_quarantine_gossip(
-        self, worker_context: WorkerTools, send: SendRecords
+        self, worker_context: WorkerContext, send: SendRecords
     ) -> QuarantineGossip:
         return QuarantineGossip(
             self.quarantine,
@@ -218,12 +220,12 @@
             rng=random.Random(),
         )
 
-    def _make_edge_handlers(self, context: EntryTools) -> EdgeHandlers:
+    def _make_edge_handlers(self, context: EntryContext) -> EdgeHandlers:
         return EdgeHandlers(
             search=self._entry.search,
             execute=self._executor.execute,
             outcome=self._executor.outcome,
-            readiness_refusal=self.unready,
+            readiness_refusal=self.readiness_refusal,
             request_refusal=self._request_refusal,
             new_id=context.new_id,
         )
@@ -251,7 +253,7 @@
             self._timeline.record(EventKind.DATA_CENTRE_OUT, detail=self._me.data_centre)
 
     def _record_readiness(self, was_ready: bool) -> None:
-        refusal = self.unready()
+        refusal = self.readiness_refusal()
         self._metrics.gauge(names.READY, 0 if refusal else 1)
         if was_ready and refusal is not None:
             self._timeline.record(EventKind.UNREADY, detail=refusal.kind.value)
--- a/libs/dataplane/berylspindle_dataplane/suspect_share.py
+++ b/libs/dataplane/berylspindle_dataplane/quarantine_gossip.py
@@ -21,14 +21,14 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Final
 
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
-from berylspindle_decisions.quarantine import Level, Quarantine, SuspectRecord
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
+from berylspindle_decisions.quarantine import Quarantine, QuarantineLevel, SuspectRecord
 from berylspindle_model import codec
 from berylspindle_model.errors import ErrorKind, refuse
 from berylspindle_model.topology import ClusterState, Vm
 
 # Name of the call by which VMs exchange records.
-SUSPECTS: Final = "suspects"
+SUSPECTS_CALL: Final = "suspects"
 # Maximum number of VMs for which each strike is sent to all; common deployments have 8.
 MAX_BROADCAST_VMS: Final = 16
 GOSSIP_FANOUT: Final = 4
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        quarantine: WatchedQuarantine,
+        quarantine: EntryQuarantine,
         owner_quarantine: Quarantine,
         *,
         me: Vm,
@@ -90,7 +90,7 @@
     async def receive(self, payload: bytes) -> bytes:
         """Merge records of a peer; raise RefusalError if they cannot be decoded."""
         try:
-            records = codec.from_pack(payload, tuple[SuspectRecord, ...])
+            records = codec.from_msgpack(payload, tuple[SuspectRecord, ...])
         except codec.MalformedError as error:
             raise refuse(ErrorKind.BAD_REQUEST, str(error)) from None
         if self._quarantine.merge(records[:MAX_RECORDS], self._now()):
@@ -124,7 +124,7 @@
         self._has_local_change = False
         records = self._quarantine.export(self._now(), limit=MAX_RECORDS)
         self._clear_at_owner(records)
-        payload = codec.to_pack(records)
+        payload = codec.to_msgpack(records)
         for vm in receivers:
             task = asyncio.get_running_loop().create_task(self._send_one(vm, payload))
             self._send_tasks.add(task)
@@ -140,5 +140,5 @@
         return self._rng.sample(self._peers, min(GOSSIP_FANOUT, len(self._peers)))
 
     def _clear_at_owner(self, records: Sequence[SuspectRecord]) -> None:
-        cleared = [record for record in records if record.level is Level.CLEARED]
+        cleared = [record for record in records if record.level is QuarantineLevel.CLEARED]
         self._owner_quarantine.merge(cleared, self._now())
--- a/libs/dataplane/berylspindle_dataplane/router.py
+++ b/libs/dataplane/berylspindle_dataplane/router.py
@@ -43,10 +43,10 @@
         """Cancel attempts at their owner."""
 
 
-class OwnDispatcher(Protocol):
+class LocalDispatcher(Protocol):
     """Dispatch batches to the backend servers that this VM owns."""
 
-    def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
+    def submit_local(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Queue a batch without blocking."""
 
     def cancel(self, attempts: Sequence[str]) -> None:
@@ -57,11 +57,11 @@
     """Derive the targets of each shard and send batches to their owners."""
 
     def __init__(
-        self, *, me: Vm, owners: OwnerTable, own: OwnDispatcher, links: Dispatcher
+        self, *, me: Vm, owners: OwnerTable, local: LocalDispatcher, links: Dispatcher
     ) -> None:
         self._me: Final = me
         self._owners: Final = owners
-        self._own: Final = own
+        self._own: Final = local
         self._links: Final = links
         self._state = ClusterState()
         self._targets: dict[tuple[str, str], tuple[Target, ...]] = {}
@@ -112,7 +112,7 @@
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
         """Send a batch to its owner; `on_reply` is called once per attempt."""
         if vm.id == self._me.id:
-            self._own.submit_own(batch, on_reply)
+            self._own.submit_local(batch, on_reply)
             return
         self._links.submit(vm, batch, on_reply)
 
--- a/libs/dataplane/berylspindle_dataplane/search_fanout.py
+++ b/libs/dataplane/berylspindle_dataplane/search_fanout.py
@@ -29,7 +29,7 @@
 from berylspindle_decisions.coverage import AnswerVerdict, CoverageCount, decide_answer
 from berylspindle_decisions.hedging import HedgeVerdict
 from berylspindle_decisions.merge import shard_limit
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask
 from berylspindle_model.configuration import Service
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.messages import Attempt, AttemptReply, SearchAnswer, SearchRequest
@@ -315,7 +315,7 @@
         if isinstance(decision, Refusal):
             self._outcome = decision
             return self._cancel_all(now)
-        if isinstance(decision, KeepOne):
+        if isinstance(decision, KeepSnapshot):
             self._mark_lost(shard.name, Refusal(ErrorKind.SNAPSHOT_MISMATCH, reply.detail))
             return self._next_canary(now)
         return self._repin(now, shard, decision)
--- a/libs/dataplane/berylspindle_dataplane/server_meters.py
+++ b/libs/dataplane/berylspindle_dataplane/server_meters.py
@@ -42,7 +42,7 @@
     def remove_gauges(self) -> None:
         """Remove the gauges of this server."""
         for metric in self._gauges:
-            self._metrics.forget(metric, server=self._server.id)
+            self._metrics.remove(metric, server=self._server.id)
         self._gauges.clear()
 
     def on_reply(self, result: str, *, queued_ms: float, served_ms: float) -> None:
--- a/libs/dataplane/berylspindle_dataplane/server_worker.py
+++ b/libs/dataplane/berylspindle_dataplane/server_worker.py
@@ -24,8 +24,8 @@
 from berylspindle_dataplane.loss_attribution import LossAttribution
 from berylspindle_dataplane.router import refusal_reply
 from berylspindle_dataplane.server_meters import ServerMeters
-from berylspindle_dataplane.worker_tools import Queued, WorkerTools
-from berylspindle_decisions.concurrency import FailureKind, ReportState, ServerLimiter, Trust
+from berylspindle_dataplane.worker_context import QueuedAttempt, WorkerContext
+from berylspindle_decisions.concurrency import FailureKind, ReportState, ServerLimiter, WarmUpState
 from berylspindle_decisions.fair_queue import FairQueue
 from berylspindle_decisions.ownership import RightLevel
 from berylspindle_model.backend_protocol import BackendState
@@ -53,15 +53,15 @@
     """Dispatch attempts to one backend server."""
 
     def __init__(
-        self, server: Server, backend: Backend, context: WorkerTools, trust: Trust | None
+        self, server: Server, backend: Backend, context: WorkerContext, trust: WarmUpState | None
     ) -> None:
         self._server: Final = server
         self._backend: Final = backend
         self._context: Final = context
         self._limiter: Final = ServerLimiter(server.slots, server.cold_slots)
         self._limiter.on_takeover(context.now(), trust)
-        self._queue: Final[FairQueue[Queued]] = FairQueue(context.queue)
-        self._attempts_by_id: dict[str, Queued] = {}
+        self._queue: Final[FairQueue[QueuedAttempt]] = FairQueue(context.queue)
+        self._attempts_by_id: dict[str, QueuedAttempt] = {}
         self._running = 0
         self._long_running = 0
         self._loss_attribution: Final = LossAttribution(server.id, context.quarantine)
@@ -94,9 +94,9 @@
         return len(self._queue)
 
     @property
-    def trust(self) -> Trust:
+    def trust(self) -> WarmUpState:
         """Return the limiter state to pass to the next owner."""
-        return self._limiter.trust
+        return self._limiter.warm_up_state
 
     @property
     def is_draining(self) -> bool:
@@ -123,7 +123,7 @@
             queued=self.queued,
         )
 
-    def submit(self, queued: Queued) -> None:
+    def submit(self, queued: QueuedAttempt) -> None:
         """Queue one attempt; `on_reply` is called at once if the attempt is refused."""
         kind = self._current_refusal()
         if kind is not None:
@@ -140,7 +140,7 @@
             self._refuse(queued, pushed.kind, retry_after_ms=pushed.retry_after_ms)
             return
         self._attempts_by_id[queued.attempt.id] = queued
-        for victim in pushed.victims:
+        for victim in pushed.evicted:
             self._refuse(victim, ErrorKind.CALLER_OVER_SHARE)
         self._dispatch_queued()
 
@@ -289,14 +289,14 @@
             return
         self._dispatch_queued()
 
-    def _start(self, now: float, queued: Queued) -> None:
+    def _start(self, now: float, queued: QueuedAttempt) -> None:
         self._limiter.on_start(now)
         self._running += 1
         self._long_running += queued.is_long
         self._idle.clear()
         queued.task = asyncio.get_running_loop().create_task(self._run(queued, now))
 
-    async def _run(self, queued: Queued, started: float) -> None:
+    async def _run(self, queued: QueuedAttempt, started: float) -> None:
         reply: AttemptReply | None = None
         try:
             left_ms = self._context.deadlines.for_server((queued.deadline - started) * 1000)
@@ -318,7 +318,7 @@
         queued.on_reply(timed)
 
     def _end(
-        self, now: float, queued: Queued, reply: AttemptReply | None, served_ms: float
+        self, now: float, queued: QueuedAttempt, reply: AttemptReply | None, served_ms: float
     ) -> None:
         """Free the slot and record the result; `reply` is None if the attempt was cancelled."""
         del self._attempts_by_id[queued.attempt.id]
@@ -371,7 +371,7 @@
             self._refuse(queued, kind)
 
     def _refuse(
-        self, queued: Queued, kind: ErrorKind, *, retry_after_ms: int | None = None
+        self, queued: QueuedAttempt, kind: ErrorKind, *, retry_after_ms: int | None = None
     ) -> None:
         self._attempts_by_id.pop(queued.attempt.id, None)
         if queued.abandoned:
--- a/libs/dataplane/berylspindle_dataplane/service_meters.py
+++ b/libs/dataplane/berylspindle_dataplane/service_meters.py
@@ -69,7 +69,7 @@
                 self._record(EventKind.EJECTED, server)
             self._ejections = ejector.ejections
             self._ejected.add(server)
-        elif server in self._ejected and ejector.status(now, server) is EjectionStatus.IN:
+        elif server in self._ejected and ejector.status(now, server) is EjectionStatus.ACTIVE:
             self._ejected.discard(server)
             self._record(EventKind.EJECTION_ENDED, server)
 
--- a/libs/dataplane/berylspindle_dataplane/service_state.py
+++ b/libs/dataplane/berylspindle_dataplane/service_state.py
@@ -16,10 +16,10 @@
 
 import attrs
 
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine, is_connection_loss
 from berylspindle_dataplane.fanout_strategy import FanoutStrategy
 from berylspindle_dataplane.router import Router, Target
 from berylspindle_dataplane.service_meters import ServiceMeters
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine, is_connection_loss
 from berylspindle_decisions.admission import Admission, AdmissionOptions
 from berylspindle_decisions.budget import (
     BudgetOptions,
@@ -31,7 +31,7 @@
 from berylspindle_decisions.ejection import Ejector
 from berylspindle_decisions.hedging import HedgeOptions, HedgePolicy, HedgeVerdict
 from berylspindle_decisions.replica_choice import ReplicaView, choose, hedge_target
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask, SnapshotTracker
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask, SnapshotTracker
 from berylspindle_model.configuration import Service
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.messages import AttemptReply
@@ -198,7 +198,7 @@
         self,
         state: ServiceState,
         router: Router,
-        quarantine: WatchedQuarantine,
+        quarantine: EntryQuarantine,
         *,
         fingerprint: str,
         overload: OverloadSignal,
@@ -229,10 +229,10 @@
         targets = {t.server.id: t for t in self._router.targets(self._state.service.name, shard)}
         views = [self._state.view(t, local=local, now=now, pin=pin) for t in targets.values()]
         if hedge:
-            chosen = hedge_target(choose(views, now=now, u=self._random()), tried, now=now)
+            chosen = hedge_target(choose(views, now=now, uniform=self._random()), tried, now=now)
             return targets[chosen.server] if chosen is not None else None
         untried = [view for view in views if view.server not in tried]
-        order = choose(untried, now=now, u=self._random(), owners=self._owners)
+        order = choose(untried, now=now, uniform=self._random(), owners=self._owners)
         if not order:
             return None
         self._owners.add(order[0].owner)
@@ -279,7 +279,7 @@
         refused: frozenset[str],
         rounds: int,
         left_ms: float,
-    ) -> Reask | KeepOne | Refusal:
+    ) -> Reask | KeepSnapshot | Refusal:
         """Return the snapshot to query next, or how to proceed without one."""
         service = self._state.service
         usable = {
--- a/libs/dataplane/berylspindle_dataplane/shedding.py
+++ b/libs/dataplane/berylspindle_dataplane/shedding_events.py
@@ -18,7 +18,7 @@
 QUIET_SECONDS: Final = 1.0
 
 
-class Shedding:
+class SheddingEvents:
     """Record when an entry starts and stops shedding load."""
 
     def __init__(self, timeline: Timeline) -> None:
--- a/libs/dataplane/berylspindle_dataplane/worker_tools.py
+++ b/libs/dataplane/berylspindle_dataplane/worker_context.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WorkerTools:
+class WorkerContext:
     """Shared dependencies of all server workers of one VM.
 
     `quarantine` belongs to the owner: it records requests that crashed backend servers of this VM.
@@ -44,7 +44,7 @@
 
 
 @attrs.define(eq=False)
-class Queued:
+class QueuedAttempt:
     """An attempt at its owner; `deadline` and `enqueued_at` are in monotonic seconds."""
 
     attempt: Attempt
--- a/libs/decisions/berylspindle_decisions/admission.py
+++ b/libs/decisions/berylspindle_decisions/admission.py
@@ -7,7 +7,7 @@
 Terms:
   permit        the right of one request to be processed; at most `max_work` in all
   caller share  the permits that a caller may hold while permits are scarce
-  drain rate    completions per second, see `drain`
+  drain rate    completions per second, see `drain_rate`
 
 Flow: `Admission.decide` is called before any work. `Admitted` is followed by `on_start`, and later
 by exactly one `on_done`. A `Refusal` goes to the caller at once: it is final, states that the
@@ -30,7 +30,7 @@
 
 import attrs
 
-from berylspindle_decisions.drain import DrainRate
+from berylspindle_decisions.drain_rate import DrainRate
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 
 
@@ -140,12 +140,12 @@
         *,
         queued_ms: float = 0.0,
         service_ms: float = 0.0,
-        pressed: bool = False,
+        overloaded: bool = False,
     ) -> None:
         """Release the permit; raise ValueError if the caller holds none.
 
         `queued_ms` is the maximum queueing delay of its sub-requests at owners, `service_ms` the
-        service time of a sub-request at a backend server. `pressed` is set if a sub-request was
+        service time of a sub-request at a backend server. `overloaded` is set if a sub-request was
         rejected or dropped because a queue was full or the deadline too close.
         """
         held = self.held(caller)
@@ -160,7 +160,7 @@
             self._held[caller] = held - 1
         self._drain.on_done(now)
         target_ms = max(self._options.target_queue_ms, self._options.target_services * service_ms)
-        self._adapt(now, pressed or queued_ms > target_ms)
+        self._adapt(now, overloaded or queued_ms > target_ms)
 
     def _adapt(self, now: float, pressed: bool) -> None:
         if not pressed:
@@ -189,7 +189,9 @@
         return self.held(caller) >= self._share(caller)
 
     def _retry_ms(self, now: float, ahead: int) -> int:
-        return self._drain.promise_ms(now, ahead=ahead) or self._options.default_retry_ms
+        return (
+            self._drain.reserve_retry_after_ms(now, ahead=ahead) or self._options.default_retry_ms
+        )
 
 
 def _refusal(kind: ErrorKind, detail: str, retry_after_ms: int | None) -> Refusal:
--- a/libs/decisions/berylspindle_decisions/admission_controller.py
+++ b/libs/decisions/berylspindle_decisions/admission_controller.py
@@ -10,9 +10,9 @@
                   that decides whether the minimum number of parts is reached
   group           requests that compete for the same replicas
 
-Flow: `AdmissionController.admits` is called once for each request, before any sub-request is sent.
+Flow: `AdmissionController.admit` is called once for each request, before any sub-request is sent.
 The rejected share has a proportional term, the pressure of the current request, and an integral
-term, which adjusts until queues take `TARGET_PRESSURE` of the latency target. `return_after_ms` is
+term, which adjusts until queues take `TARGET_PRESSURE` of the latency target. `retry_after_ms` is
 the Retry-After of a rejected caller. Each VM decides on its own observations, without the number
 of VMs.
 
@@ -100,8 +100,8 @@
         self._policy: Final = policy
         self._states_by_group: Final[dict[str, dict[int, _PriorityState]]] = {}
 
-    def admits(self, now: float, request: AdmissionRequest, *, u: float) -> bool:
-        """Return whether to admit the request. `u` is a uniform random number in [0, 1)."""
+    def admit(self, now: float, request: AdmissionRequest, *, uniform: float) -> bool:
+        """Return whether to admit the request. `uniform` is a uniform random number in [0, 1)."""
         if not self._policy.refuses:
             return True
         states = self._states_by_group.setdefault(request.group, {})
@@ -110,7 +110,7 @@
         share = state.rejected_share
         if self._policy.urgent_first:
             share = max(share, _low_priority_share(states, request.priority, now))
-        return u >= share
+        return uniform >= share
 
 
 def _low_priority_share(states: Mapping[int, _PriorityState], priority: int, now: float) -> float:
@@ -131,37 +131,41 @@
     )
 
 
-def added_ms_of(replicas: Iterable[ReplicaHealth], now: float, *, usual_ms: float) -> float:
+def min_queueing_delay_ms(
+    replicas: Iterable[ReplicaHealth], now: float, *, usual_ms: float
+) -> float:
     """Return the queueing delay of a sub-request at the best replica, in milliseconds.
 
     Cold, paused and failing replicas are ignored, since waiting for them is not queueing. Return 0
     if no replica is left.
     """
-    sound = [replica for replica in replicas if replica.is_sound(now)]
-    idle_ms = [usual_ms * replica.pace(now) for replica in sound]
+    sound = [replica for replica in replicas if replica.is_healthy(now)]
+    idle_ms = [usual_ms * replica.slowdown(now) for replica in sound]
     loaded_ms = [
-        idle + replica.added_ms(now, usual_ms=usual_ms)
+        idle + replica.queueing_delay_ms(now, usual_ms=usual_ms)
         for idle, replica in zip(idle_ms, sound, strict=True)
     ]
     return min(loaded_ms, default=0.0) - min(idle_ms, default=0.0)
 
 
-def pressure_of(added_ms: Sequence[float], *, least: int, aim_ms: float) -> float:
+def queueing_pressure(added_ms: Sequence[float], *, min_parts: int, target_ms: float) -> float:
     """Return the pressure of a request over services with these queueing delays.
 
-    The request needs the answers of `least` services, so the `least`-th lowest delay decides.
+    The request needs the answers of `min_parts` services, so the `min_parts`-th lowest delay
+    decides.
     """
     if not added_ms:
         return 0.0
-    return sorted(added_ms)[least - 1] / max(aim_ms, 1.0)
+    return sorted(added_ms)[min_parts - 1] / max(target_ms, 1.0)
 
 
-def return_after_ms(*, added_ms: float, left_ms: float, u: float) -> float:
+def retry_after_ms(*, queueing_delay_ms: float, left_ms: float, uniform: float) -> float:
     """Return the delay in milliseconds before a rejected caller may retry.
 
-    The current queues have drained after `added_ms`. Retries are spread over the time that follows
-    by `u`, a uniform random number in [0, 1), so that callers do not return simultaneously.
+    The current queues have drained after `queueing_delay_ms`. Retries are spread over the time that
+    follows by `uniform`, a uniform random number in [0, 1), so that callers do not return
+    simultaneously.
     """
     latest = left_ms * RETRY_AFTER_MAX_SHARE
-    earliest = min(latest, max(left_ms * RETRY_AFTER_MIN_SHARE, added_ms))
-    return math.floor(earliest + (latest - earliest) * u)
+    earliest = min(latest, max(left_ms * RETRY_AFTER_MIN_SHARE, queueing_delay_ms))
+    return math.floor(earliest + (latest - earliest) * uniform)
--- a/libs/decisions/berylspindle_decisions/budget.py
+++ b/libs/decisions/berylspindle_decisions/budget.py
@@ -10,10 +10,10 @@
   free reroute    another try after a rejection that cost no backend server any work
   canary          another try of a request whose connection broke, since it may crash servers
 
-Flow: only the entry retries; owners and pools never do. `ExtraBudget.on_first` counts each first
-attempt. `RetryPolicy.decide` classifies each failed attempt as FREE, BUDGETED, CANARY or NEVER.
-Hedges use a budget of their own, so that a wave of failures can't exhaust the hedges, nor hedges
-the retries.
+Flow: only the entry retries; owners and pools never do. `ExtraBudget.on_first_attempt` counts each
+first attempt. `RetryPolicy.decide` classifies each failed attempt as FREE, BUDGETED, CANARY or
+NEVER. Hedges use a budget of their own, so that a wave of failures can't exhaust the hedges, nor
+hedges the retries.
 
 Limits: the shares are the service's policy (5% hedges, 10% retries). The reserve of 10 tokens lets
 a service retry that has just started or has few requests. A bucket holds at most 50 tokens, which
@@ -80,7 +80,7 @@
         """Return the number of additional attempts that were denied."""
         return self._denied
 
-    def on_first(self, count: int = 1) -> None:
+    def on_first_attempt(self, count: int = 1) -> None:
         """Count first attempts."""
         self._first += count
         earned = self._tokens + self._options.share * count
--- a/libs/decisions/berylspindle_decisions/concurrency.py
+++ b/libs/decisions/berylspindle_decisions/concurrency.py
@@ -27,9 +27,15 @@
 
 import attrs
 
-from berylspindle_decisions.warmup import FailureKind, ReportState, Trust, WarmUp, WarmUpOptions
+from berylspindle_decisions.warmup import (
+    FailureKind,
+    ReportState,
+    WarmUp,
+    WarmUpOptions,
+    WarmUpState,
+)
 
-__all__: Final = ["FailureKind", "LimiterOptions", "ReportState", "ServerLimiter", "Trust"]
+__all__: Final = ["FailureKind", "LimiterOptions", "ReportState", "ServerLimiter", "WarmUpState"]
 
 
 @attrs.frozen(kw_only=True)
@@ -80,7 +86,7 @@
         return self._warm_up.cold_resets
 
     @property
-    def trust(self) -> Trust:
+    def warm_up_state(self) -> WarmUpState:
         """Return the warm-up state to hand over to the next owner."""
         return self._warm_up.trust
 
@@ -130,7 +136,7 @@
         del now
         self._end()
 
-    def on_lost(self, now: float, kind: FailureKind) -> None:
+    def on_connection_failure(self, now: float, kind: FailureKind) -> None:
         """Record a failure without an attempt: a broken idle connection or failed probe."""
         self._warm_up.on_failure(now, kind)
 
@@ -149,7 +155,7 @@
         self._max_in_flight = self._in_flight
         self._external_until = now + self._options.foreign_s
 
-    def on_takeover(self, now: float, trust: Trust | None = None) -> None:
+    def on_takeover(self, now: float, trust: WarmUpState | None = None) -> None:
         """Start as the new owner: at the cold cap, unless warm-up state was handed over."""
         self._warm_up.on_takeover(now, trust)
 
--- a/libs/decisions/berylspindle_decisions/drain.py
+++ b/libs/decisions/berylspindle_decisions/drain_rate.py
@@ -8,7 +8,7 @@
   reservation  the time at which a refused request should be retried; each refusal gets its own
 
 Flow: `DrainRate.on_done` records finished work; `wait_ms` converts the work ahead into a time, and
-`promise_ms` reserves a retry time for each refused request.
+`reserve_retry_after_ms` reserves a retry time for each refused request.
 
 Thresholds: the rate covers the last 32 completions, as queues hold some dozens of requests and an
 older rate doesn't apply to a server that has just become slow. The time since the last completion
@@ -55,7 +55,9 @@
         span += max(0.0, idle - gap)
         return work / span if span > 0 else None
 
-    def promise_ms(self, now: float, *, ahead: float = 1.0, work: float = 1.0) -> int | None:
+    def reserve_retry_after_ms(
+        self, now: float, *, ahead: float = 1.0, work: float = 1.0
+    ) -> int | None:
         """Reserve a retry time for refused work; return the milliseconds until then.
 
         `ahead` is the work that must finish until there is room for `work`. Each reservation
--- a/libs/decisions/berylspindle_decisions/ejection.py
+++ b/libs/decisions/berylspindle_decisions/ejection.py
@@ -32,7 +32,7 @@
 class EjectionStatus(enum.Enum):
     """Whether a server gets traffic."""
 
-    IN = "in"
+    ACTIVE = "in"
     PROBATION = "probation"
     EJECTED = "ejected"
 
@@ -71,7 +71,7 @@
 @attrs.define(kw_only=True)
 class _Record:
     group: str
-    status: EjectionStatus = EjectionStatus.IN
+    status: EjectionStatus = EjectionStatus.ACTIVE
     latency_ms: float | None = None
     answers: int = 0
     failures: int = 0
@@ -119,7 +119,7 @@
         """Return the status of a server; the end of an ejection starts the probation."""
         record = self._records.get(server)
         if record is None:
-            return EjectionStatus.IN
+            return EjectionStatus.ACTIVE
         if record.status is EjectionStatus.EJECTED and now >= record.ejected_until:
             record.status = EjectionStatus.PROBATION
             record.successful_trials = 0
@@ -131,7 +131,7 @@
         status = self.status(now, server)
         if status is EjectionStatus.PROBATION:
             return now >= self._records[server].next_trial_at
-        return status is EjectionStatus.IN
+        return status is EjectionStatus.ACTIVE
 
     def on_use(self, now: float, server: str) -> None:
         """Record that a server gets a sub-request; in probation it is the trial for `trial_s`."""
@@ -195,14 +195,14 @@
         record.successful_trials += 1
         if record.successful_trials < self._options.trials:
             return
-        record.status = EjectionStatus.IN
+        record.status = EjectionStatus.ACTIVE
         record.returned_at = now
         record.answers = 0
         # The old smoothed latency caused the ejection and would cause the next one at once.
         record.latency_ms = latency_ms
 
     def _is_outlier(self, server: str, record: _Record) -> bool:
-        if record.status is not EjectionStatus.IN or record.answers < self._options.min_answers:
+        if record.status is not EjectionStatus.ACTIVE or record.answers < self._options.min_answers:
             return False
         if record.latency_ms is None:
             return False
@@ -237,9 +237,9 @@
     def _may_eject(self, server: str, record: _Record) -> bool:
         if record.status is EjectionStatus.PROBATION:
             return True  # It counts as ejected already.
-        ejected = sum(1 for r in self._records.values() if r.status is not EjectionStatus.IN)
+        ejected = sum(1 for r in self._records.values() if r.status is not EjectionStatus.ACTIVE)
         if ejected + 1 > self._options.max_share * len(self._records):
             return False
         # Without its last replica a shard is missing from every result; a bad replica is better.
         others = (self._records[n] for n in self._groups[record.group] if n != server)
-        return any(other.status is EjectionStatus.IN for other in others)
+        return any(other.status is EjectionStatus.ACTIVE for other in others)
--- a/libs/decisions/berylspindle_decisions/fair_queue.py
+++ b/libs/decisions/berylspindle_decisions/fair_queue.py
@@ -27,7 +27,7 @@
 
 import attrs
 
-from berylspindle_decisions.drain import DrainRate
+from berylspindle_decisions.drain_rate import DrainRate
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 
 T = TypeVar("T")
@@ -50,9 +50,9 @@
 
 @attrs.frozen(kw_only=True)
 class Pushed(Generic[T]):
-    """The entry was queued; `victims` were evicted for it."""
+    """The entry was queued; `evicted` were evicted for it."""
 
-    victims: tuple[T, ...] = ()
+    evicted: tuple[T, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
@@ -124,7 +124,7 @@
             self._remove_entry(victim)
             victims = (victim.item,)
         self._insert(item, caller=caller, deadline=deadline, cost=cost)
-        return Pushed(victims=victims)
+        return Pushed(evicted=victims)
 
     def pop(
         self, now: float, *, expected_service: float, long_running: int = 0, slots: int = 2
@@ -250,7 +250,7 @@
         own_cost = queue.cost if queue is not None else 0.0
         over_share = active > 1 and own_cost + cost > self.cost / active
         kind = ErrorKind.CALLER_OVER_SHARE if over_share else ErrorKind.OVERLOADED
-        retry_ms = self._drain.promise_ms(now, ahead=cost, work=cost)
+        retry_ms = self._drain.reserve_retry_after_ms(now, ahead=cost, work=cost)
         return Refusal(
             kind, "the queue is full", RunState.NOT_RUN, retry_ms or self._options.default_retry_ms
         )
--- a/libs/decisions/berylspindle_decisions/follower_count.py
+++ b/libs/decisions/berylspindle_decisions/follower_count.py
@@ -6,8 +6,8 @@
 Terms:
   follower  a VM that reads this one's mirror and has no entry of its own
 
-Flow: `seen` records each read; `count` is the number for this VM's entry, and `is_due` returns
-whether the entry has to be written again.
+Flow: `on_read` records each read; `count` is the number for this VM's entry, and `needs_write`
+returns whether the entry has to be written again.
 
 Thresholds: a follower reads once a second, and expires after `FOLLOWER_TIMEOUT_S`. Cluster-wide
 limits are divided by the count, so it rises at once but falls only after `DECREASE_DELAY_S`: a
@@ -35,13 +35,13 @@
         self._floor_capacity = math.inf
         self._floor_until = -math.inf
 
-    def seen(self, now: float, follower: str, *, bears: float) -> None:
-        """Record that a follower with capacity `bears` has read this VM's mirror."""
-        self._followers[follower] = (now, bears)
+    def on_read(self, now: float, follower: str, *, capacity: float) -> None:
+        """Record that a follower with capacity `capacity` has read this VM's mirror."""
+        self._followers[follower] = (now, capacity)
 
-    def restore(self, now: float, count: int, *, bears: float) -> None:
+    def restore(self, now: float, count: int, *, capacity: float) -> None:
         """Restore the count, and the lowest capacity, of the previous process of this VM."""
-        self._set_floor(now, count, bears)
+        self._set_floor(now, count, capacity)
 
     def count(self, now: float) -> int:
         """Return the number of followers, or the highest one within `DECREASE_DELAY_S`."""
@@ -55,11 +55,11 @@
             self._set_floor(now, len(self._followers), lowest)
         return self._floor
 
-    def least_bears(self) -> float:
+    def min_capacity(self) -> float:
         """Return the lowest capacity of a follower in cores; 0 without followers."""
         return 0.0 if math.isinf(self._floor_capacity) else self._floor_capacity
 
-    def is_due(self, now: float, written: int) -> bool:
+    def needs_write(self, now: float, written: int) -> bool:
         """Return whether an entry with the count `written` has to be written again."""
         return abs(self.count(now) - written) > MIN_RELATIVE_CHANGE * written
 
--- a/libs/decisions/berylspindle_decisions/forward_policy.py
+++ b/libs/decisions/berylspindle_decisions/forward_policy.py
@@ -3,8 +3,8 @@
 Terms:
   switch   a mechanism that can be disabled, so that its effect can be determined
 
-Flow: the daemon parses `POLICY_VARIABLE` once at its start with `read_policy` and passes the result
-to the decisions; each switch is read in one place. Trials set the fields directly.
+Flow: the daemon parses `POLICY_VARIABLE` once at its start with `parse_policy` and passes the
+result to the decisions; each switch is read in one place. Trials set the fields directly.
 
 Disabling a switch breaks no guarantee: there are no switches for the limits on attempts, the cold
 caps and the rule that some requests are never sent twice.
@@ -56,7 +56,7 @@
     wait_for_replica: bool = True
 
 
-def read_policy(text: str) -> ForwardPolicy:
+def parse_policy(text: str) -> ForwardPolicy:
     """Parse a setting such as "hedges=off, relays=off".
 
     Raise ValueError for an unknown name or value, with a list of the known names.
@@ -73,6 +73,6 @@
     return ForwardPolicy(**changes)
 
 
-def switched_off(policy: ForwardPolicy) -> tuple[str, ...]:
+def disabled_switches(policy: ForwardPolicy) -> tuple[str, ...]:
     """Return the names of the disabled switches."""
     return tuple(name for name, is_on in attrs.asdict(policy).items() if not is_on)
--- a/libs/decisions/berylspindle_decisions/guarding.py
+++ b/libs/decisions/berylspindle_decisions/guarding.py
@@ -183,7 +183,7 @@
         if ward is not None:
             ward.indirect_timeout_at = now
 
-    def withdraw(self, vm_id: str) -> None:
+    def resume_confirmations(self, vm_id: str) -> None:
         """Resume confirmations to a ward; its removal must be known to have had no effect."""
         ward = self._wards.get(vm_id)
         if ward is not None:
--- a/libs/decisions/berylspindle_decisions/hedged_request.py
+++ b/libs/decisions/berylspindle_decisions/hedged_request.py
@@ -34,7 +34,7 @@
 HEDGE_RETRY_INTERVAL_S: Final = 0.01
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Outcome of an attempt that has ended.
 
     NOT_SENT: no byte left this VM, so the attempt does not count as an arrival. NOT_RUN: the
@@ -51,8 +51,8 @@
     """State of a request at one service."""
 
     OPEN = "open"
-    WON = "won"
-    LOST = "lost"
+    ANSWERED = "won"
+    FAILED = "lost"
 
 
 @attrs.frozen
@@ -70,23 +70,23 @@
     time: float
 
 
-class LossReason(enum.StrEnum):
+class GiveUpReason(enum.StrEnum):
     """Why a request ends without an answer."""
 
     ALL_FAILED = "every attempt that is allowed has failed"
     DEADLINE_PASSED = "the deadline passed"
     NO_REPLICA = "no replica is usable"
-    EXTRA_SPENT = "the extra share is spent"
+    RETRY_BUDGET_EXHAUSTED = "the extra share is spent"
 
 
 @attrs.frozen
 class GiveUp:
     """End the request without an answer."""
 
-    reason: LossReason
+    reason: GiveUpReason
 
 
-_NOT_RUN_OUTCOMES: Final = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN})
+_NOT_RUN_OUTCOMES: Final = frozenset({AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_RUN})
 
 RequestStep = SendTo | WaitUntil | GiveUp
 
@@ -95,18 +95,18 @@
     """Replica selection and retry budget for the attempts of a request."""
 
     @abc.abstractmethod
-    def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
+    def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         """Return a replica that is not in `tried`, or None if none is usable.
 
         For a hedge, return only a replica that is expected to answer before a stalled one.
         """
 
     @abc.abstractmethod
-    def may_take_extra(self, service: str, *, hedge: bool) -> bool:
+    def acquire_extra(self, service: str, *, hedge: bool) -> bool:
         """Spend retry budget on one more attempt; return False if there is none left."""
 
     @abc.abstractmethod
-    def hedge_after(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         """Return the delay in seconds before an attempt that is sent now is hedged."""
 
 
@@ -117,7 +117,7 @@
     replica: str
     sent_at: float
     hedge_at: float
-    end: AttemptEnd | None = None
+    end: AttemptOutcome | None = None
     in_flight: bool = True
 
     @property
@@ -134,16 +134,16 @@
         service: str,
         *,
         repeatable: bool,
-        most_runs: int,
-        wait_until: float,
+        max_runs: int,
+        no_replica_deadline: float,
         deadline: float,
     ) -> None:
         self.service: Final = service
         self.state = RequestState.OPEN
         self.attempts: list[AttemptRecord] = []
         self._repeatable: Final = repeatable
-        self._max_runs: Final = most_runs
-        self._no_replica_deadline: Final = wait_until
+        self._max_runs: Final = max_runs
+        self._no_replica_deadline: Final = no_replica_deadline
         self._deadline: Final = deadline
         self._not_before = -math.inf
         self._refusal_backoff = REFUSAL_BACKOFF_MIN_S
@@ -164,32 +164,34 @@
         if in_flight:
             return self._step_hedge(now, policy, runs)
         if runs >= self._max_runs or (runs and not self._repeatable):
-            return self._give_up(LossReason.ALL_FAILED)
+            return self._give_up(GiveUpReason.ALL_FAILED)
         if now >= self._deadline:
-            return self._give_up(LossReason.DEADLINE_PASSED)
+            return self._give_up(GiveUpReason.DEADLINE_PASSED)
         if now < self._not_before:
             return WaitUntil(min(self._not_before, self._deadline))
         return self._step_retry(now, policy)
 
-    def sent(self, now: float, replica: str, policy: AttemptPolicy) -> AttemptRecord:
+    def on_sent(self, now: float, replica: str, policy: AttemptPolicy) -> AttemptRecord:
         """Record an attempt that is sent now."""
-        hedge_at = now + policy.hedge_after(self.service)
+        hedge_at = now + policy.hedge_delay_s(self.service)
         attempt = AttemptRecord(replica, now, hedge_at)
         self.attempts.append(attempt)
         self._hedge_at = hedge_at
         return attempt
 
-    def answered(self, attempt: AttemptRecord) -> None:
+    def on_answer(self, attempt: AttemptRecord) -> None:
         """Record the answer, which completes the request."""
         attempt.in_flight = False
-        attempt.end = AttemptEnd.RAN
-        self.state = RequestState.WON
+        attempt.end = AttemptOutcome.RAN
+        self.state = RequestState.ANSWERED
 
-    def ended(self, now: float, attempt: AttemptRecord, end: AttemptEnd, *, refused: bool) -> None:
+    def on_failure(
+        self, now: float, attempt: AttemptRecord, end: AttemptOutcome, *, refused: bool
+    ) -> None:
         """Record an attempt without an answer; `refused` if the replica rejected it."""
         attempt.in_flight = False
         attempt.end = end
-        if end is AttemptEnd.NOT_SENT:
+        if end is AttemptOutcome.NOT_SENT:
             self._reconnect_at = now + self._reconnect_backoff
         if not refused or any(other.in_flight for other in self.attempts):
             return
@@ -207,8 +209,8 @@
         if now < self._hedge_at:
             return WaitUntil(min(self._hedge_at, self._deadline))
         tried = frozenset(attempt.replica for attempt in self.attempts)
-        replica = policy.pick(self.service, tried=tried, hedge=True)
-        if replica is None or not policy.may_take_extra(self.service, hedge=True):
+        replica = policy.pick_replica(self.service, tried=tried, hedge=True)
+        if replica is None or not policy.acquire_extra(self.service, hedge=True):
             self._hedge_at = now + HEDGE_RETRY_INTERVAL_S
             return WaitUntil(min(self._hedge_at, self._deadline))
         return SendTo(replica, "hedge")
@@ -216,29 +218,29 @@
     def _step_retry(self, now: float, policy: AttemptPolicy) -> RequestStep:
         used = frozenset(attempt.replica for attempt in self.attempts if attempt.counts_as_run)
         tried = frozenset(attempt.replica for attempt in self.attempts)
-        replica = policy.pick(self.service, tried=tried, hedge=False)
+        replica = policy.pick_replica(self.service, tried=tried, hedge=False)
         if replica is None and tried != used:
             # Only replicas that refused or could not be reached are left.
             if now < self._reconnect_at:
                 return WaitUntil(min(self._reconnect_at, self._deadline))
-            replica = policy.pick(self.service, tried=used, hedge=False)
+            replica = policy.pick_replica(self.service, tried=used, hedge=False)
             self._reconnect_backoff = min(REFUSAL_BACKOFF_MAX_S, 2 * self._reconnect_backoff)
         if replica is None:
             if now >= self._no_replica_deadline:
-                return self._give_up(LossReason.NO_REPLICA)
+                return self._give_up(GiveUpReason.NO_REPLICA)
             self._not_before = now + RETRY_POLL_INTERVAL_S
             return WaitUntil(min(self._not_before, self._deadline))
-        if all(attempt.end is AttemptEnd.NOT_SENT for attempt in self.attempts):
+        if all(attempt.end is AttemptOutcome.NOT_SENT for attempt in self.attempts):
             return SendTo(replica, "first")
-        if not policy.may_take_extra(self.service, hedge=False):
+        if not policy.acquire_extra(self.service, hedge=False):
             self._budget_denied_since = min(self._budget_denied_since, now)
             if now - self._budget_denied_since >= BUDGET_WAIT_MAX_S:
-                return self._give_up(LossReason.EXTRA_SPENT)
+                return self._give_up(GiveUpReason.RETRY_BUDGET_EXHAUSTED)
             self._not_before = now + RETRY_POLL_INTERVAL_S
             return WaitUntil(min(self._not_before, self._deadline))
         self._budget_denied_since = math.inf
         return SendTo(replica, "retry")
 
-    def _give_up(self, reason: LossReason) -> GiveUp:
-        self.state = RequestState.LOST
+    def _give_up(self, reason: GiveUpReason) -> GiveUp:
+        self.state = RequestState.FAILED
         return GiveUp(reason)
--- a/libs/decisions/berylspindle_decisions/hedging.py
+++ b/libs/decisions/berylspindle_decisions/hedging.py
@@ -139,9 +139,9 @@
         expected = self._options.share * self._options.recent
         return self._over_delay_count > self._options.saturated_factor * expected
 
-    def on_first(self, count: int = 1) -> None:
+    def on_first_attempt(self, count: int = 1) -> None:
         """Count first attempts, which earn tokens for hedges."""
-        self._budget.on_first(count)
+        self._budget.on_first_attempt(count)
 
     def observe(self, now: float, latency_ms: float, *, queued_ms: float = 0.0) -> None:
         """Record latency and queueing delay at the owner of an answered first attempt."""
--- a/libs/decisions/berylspindle_decisions/latency_profile.py
+++ b/libs/decisions/berylspindle_decisions/latency_profile.py
@@ -38,7 +38,7 @@
         self._added_since_clear = 0
 
     @property
-    def known(self) -> bool:
+    def has_enough_samples(self) -> bool:
         """Return whether there are enough latencies for a quantile."""
         return self._total >= MIN_SAMPLES
 
@@ -62,7 +62,7 @@
         if cached is not None:
             return cached
         value = self._compute_quantile(share)
-        if self.known:
+        if self.has_enough_samples:
             self._cache[share] = value
         return value
 
--- a/libs/decisions/berylspindle_decisions/load_estimate.py
+++ b/libs/decisions/berylspindle_decisions/load_estimate.py
@@ -9,9 +9,9 @@
   report   running and queued requests of all VMs, sent with an answer
   mean     moving average of the others' requests
 
-Flow: `LoadEstimate.reported` records each report together with the VM's own attempts, `at` returns
-the estimate for each replica selection. It decays from the last report to the mean, and is zero for
-a replica without reports.
+Flow: `LoadEstimate.on_report` records each report together with the VM's own attempts, `estimate`
+returns the estimate for each replica selection. It decays from the last report to the mean, and is
+zero for a replica without reports.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 class LoadEstimate:
     """Estimated requests of other VMs at one replica; times are in seconds of one clock."""
 
-    def __init__(self, *, minds_mean: bool = True) -> None:
-        """Create an estimate; without `minds_mean` only the last report counts."""
-        self._use_mean: Final = minds_mean
+    def __init__(self, *, use_mean: bool = True) -> None:
+        """Create an estimate; without `use_mean` only the last report counts."""
+        self._use_mean: Final = use_mean
         self._last = 0.0
         self._mean = 0.0
         self._reported_at = -math.inf
 
-    def reported(self, now: float, *, total: int, own: int) -> None:
+    def on_report(self, now: float, *, total: int, own: int) -> None:
         """Record a report of `total` requests at the replica, `own` of them this VM's."""
         others = float(max(0, total - own))
         weight = 1.0 - math.exp(-max(0.0, now - self._reported_at) / MEAN_WINDOW_S)
@@ -47,7 +47,7 @@
         self._last = others
         self._reported_at = now
 
-    def at(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the estimated number of other VMs' requests."""
         age = max(0.0, now - self._reported_at)
         if age > 4 * ESTIMATE_DECAY_S:
--- a/libs/decisions/berylspindle_decisions/log_rate_limiter.py
+++ b/libs/decisions/berylspindle_decisions/log_rate_limiter.py
@@ -8,7 +8,7 @@
           another's
   burst   lines that may be written at once after an idle period
 
-Flow: `LogRateLimiter.may_write` is called before a line is created. Suppressed lines are counted,
+Flow: `LogRateLimiter.allow` is called before a line is created. Suppressed lines are counted,
 and the next line of the kind states their number.
 """
 
@@ -29,7 +29,7 @@
     LATE = "late"
     HEDGED = "hedged"
     SAMPLE = "sample"
-    BELIEF = "belief"
+    SUSPICION = "belief"
 
 
 @attrs.frozen
@@ -46,7 +46,7 @@
     LineKind.LATE: LineRate(20.0, 60.0),
     LineKind.HEDGED: LineRate(4.0, 8.0),
     LineKind.SAMPLE: LineRate(0.1, 1.0),
-    LineKind.BELIEF: LineRate(4.0, 40.0),
+    LineKind.SUSPICION: LineRate(4.0, 40.0),
 }
 
 
@@ -64,7 +64,7 @@
     def __init__(self, rates: Mapping[LineKind, LineRate] = RATES) -> None:
         self._buckets: Final = {kind: _Bucket(rate, rate.burst) for kind, rate in rates.items()}
 
-    def may_write(self, now: float, kind: LineKind) -> bool:
+    def allow(self, now: float, kind: LineKind) -> bool:
         """Return whether a line of this kind may be written; True consumes a token."""
         bucket = self._buckets[kind]
         refill = (now - bucket.updated_at) * bucket.rate.per_second
@@ -76,7 +76,7 @@
         bucket.tokens -= 1.0
         return True
 
-    def left_out(self, kind: LineKind) -> int:
+    def take_suppressed_count(self, kind: LineKind) -> int:
         """Return the number of suppressed lines of a kind since the last call."""
         bucket = self._buckets[kind]
         count, bucket.suppressed = bucket.suppressed, 0
--- a/libs/decisions/berylspindle_decisions/loss_reports.py
+++ b/libs/decisions/berylspindle_decisions/loss_reports.py
@@ -8,8 +8,9 @@
   loss    an attempt whose connection closed, or whose response was malformed, after it was sent
   report  replicas with the ages of their last losses, exchanged between VMs
 
-Flow: `lost` records this VM's own losses and `merge` the reports of others; `report` returns this
-VM's report. `is_lossy` is read when a replica is chosen for a request that must not be repeated.
+Flow: `on_loss` records this VM's own losses and `merge` the reports of others; `report` returns
+this VM's report. `is_lossy` is read when a replica is chosen for a request that must not be
+repeated.
 
 Thresholds: a loss counts for `LOSS_TTL_S`, the usual duration of such failures; a healthy replica
 that lost a single response gets its share of requests again after that. A report holds the latest
@@ -31,7 +32,7 @@
     def __init__(self) -> None:
         self._lost_at: dict[str, float] = {}
 
-    def lost(self, now: float, replica: str) -> None:
+    def on_loss(self, now: float, replica: str) -> None:
         """Record a loss by this VM."""
         self._lost_at[replica] = now
 
--- a/libs/decisions/berylspindle_decisions/membership.py
+++ b/libs/decisions/berylspindle_decisions/membership.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Send:
+class OutgoingMessage:
     """A message to send to an address."""
 
     to: Address
@@ -116,7 +116,7 @@
         elif old is None or not old.members:
             self._suspicions.record_contact(view.data_centre, now)
 
-    def peers(self, count: int) -> tuple[Vm, ...]:
+    def gossip_peers(self, count: int) -> tuple[Vm, ...]:
         """Return random VMs to gossip to: most of this data centre, at least one of another."""
         near = self._others(self._me.data_centre)
         elsewhere = (name for name in self._views if name != self._me.data_centre)
@@ -124,20 +124,20 @@
         chosen = self._sample(near, count - 1)
         return (*chosen, *self._sample(far, count - len(chosen)))
 
-    def unlisted(self, vm_ids: Iterable[str]) -> None:
+    def set_unlisted(self, vm_ids: Iterable[str]) -> None:
         """Set which of the orphans are missing from the VM list."""
         self._unlisted = frozenset(vm_ids)
 
-    def leave(self) -> list[Send]:
+    def stop_guarding(self) -> list[OutgoingMessage]:
         """Stop guarding; return the messages that announce it, as no proposal follows them."""
         self._leaving = True
         return [self._ping(vm, NOT_CONFIRMED) for vm in self._wards.vms]
 
-    def probes(self, vms: Iterable[Vm]) -> list[Send]:
+    def probes(self, vms: Iterable[Vm]) -> list[OutgoingMessage]:
         """Return one probe for each of these VMs."""
         return [self._ping(vm, NOT_CONFIRMED) for vm in vms]
 
-    def tick(self, now: float) -> tuple[list[Send], list[Removal]]:
+    def tick(self, now: float) -> tuple[list[OutgoingMessage], list[Removal]]:
         """Return the messages due and the removals to propose; called ten times a second."""
         last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._limits.stall:
@@ -152,7 +152,7 @@
         sends.extend(self._cross_probe(now))
         return sends, removals
 
-    def on_ping(self, ping: Ping, source: Address, now: float) -> Send:
+    def on_ping(self, ping: Ping, source: Address, now: float) -> OutgoingMessage:
         """Return the answer to a probe, and apply the confirmation that the probe may carry."""
         sent_at = self._answer_sent_at.setdefault(ping.sender, {})
         if ping.resigns:
@@ -165,7 +165,7 @@
             del sent_at[old]
         self._record_alive(ping.sender, ping.incarnation, now)
         view = self._ownership.view
-        return Send(
+        return OutgoingMessage(
             source,
             Ack(
                 self._me.id,
@@ -177,7 +177,7 @@
             ),
         )
 
-    def on_ack(self, ack: Ack, now: float) -> list[Send]:
+    def on_ack(self, ack: Ack, now: float) -> list[OutgoingMessage]:
         """Handle the answer to a direct or an indirect probe of this VM."""
         self._record_alive(ack.sender, ack.incarnation, now)
         self._ownership.on_epoch_ack(ack.sender, ack.epoch, ack.settling_ms / 1000, now)
@@ -187,9 +187,11 @@
         if probe is None or probe.target != ack.sender:
             return []
         reached = Reached(self._me.id, ack.sender, ack.epoch, ack.incarnation, ack.settling_ms)
-        return [Send(probe.requester, reached)]
+        return [OutgoingMessage(probe.requester, reached)]
 
-    def on_request(self, request: PingRequest, source: Address, now: float) -> list[Send]:
+    def on_ping_request(
+        self, request: PingRequest, source: Address, now: float
+    ) -> list[OutgoingMessage]:
         """Start an indirect probe of a VM that left a guardian's probes unanswered."""
         target = self._vms.get(request.target)
         if target is None:
@@ -200,25 +202,25 @@
         )
         return [send]
 
-    def on_reached(self, reached: Reached, now: float) -> None:
+    def on_indirect_success(self, reached: Reached, now: float) -> None:
         """Record that an indirect probe of a VM was answered."""
         self._suspicions.record_alive(reached.target, reached.incarnation)
         self._ownership.on_epoch_ack(reached.target, reached.epoch, reached.settling_ms / 1000, now)
         self._wards.on_alive(reached.target, reached.epoch, now)
 
-    def on_missed(self, missed: Missed, now: float) -> None:
+    def on_indirect_timeout(self, missed: Missed, now: float) -> None:
         """Record that an indirect probe of a VM also timed out."""
         self._wards.on_indirect_timeout(missed.target, now)
 
-    def _probe(self, now: float) -> list[Send]:
-        sends: list[Send] = []
+    def _probe(self, now: float) -> list[OutgoingMessage]:
+        sends: list[OutgoingMessage] = []
         for probe in self._wards.due(now):
             sends.append(self._ping(probe.vm, probe.confirms))
             self._wards.on_sent(probe.vm.id, self._number, now)
         for ward in self._wards.due_for_helpers(now):
             for helper in self._helpers(ward):
                 request = PingRequest(self._me.id, ward.id, self._number)
-                sends.append(Send((helper.host, helper.peer_port), request))
+                sends.append(OutgoingMessage((helper.host, helper.peer_port), request))
         return sends
 
     def _evaluate_wards(self, now: float) -> list[Removal]:
@@ -233,7 +235,7 @@
         if vm is not None:
             self._suspicions.record_contact(vm.data_centre, now)
 
-    def _ping(self, vm: Vm, confirms: int) -> Send:
+    def _ping(self, vm: Vm, confirms: int) -> OutgoingMessage:
         self._number += 1
         view = self._views.get(vm.data_centre)
         ping = Ping(
@@ -245,23 +247,25 @@
             self._leaving,
             self._digest(vm.id),
         )
-        return Send((vm.host, vm.peer_port), ping)
+        return OutgoingMessage((vm.host, vm.peer_port), ping)
 
-    def _expired_indirect_probes(self, now: float) -> list[Send]:
+    def _expired_indirect_probes(self, now: float) -> list[OutgoingMessage]:
         expired = [
             number for number, probe in self._indirect_probes.items() if probe.deadline < now
         ]
         probes = [self._indirect_probes.pop(number) for number in expired]
-        return [Send(probe.requester, Missed(self._me.id, probe.target)) for probe in probes]
+        return [
+            OutgoingMessage(probe.requester, Missed(self._me.id, probe.target)) for probe in probes
+        ]
 
-    def _probe_awaited(self, now: float) -> list[Send]:
+    def _probe_awaited(self, now: float) -> list[OutgoingMessage]:
         # A VM that joined probes the earlier members until they acknowledge its epoch, and sends
         # indirect probes as well, in case only its own link to one of them is broken.
-        if now < self._probe_awaited_at or not self._ownership.awaited:
+        if now < self._probe_awaited_at or not self._ownership.awaited_members:
             return []
         self._probe_awaited_at = now + self._limits.retry
-        sends: list[Send] = []
-        for name in sorted(self._ownership.awaited):
+        sends: list[OutgoingMessage] = []
+        for name in sorted(self._ownership.awaited_members):
             vm = self._vms.get(name)
             if vm is None:
                 continue
@@ -269,10 +273,10 @@
             for helper in guardians_of(self._views[vm.data_centre], name, 1):
                 request = PingRequest(self._me.id, name, self._number)
                 if helper.id != self._me.id:
-                    sends.append(Send((helper.host, helper.peer_port), request))
+                    sends.append(OutgoingMessage((helper.host, helper.peer_port), request))
         return sends
 
-    def _cross_probe(self, now: float) -> list[Send]:
+    def _cross_probe(self, now: float) -> list[OutgoingMessage]:
         # The members share the cross probes: the more there are, the fewer each of them sends.
         if now < self._cross_probe_at:
             return []
@@ -284,7 +288,7 @@
             # No guardian probes a VM before it has joined; its own probes bring it the state.
             others.append(self._me.data_centre)
         count = math.ceil(len(others) / max(1, members))
-        sends: list[Send] = []
+        sends: list[OutgoingMessage] = []
         start = self._pick(len(others)) if others else 0
         for step in range(min(count, len(others))):
             name = others[(start + step) % len(others)]
--- a/libs/decisions/berylspindle_decisions/ownership.py
+++ b/libs/decisions/berylspindle_decisions/ownership.py
@@ -124,7 +124,7 @@
         return max(self._store_until, min(required, default=_NEVER))
 
     @property
-    def awaited(self) -> frozenset[str]:
+    def awaited_members(self) -> frozenset[str]:
         """Return the earlier members that haven't acknowledged the epoch of this VM's join."""
         return frozenset(self._awaited)
 
@@ -163,14 +163,14 @@
         """Stop requiring a guardian that leaves; it never proposes a removal after that."""
         self._resigned.add(guardian)
 
-    def store_confirmed(self, epoch: int, sent_at: float) -> None:
+    def on_store_confirmation(self, epoch: int, sent_at: float) -> None:
         """Renew the lease from the send time of a read that found this epoch in the store."""
         if self._view is None or epoch != self._view.epoch or not self.is_member:
             return
         self._store_until = max(self._store_until, sent_at + self._limits.lease)
         self._degraded_until = _NEVER
 
-    def store_failed(self, sent_at: float, now: float) -> None:
+    def on_store_failure(self, sent_at: float, now: float) -> None:
         """Record a failed read; one sent after the end of the lease shows that this VM is isolated.
 
         A VM that resumes after a pause has an expired lease too, and most likely was replaced
@@ -198,7 +198,7 @@
             return self._limits.settle
         return max(0.0, self._settle_at - now)
 
-    def wants_store(self, now: float) -> bool:
+    def needs_store_confirmation(self, now: float) -> bool:
         """Return whether to ask the store for a confirmation, since a guardian's is missing."""
         return self.is_member and self.lease_until - now < self._limits.ask_store
 
--- a/libs/decisions/berylspindle_decisions/plans.py
+++ b/libs/decisions/berylspindle_decisions/plans.py
@@ -33,8 +33,8 @@
     ServerState,
     Service,
 )
+from berylspindle_model.configuration_checks import find_faults
 from berylspindle_model.errors import ErrorKind, refuse
-from berylspindle_model.faults import faults_of
 from berylspindle_model.intents import Intent, IntentKind, Plan, PlanStep, ServiceLoad
 
 # Records resolve lost replies and show who changed what; at 4,100 changes a day, 256 records cover
@@ -183,7 +183,7 @@
 
 def _require_faultless(target: Configuration) -> None:
     # Revision 0 is the valid base of the first configuration, but not a valid revision itself.
-    faults = faults_of(attrs.evolve(target, revision=max(1, target.revision)))
+    faults = find_faults(attrs.evolve(target, revision=max(1, target.revision)))
     if faults:
         described = "; ".join(f"{fault.path}: {fault.text}" for fault in faults)
         raise refuse(ErrorKind.INVALID_CONFIGURATION, described)
--- a/libs/decisions/berylspindle_decisions/propagation.py
+++ b/libs/decisions/berylspindle_decisions/propagation.py
@@ -49,7 +49,7 @@
         return self.configuration or bool(self.views)
 
 
-class Knowledge:
+class KnownState:
     """The configuration and the views known to one VM; revisions and epochs only grow."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
             self._mark = (sum(view.epoch for view in self._views.values()), mark)
         return Digest(self.revision, *self._mark)
 
-    def lacks(self, other: Digest) -> bool:
+    def is_behind(self, other: Digest) -> bool:
         """Return whether the sender of a digest has state that this VM lacks."""
         mine = self.digest()
         if other.revision > mine.revision or other.epochs > mine.epochs:
