--- a/libs/decisions/berylspindle_decisions/quarantine.py
+++ b/libs/decisions/berylspindle_decisions/quarantine.py
@@ -13,9 +13,9 @@
   known good    a fingerprint that succeeded recently
   alert         the time after any strike in which first-seen fingerprints run as canaries too
 
-Flow: `decide` is called before a scatter-gather; `on_lost`, `on_success` and `on_unsettled` after
-attempts; `export` and `merge` exchange records between VMs, with remaining times, since clocks
-differ.
+Flow: `decide` is called before a scatter-gather; `on_connection_lost`, `on_success` and
+`on_inconclusive` after attempts; `export` and `merge` exchange records between VMs, with remaining
+times, since clocks differ.
 
 Thresholds: a scatter-gather gets strikes on all shards at once, and so do all other requests in
 flight on these servers. Attempts dispatched before the first strike therefore only make a suspect;
@@ -47,7 +47,7 @@
 _TOLERANCE: Final = 1e-9
 
 
-class FirstSeen(enum.StrEnum):
+class FirstSeenPolicy(enum.StrEnum):
     """When fingerprints without a known success run as canaries."""
 
     NEVER = "never"
@@ -55,7 +55,7 @@
     ALWAYS = "always"
 
 
-class Level(enum.StrEnum):
+class QuarantineLevel(enum.StrEnum):
     """The state of a fingerprint."""
 
     CLEARED = "cleared"
@@ -85,7 +85,7 @@
         max_records: number of fingerprints kept as suspect or quarantined.
     """
 
-    first_seen: FirstSeen = FirstSeen.ALERT
+    first_seen: FirstSeenPolicy = FirstSeenPolicy.ALERT
     suspect_s: float = 300.0
     base_s: float = 60.0
     max_s: float = 3600.0
@@ -103,7 +103,7 @@
     """
 
     fingerprint: str
-    level: Level
+    level: QuarantineLevel
     generation: int
     servers: tuple[str, ...]
     times: int
@@ -115,7 +115,7 @@
 
 @attrs.define(kw_only=True)
 class _Record:
-    level: Level
+    level: QuarantineLevel
     generation: int
     servers: set[str]
     struck: float
@@ -140,10 +140,10 @@
         """Return whether there is no record of any fingerprint."""
         return not self._records
 
-    def level(self, now: float, fingerprint: str) -> Level:
+    def level(self, now: float, fingerprint: str) -> QuarantineLevel:
         """Return the state of a fingerprint."""
         record = self._unexpired(now, fingerprint)
-        return record.level if record is not None else Level.CLEARED
+        return record.level if record is not None else QuarantineLevel.CLEARED
 
     def servers(self, now: float, fingerprint: str) -> frozenset[str]:
         """Return the backend servers that were lost during attempts of a fingerprint."""
@@ -153,9 +153,9 @@
     def decide(self, now: float, fingerprint: str) -> RunMode | Refusal:
         """Return how a request may run; CANARY reserves the one canary of a suspect."""
         record = self._unexpired(now, fingerprint)
-        if record is None or record.level is Level.CLEARED:
+        if record is None or record.level is QuarantineLevel.CLEARED:
             return self._decide_first_seen(now, fingerprint)
-        if record.level is Level.QUARANTINED:
+        if record.level is QuarantineLevel.QUARANTINED:
             return Refusal(ErrorKind.QUARANTINED, "it has crashed backend servers")
         if now < record.canary_until:
             # The caller retries while its first request is outstanding. A second canary could
@@ -167,14 +167,14 @@
         record.canary_until = now + self._options.canary_s
         return RunMode.CANARY
 
-    def allows(self, now: float, fingerprint: str, *, canary: bool) -> Refusal | None:
+    def check_attempt(self, now: float, fingerprint: str, *, canary: bool) -> Refusal | None:
         """Return an owner's refusal of an attempt, or None if it may be dispatched.
 
         An owner has the strikes of its own servers. An entry VM without these records yet sends a
         whole scatter-gather, and the owners refuse it without waiting for gossip.
         """
         level = self.level(now, fingerprint)
-        if level is Level.CLEARED or (level is Level.SUSPECT and canary):
+        if level is QuarantineLevel.CLEARED or (level is QuarantineLevel.SUSPECT and canary):
             return None
         return Refusal(ErrorKind.QUARANTINED, "it has crashed backend servers")
 
@@ -182,7 +182,7 @@
         """Record that an owner refused a fingerprint as a suspect; it runs as a canary next."""
         record = self._unexpired(now, fingerprint)
         self._alert_until = now + self._options.alert_s
-        if record is None or record.level is Level.CLEARED:
+        if record is None or record.level is QuarantineLevel.CLEARED:
             self._add_suspect(now, fingerprint, None, now, record)
 
     def on_success(self, now: float, fingerprint: str) -> None:
@@ -192,13 +192,13 @@
         if len(self._known_good) > self._options.max_known_good:
             self._known_good.popitem(last=False)
         record = self._unexpired(now, fingerprint)
-        if record is not None and record.level is Level.SUSPECT:
-            record.level = Level.CLEARED
+        if record is not None and record.level is QuarantineLevel.SUSPECT:
+            record.level = QuarantineLevel.CLEARED
             record.generation += 1
             record.servers.clear()
             record.weight = 0.0
 
-    def on_lost(
+    def on_connection_lost(
         self,
         now: float,
         fingerprint: str,
@@ -215,7 +215,7 @@
         self._alert_until = now + self._options.alert_s
         dispatched = now - elapsed_ms / 1000
         record = self._unexpired(now, fingerprint)
-        if record is None or record.level is Level.CLEARED:
+        if record is None or record.level is QuarantineLevel.CLEARED:
             self._add_suspect(now, fingerprint, server, dispatched, record)
             return
         record.canary_until = float("-inf")
@@ -228,7 +228,7 @@
         record.generation += 1
         self._quarantine_if_due(now, record)
 
-    def on_unsettled(self, fingerprint: str) -> None:
+    def on_inconclusive(self, fingerprint: str) -> None:
         """Record that a canary ended with neither success nor loss; another one may run."""
         record = self._records.get(fingerprint)
         if record is not None:
@@ -271,7 +271,7 @@
             return False
         if record is not None and received.generation == record.generation:
             return self._merge_equal(now, record, received)
-        if received.level is not Level.CLEARED:
+        if received.level is not QuarantineLevel.CLEARED:
             self._alert_until = max(self._alert_until, now + self._options.alert_s)
             self._known_good.pop(received.fingerprint, None)
         self._store(
@@ -297,7 +297,7 @@
         changed = servers != record.servers
         record.servers = servers
         record.until = min(record.until, now + received.left_ms / 1000)
-        if record.level is not Level.SUSPECT or received.level is Level.CLEARED:
+        if record.level is not QuarantineLevel.SUSPECT or received.level is QuarantineLevel.CLEARED:
             return changed
         struck, dispatched = now - received.struck_ms / 1000, now - received.dispatched_ms / 1000
         if not had_strike:
@@ -319,8 +319,8 @@
 
     def _decide_first_seen(self, now: float, fingerprint: str) -> RunMode:
         mode = self._options.first_seen
-        needs_canary = mode is FirstSeen.ALWAYS or (
-            mode is FirstSeen.ALERT and now < self._alert_until
+        needs_canary = mode is FirstSeenPolicy.ALWAYS or (
+            mode is FirstSeenPolicy.ALERT and now < self._alert_until
         )
         if needs_canary and fingerprint not in self._known_good:
             return RunMode.CANARY
@@ -338,7 +338,7 @@
         self._store(
             fingerprint,
             _Record(
-                level=Level.SUSPECT,
+                level=QuarantineLevel.SUSPECT,
                 generation=old.generation + 1 if old is not None else 1,
                 servers={server} if server is not None else set(),
                 struck=now,
@@ -349,10 +349,13 @@
         )
 
     def _quarantine_if_due(self, now: float, record: _Record) -> None:
-        if record.level is not Level.SUSPECT or record.weight < QUARANTINE_WEIGHT - _TOLERANCE:
+        if (
+            record.level is not QuarantineLevel.SUSPECT
+            or record.weight < QUARANTINE_WEIGHT - _TOLERANCE
+        ):
             return
         seconds = min(self._options.base_s * 2**record.times, self._options.max_s)
-        record.level = Level.QUARANTINED
+        record.level = QuarantineLevel.QUARANTINED
         record.times += 1
         record.until = now + seconds
 
@@ -360,9 +363,9 @@
         record = self._records.get(fingerprint)
         if record is None or now < record.until:
             return record
-        if record.level is Level.QUARANTINED:
+        if record.level is QuarantineLevel.QUARANTINED:
             # The quarantine has expired; one canary shows whether the request still crashes.
-            record.level = Level.SUSPECT
+            record.level = QuarantineLevel.SUSPECT
             record.generation += 1
             record.weight = 0.0
             record.struck = now
--- a/libs/decisions/berylspindle_decisions/reach.py
+++ b/libs/decisions/berylspindle_decisions/reachability.py
@@ -13,24 +13,26 @@
   isolated     two other data centres, or the only one, are unreachable or unanswered, without a
                contact from any
 
-Flow: `tried`, `probed` and `heard` record each attempt, probe and contact; `is_dark` and
-`is_cut_off` are read before each choice of replica and by the readiness check. While a response is
-overdue (`is_quiet`), the VM probes the other data centres. VMs answer probes within milliseconds
-whatever the load of their replicas, so unanswered probes count after `ISOLATED_AFTER_S` in place of
-`UNREACHABLE_AFTER_S`. If a VM of the same data centre reports isolation (`suspect`), this VM counts
-as isolated until its next contact, and probes the other data centres while `should_probe`.
+Flow: `on_attempt`, `on_probe` and `on_contact` record each attempt, probe and contact;
+`is_unreachable` and `is_isolated` are read before each choice of replica and by the readiness
+check. While a response is overdue (`is_response_overdue`), the VM probes the other data centres.
+VMs answer probes within milliseconds whatever the load of their replicas, so unanswered probes
+count after `ISOLATED_AFTER_S` in place of `UNREACHABLE_AFTER_S`. If a VM of the same data centre
+reports isolation (`on_isolation_report`), this VM counts as isolated until its next contact, and
+probes the other data centres while `should_probe`.
 
 Guards: a report ends with a contact of this VM, with its expiry, or when the VM that sent it clears
-it (`end_suspicion`), but not through other VMs. VMs of an isolated data centre read each other's
-mirrors, some of which haven't detected the isolation yet; if these ended a report, VMs would
-alternate between ready and unready each second, and the load balancer, which needs all of them
-unready, would never divert callers. A VM without any contact since its start ignores unanswered
+it (`clear_isolation_report`), but not through other VMs. VMs of an isolated data centre read each
+other's mirrors, some of which haven't detected the isolation yet; if these ended a report, VMs
+would alternate between ready and unready each second, and the load balancer, which needs all of
+them unready, would never divert callers. A VM without any contact since its start ignores
+unanswered
 probes: after a power failure its peers have not started either.
 
 Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause; a data centre whose
-replicas are all ten times as slow still answers within it. `TRIES` of 3 tolerates a single lost
-packet or one crashed replica. A false detection ends with the next contact, too soon for a load
-balancer that checks every second and acts on two failed checks.
+replicas are all ten times as slow still answers within it. `MIN_ATTEMPTS` of 3 tolerates a single
+lost packet or one crashed replica. A false detection ends with the next contact, too soon for a
+load balancer that checks every second and acts on two failed checks.
 """
 
 from __future__ import annotations
@@ -41,7 +43,7 @@
 import attrs
 
 UNREACHABLE_AFTER_S: Final = 0.4
-TRIES: Final = 3
+MIN_ATTEMPTS: Final = 3
 
 OVERDUE_AFTER_S: Final = 0.08
 """Seconds without a contact after which an attempt is overdue; most attempts take half of it."""
@@ -60,7 +62,7 @@
     first_probe_at: float = math.inf
 
 
-class Reach:
+class Reachability:
     """Reachability of other data centres from one VM; times are in seconds of its clock."""
 
     def __init__(self, own: str) -> None:
@@ -70,7 +72,7 @@
         self._reported_since = -math.inf
         self._reported_until = -math.inf
 
-    def tried(self, now: float, data_centre: str) -> None:
+    def on_attempt(self, now: float, data_centre: str) -> None:
         """Record an attempt at a replica or VM of a data centre."""
         if data_centre == self._own:
             return
@@ -79,13 +81,13 @@
             remote.first_attempt_at = now
         remote.attempts += 1
 
-    def probed(self, now: float, data_centre: str) -> None:
+    def on_probe(self, now: float, data_centre: str) -> None:
         """Record a probe of VMs of a data centre."""
-        self.tried(now, data_centre)
+        self.on_attempt(now, data_centre)
         remote = self._remotes[data_centre]
         remote.first_probe_at = min(remote.first_probe_at, now)
 
-    def heard(self, now: float, data_centre: str) -> None:
+    def on_contact(self, now: float, data_centre: str) -> None:
         """Record a contact: a reply or a new connection from a data centre."""
         if data_centre == self._own:
             return
@@ -95,11 +97,11 @@
         remote.first_attempt_at = remote.first_probe_at = math.inf
 
     @property
-    def is_waiting(self) -> bool:
+    def has_unanswered_attempt(self) -> bool:
         """Return whether an attempt at another data centre is unanswered."""
         return any(one.attempts for one in self._remotes.values())
 
-    def is_quiet(self, now: float) -> bool:
+    def is_response_overdue(self, now: float) -> bool:
         """Return whether an attempt is unanswered for `OVERDUE_AFTER_S` without any contact."""
         since = min((one.first_attempt_at for one in self._remotes.values()), default=math.inf)
         return (
@@ -107,27 +109,29 @@
             and now - max(since, self._last_contact_at) >= OVERDUE_AFTER_S
         )
 
-    def is_dark(self, now: float, data_centre: str) -> bool:
+    def is_unreachable(self, now: float, data_centre: str) -> bool:
         """Return whether a data centre has left attempts unanswered for `UNREACHABLE_AFTER_S`."""
         remote = self._remotes.get(data_centre)
         if remote is None:
             return False
-        return remote.attempts >= TRIES and now - remote.first_attempt_at >= UNREACHABLE_AFTER_S
+        return (
+            remote.attempts >= MIN_ATTEMPTS and now - remote.first_attempt_at >= UNREACHABLE_AFTER_S
+        )
 
-    def heard_since(self, data_centre: str, at: float) -> bool:
+    def had_contact_since(self, data_centre: str, at: float) -> bool:
         """Return whether there was a contact since the time `at`; always True for the own one."""
         if data_centre == self._own:
             return True
         remote = self._remotes.get(data_centre)
         return remote is not None and remote.last_contact_at >= at
 
-    def suspect(self, now: float, *, until: float) -> None:
+    def on_isolation_report(self, now: float, *, until: float) -> None:
         """Record that another VM of the own data centre reports isolation, valid until `until`."""
         if now >= self._reported_until:
             self._reported_since = now
         self._reported_until = max(self._reported_until, until)
 
-    def end_suspicion(self) -> None:
+    def clear_isolation_report(self) -> None:
         """Clear the report: the VM that sent it reaches other data centres again."""
         self._reported_until = -math.inf
 
@@ -135,7 +139,7 @@
         """Return whether to probe other data centres."""
         return now < self._reported_until or self._has_own_evidence(now)
 
-    def is_cut_off(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Return whether this VM is isolated, by its own evidence or by another VM's report."""
         reported = self._last_contact_at < self._reported_since and now < self._reported_until
         return reported or self._has_own_evidence(now)
@@ -145,13 +149,13 @@
         # others are rare.
         required = min(2, max(1, len(self._remotes)))
         since_contact = now - self._last_contact_at
-        unreachable = (self.is_dark(now, name) for name in self._remotes)
+        unreachable = (self.is_unreachable(now, name) for name in self._remotes)
         if since_contact >= UNREACHABLE_AFTER_S and sum(unreachable) >= required:
             return True
         unanswered = (now - one.first_probe_at >= PROBE_TIMEOUT_S for one in self._remotes.values())
         return ISOLATED_AFTER_S <= since_contact < math.inf and sum(unanswered) >= required
 
     @property
-    def others(self) -> tuple[str, ...]:
+    def remote_data_centres(self) -> tuple[str, ...]:
         """Return the other data centres with any attempt or contact so far."""
         return tuple(self._remotes)
--- a/libs/decisions/berylspindle_decisions/relay_choice.py
+++ b/libs/decisions/berylspindle_decisions/relay_choice.py
@@ -14,15 +14,16 @@
   load      requests in progress at a merger, by its last report or by the requests sent to it
   back-off  the time in which no request goes to a merger that failed, refused or was slow
 
-Flow: `pick` is called for each scatter-gather; `sent`, `ended`, `reported` and `doubt` record its
-course. The request goes to the VM with the lowest cost: requests in progress over capacity, plus
-`MISSING_COST` times the missing share. The VM itself is one of the candidates.
+Flow: `pick_merger` is called for each scatter-gather; `on_sent`, `on_finished`, `on_report` and
+`back_off` record its course. The request goes to the VM with the lowest cost: requests in progress
+over capacity, plus `MISSING_COST` times the missing share. The VM itself is one of the candidates.
 
 Thresholds: the extra hop costs about a millisecond on both VMs, so a merger needs
 `MIN_CAPACITY_RATIO` times the capacity. One of equal capacity is enough if its missing share is
-lower by `NEARER`, as one merged response then replaces many partial results between data centres.
-A merger that failed is avoided for `FAILURE_BACKOFF_S`, the time that a process takes to start and
-load; one that refused, or was late by the route's whole latency target, for `REFUSAL_BACKOFF_S`.
+lower by `MIN_LOCALITY_GAIN`, as one merged response then replaces many partial results between data
+centres. A merger that failed is avoided for `FAILURE_BACKOFF_S`, the time that a process takes to
+start and load; one that refused, or was late by the route's whole latency target, for
+`REFUSAL_BACKOFF_S`.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 MIN_CAPACITY_RATIO: Final = 2.0
 FAILURE_BACKOFF_S: Final = 3.0
 REFUSAL_BACKOFF_S: Final = 1.0
-NEARER: Final = 0.5
+MIN_LOCALITY_GAIN: Final = 0.5
 MISSING_COST: Final = 8.0
 """Requests in progress per core by which a merger near the replicas may be busier than this VM; a
 request takes about 20 ms of a merger's core."""
@@ -49,11 +50,12 @@
 
 @attrs.frozen
 class RelayVm:
-    """A candidate: `bears` is its capacity in cores, `missing` the share of missing shards."""
+    """A candidate: `capacity` is its capacity in cores, `missing_share` the share of missing
+    shards."""
 
     name: str
-    bears: float
-    missing: float = 0.0
+    capacity: float
+    missing_share: float = 0.0
 
 
 @attrs.define
@@ -64,12 +66,12 @@
     backoff_until: float = float("-inf")
 
 
-def bears_of(*, cores: float, link_mbps: float) -> float:
+def vm_capacity(*, cores: float, link_mbps: float) -> float:
     """Return the capacity of a VM, in cores."""
     return max(0.01, min(cores, link_mbps / MBPS_PER_CORE))
 
 
-def least_merger(capacities: Iterable[float]) -> float:
+def min_merger_capacity(capacities: Iterable[float]) -> float:
     """Return the capacity from which VMs merge the requests of other data centres.
 
     Only the larger VMs do so, or all of them if they have similar capacities.
@@ -83,7 +85,7 @@
     )
 
 
-def count_alike(own: float, others: Mapping[float, int]) -> int:
+def share_divisor(own: float, others: Mapping[float, int]) -> int:
     """Return the divisor that yields this VM's part of a cluster-wide limit.
 
     `others` maps a capacity to the number of other VMs that have it.
@@ -110,51 +112,51 @@
         self._capacity: Final = capacity
         self._mergers: dict[str, _Merger] = {}
 
-    def pick(
+    def pick_merger(
         self,
         now: float,
         vms: Iterable[RelayVm],
         *,
         in_flight: int,
-        u: float,
-        missing: float = 0.0,
+        uniform: float,
+        missing_share: float = 0.0,
     ) -> str | None:
         """Return the merger for a request, or None if this VM executes it itself.
 
-        `in_flight` is the number of requests in progress on this VM, including this one, `missing`
-        the share of missing shards in its data centre, and `u` a uniform random number in [0, 1)
-        that spreads the choices of VMs with equal state.
+        `in_flight` is the number of requests in progress on this VM, including this one,
+        `missing_share` the share of missing shards in its data centre, and `uniform` a uniform
+        random number in [0, 1) that spreads the choices of VMs with equal state.
         """
-        best, best_cost = None, in_flight / self._capacity + MISSING_COST * missing
+        best, best_cost = None, in_flight / self._capacity + MISSING_COST * missing_share
         for vm in vms:
-            is_nearer = vm.missing <= missing - NEARER
-            if vm.bears < self._capacity * (1.0 if is_nearer else MIN_CAPACITY_RATIO):
+            is_nearer = vm.missing_share <= missing_share - MIN_LOCALITY_GAIN
+            if vm.capacity < self._capacity * (1.0 if is_nearer else MIN_CAPACITY_RATIO):
                 continue
             merger = self._mergers.get(vm.name) or _Merger()
             if now < merger.backoff_until:
                 continue
             load = merger.load if now - merger.reported_at < LOAD_REPORT_TTL_S else 0.0
-            cost = (max(load, merger.outstanding) + 1.0 + 0.2 * u) / vm.bears
-            cost += MISSING_COST * vm.missing
+            cost = (max(load, merger.outstanding) + 1.0 + 0.2 * uniform) / vm.capacity
+            cost += MISSING_COST * vm.missing_share
             if cost < best_cost:
                 best, best_cost = vm.name, cost
         return best
 
-    def sent(self, name: str) -> None:
+    def on_sent(self, name: str) -> None:
         """Record a request that is sent to a merger."""
         self._merger(name).outstanding += 1
 
-    def ended(self, name: str) -> None:
+    def on_finished(self, name: str) -> None:
         """Record the end of a request, with or without a response."""
         self._merger(name).outstanding -= 1
 
-    def reported(self, now: float, name: str, load: float) -> None:
+    def on_report(self, now: float, name: str, load: float) -> None:
         """Record a merger's report of its requests in progress; it ends the back-off."""
         merger = self._merger(name)
         merger.load, merger.reported_at = load, now
         merger.backoff_until = float("-inf")
 
-    def doubt(self, now: float, name: str, *, long: bool) -> None:
+    def back_off(self, now: float, name: str, *, long: bool) -> None:
         """Send nothing to a merger for `FAILURE_BACKOFF_S` if `long`, else `REFUSAL_BACKOFF_S`."""
         until = now + (FAILURE_BACKOFF_S if long else REFUSAL_BACKOFF_S)
         merger = self._merger(name)
--- a/libs/decisions/berylspindle_decisions/rendezvous.py
+++ b/libs/decisions/berylspindle_decisions/rendezvous.py
@@ -37,7 +37,7 @@
     return max(members, key=lambda vm: (weight(server_id, vm.id), vm.id))
 
 
-def first_of(key: str, members: Iterable[Vm], count: int) -> tuple[Vm, ...]:
+def top_members(key: str, members: Iterable[Vm], count: int) -> tuple[Vm, ...]:
     """Return the `count` members with the highest weights for a key, the highest first."""
     ranked = sorted(members, key=lambda vm: (weight(key, vm.id), vm.id), reverse=True)
     return tuple(ranked[:count])
--- a/libs/decisions/berylspindle_decisions/replica_choice.py
+++ b/libs/decisions/berylspindle_decisions/replica_choice.py
@@ -80,13 +80,13 @@
     candidates: Sequence[ReplicaView],
     *,
     now: float,
-    u: float,
+    uniform: float,
     owners: Collection[str] = (),
     options: ChoiceOptions | None = None,
 ) -> tuple[ReplicaView, ...]:
     """Return the usable replicas in the order in which to try them.
 
-    `u` is a uniform random number in [0, 1). The result is empty if no replica may be used
+    `uniform` is a uniform random number in [0, 1). The result is empty if no replica may be used
     (NO_REPLICA).
     """
     chosen = options or ChoiceOptions()
@@ -99,7 +99,7 @@
     )
     best_rank = ranked[0][0]
     equally_ranked = sum(1 for entry in ranked if entry[0] == best_rank)
-    ranked.insert(0, ranked.pop(_pick_of_two(equally_ranked, u)))
+    ranked.insert(0, ranked.pop(_pick_of_two(equally_ranked, uniform)))
     return tuple(usable[entry[3]] for entry in ranked)
 
 
--- a/libs/decisions/berylspindle_decisions/replica_health.py
+++ b/libs/decisions/berylspindle_decisions/replica_health.py
@@ -15,9 +15,9 @@
   queueing factor  expected duration of an attempt over that at a free replica, for the queue that
                    it was sent into; only latency beyond it raises the slowdown
 
-Flow: `sent`, `answered`, `refused`, `failed` and `given_up` record each attempt; `cost` is read for
-each choice of a replica. The load by other VMs comes from the replica's own reports
-(`load_estimate`).
+Flow: `on_sent`, `on_answer`, `on_refusal`, `on_failure` and `on_abandoned` record each attempt;
+`cost` is read for each choice of a replica. The load by other VMs comes from the replica's own
+reports (`load_estimate`).
 
 Guards: one pause makes two or three responses late, so only the first spike of a replica that was
 fast before counts, and it is clipped. A replica that refuses half of its requests leaves its
@@ -40,7 +40,7 @@
 SPIKE_RATIO: Final = 2.5
 SPIKE_WINDOW_S: Final = 0.1
 RECENTLY_FAST_S: Final = 0.6
-STALLED: Final = 30.0
+STALLED_COST: Final = 30.0
 BACKOFF_COST: Final = 15.0
 BACKOFF_INITIAL_S: Final = 0.1
 BACKOFF_MAX_S: Final = 3.0
@@ -63,8 +63,8 @@
         self.slots = max(1, slots)
         self.is_local = is_local and policy.prefers_near
         self.cold_until = -math.inf
-        self._pace = 1.0
-        self._pace_at = -math.inf
+        self._slowdown = 1.0
+        self._slowdown_at = -math.inf
         self._spike_until = -math.inf
         self._fast_at = -math.inf
         # For each outstanding attempt in the order of sending: the time from which it is late, and
@@ -75,19 +75,19 @@
         self._backoffs = 0
         self._shed_rate = 0.0
         self._shed_rate_at = -math.inf
-        self._remote_load: Final = LoadEstimate(minds_mean=policy.estimate_load)
+        self._remote_load: Final = LoadEstimate(use_mean=policy.estimate_load)
 
     @property
     def outstanding(self) -> int:
         """Return the number of outstanding attempts."""
         return len(self._attempts)
 
-    def pace(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return the slowdown, decayed since the last response."""
-        age = now - self._pace_at
+        age = now - self._slowdown_at
         if not self._policy.learns_pace or age > 4 * SLOWDOWN_DECAY_S:
             return 1.0
-        return 1.0 + (self._pace - 1.0) * math.exp(-max(0.0, age) / SLOWDOWN_DECAY_S)
+        return 1.0 + (self._slowdown - 1.0) * math.exp(-max(0.0, age) / SLOWDOWN_DECAY_S)
 
     def shed_rate(self, now: float) -> float:
         """Return the share of refused and failed attempts, decayed since the last attempt."""
@@ -101,71 +101,73 @@
             return late_at <= now
         return False
 
-    def is_held_off(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Return whether the replica is in the back-off after a refusal or failure."""
         return now < self._backoff_until
 
-    def sent(self, attempt: object, *, late_at: float, unexplained_at: float | None = None) -> None:
+    def on_sent(self, attempt: object, *, late_at: float, overdue_at: float | None = None) -> None:
         """Record an attempt.
 
-        From `late_at` on it is late; from `unexplained_at` on its queue doesn't explain the delay.
+        From `late_at` on it is late; from `overdue_at` on its queue doesn't explain the delay.
         """
-        self._attempts[attempt] = (late_at, late_at if unexplained_at is None else unexplained_at)
+        self._attempts[attempt] = (late_at, late_at if overdue_at is None else overdue_at)
 
-    def answered(self, now: float, attempt: object, *, ratio: float) -> None:
-        """Record a response; `ratio` is its latency over the usual one of its route."""
+    def on_answer(self, now: float, attempt: object, *, latency_ratio: float) -> None:
+        """Record a response; `latency_ratio` is its latency over the usual one of its route."""
         self._attempts.pop(attempt, None)
         self._backoffs = 0
-        self._update_slowdown(now, ratio)
+        self._update_slowdown(now, latency_ratio)
         self._update_shed_rate(now, 0.0)
 
-    def refused(self, now: float, attempt: object, *, wait: float = 0.0) -> None:
-        """Record a refusal of a request that did not run; `wait` is its Retry-After in seconds."""
+    def on_refusal(self, now: float, attempt: object, *, retry_after_s: float = 0.0) -> None:
+        """Record a refusal of a request that did not run; `retry_after_s` is its Retry-After in
+        seconds."""
         self._attempts.pop(attempt, None)
-        self._back_off(now, wait)
+        self._back_off(now, retry_after_s)
         self._refused_until = self._backoff_until
 
-    def failed(self, now: float, attempt: object) -> None:
+    def on_failure(self, now: float, attempt: object) -> None:
         """Record a failure: a lost connection, a malformed response, an error of the replica."""
         self._attempts.pop(attempt, None)
         self._back_off(now, 0.0)
 
-    def given_up(self, now: float, attempt: object, *, ratio: float) -> None:
-        """Record an attempt that was abandoned without a response after `ratio` usual latencies."""
+    def on_abandoned(self, now: float, attempt: object, *, latency_ratio: float) -> None:
+        """Record an attempt that was abandoned without a response after `latency_ratio` usual
+        latencies."""
         if self._attempts.pop(attempt, None) is None:
             return
-        if ratio > self.pace(now):
-            self._update_slowdown(now, ratio)
-        if ratio > STALLED / 2:
+        if latency_ratio > self.slowdown(now):
+            self._update_slowdown(now, latency_ratio)
+        if latency_ratio > STALLED_COST / 2:
             self._back_off(now, 0.0)
 
-    def withdrawn(self, attempt: object) -> None:
+    def on_not_sent(self, attempt: object) -> None:
         """Record that an attempt was not sent after all."""
         self._attempts.pop(attempt, None)
 
-    def reported(self, now: float, *, running: int, waiting: int, slots: int) -> None:
+    def on_report(self, now: float, *, running: int, waiting: int, slots: int) -> None:
         """Record the replica's report of its load by all callers together."""
         self.slots = max(1, slots)
-        self._remote_load.reported(now, total=running + waiting, own=len(self._attempts))
+        self._remote_load.on_report(now, total=running + waiting, own=len(self._attempts))
 
-    def busy(self, now: float) -> float:
+    def expected_load(self, now: float) -> float:
         """Return the estimated number of requests of all VMs at the replica."""
-        return len(self._attempts) + self._remote_load.at(now)
+        return len(self._attempts) + self._remote_load.estimate(now)
 
     def has_free_slot(self, now: float) -> bool:
         """Return whether one more request would start without queueing."""
-        return self.busy(now) < self.slots
+        return self.expected_load(now) < self.slots
 
-    def added_ms(self, now: float, *, usual_ms: float) -> float:
+    def queueing_delay_ms(self, now: float, *, usual_ms: float) -> float:
         """Return the expected wait of one more attempt, for the queue or the end of a refusal."""
-        queue_ms = usual_ms * self.pace(now) * self._queued_per_slot(now)
+        queue_ms = usual_ms * self.slowdown(now) * self._queued_per_slot(now)
         return max(queue_ms, (self._refused_until - now) * 1000)
 
-    def explained(self, now: float) -> float:
+    def queueing_factor(self, now: float) -> float:
         """Return the expected duration of one more attempt over that at a free replica."""
         return 1.0 + self._queued_per_slot(now)
 
-    def is_sound(self, now: float) -> bool:
+    def is_healthy(self, now: float) -> bool:
         """Return whether the replica is warm, not failing, and late only as its queue explains."""
         if now < self.cold_until:
             return False
@@ -173,30 +175,33 @@
             if unexplained_at <= now:
                 return False
             break
-        return not self.is_held_off(now) or self._refused_until >= self._backoff_until
+        return not self.is_backing_off(now) or self._refused_until >= self._backoff_until
 
     def _queued_per_slot(self, now: float) -> float:
-        return max(0.0, self.busy(now) + 1.0 - self.slots) / self.slots
+        return max(0.0, self.expected_load(now) + 1.0 - self.slots) / self.slots
 
-    def cost(self, now: float, *, u: float) -> float:
+    def cost(self, now: float, *, uniform: float) -> float:
         """Return the expected duration of one more attempt, in usual latencies.
 
-        `u` is a uniform random number in [0, 1); it spreads the choices of VMs with equal state.
+        `uniform` is a uniform random number in [0, 1); it spreads the choices of VMs with equal
+        state.
         """
-        busy = self.busy(now)
-        cost = self.pace(now) * self.explained(now) + LOAD_COST * (busy / self.slots + 0.2 * u)
+        busy = self.expected_load(now)
+        cost = self.slowdown(now) * self.queueing_factor(now) + LOAD_COST * (
+            busy / self.slots + 0.2 * uniform
+        )
         if now < self.cold_until:
             cost *= COLD_COST
         if self.is_local:
             cost -= min((1.0 - LOCAL_MIN_COST_SHARE) * cost, LOCAL_MAX_DISCOUNT)
         if self.is_stalled(now):
-            cost += STALLED
+            cost += STALLED_COST
         if now < self._backoff_until:
             cost += BACKOFF_COST
         return cost + SHED_COST * self.shed_rate(now)
 
     def _update_slowdown(self, now: float, ratio: float) -> None:
-        slowdown = self.pace(now)
+        slowdown = self.slowdown(now)
         if ratio <= SPIKE_RATIO * slowdown:
             self._fast_at = now
         elif self._policy.clips_jumps and now - self._fast_at < RECENTLY_FAST_S:
@@ -205,8 +210,8 @@
             self._spike_until = now + SPIKE_WINDOW_S
             ratio = SPIKE_RATIO * slowdown
         weight = SLOWDOWN_RISE_WEIGHT if ratio > slowdown else SLOWDOWN_FALL_WEIGHT
-        self._pace = slowdown + weight * (min(ratio, MAX_SLOWDOWN) - slowdown)
-        self._pace_at = now
+        self._slowdown = slowdown + weight * (min(ratio, MAX_SLOWDOWN) - slowdown)
+        self._slowdown_at = now
 
     def _update_shed_rate(self, now: float, value: float) -> None:
         rate = self.shed_rate(now)
--- a/libs/decisions/berylspindle_decisions/answer_time.py
+++ b/libs/decisions/berylspindle_decisions/response_timing.py
@@ -10,8 +10,8 @@
   margin   time reserved for the way back to the caller and for this VM's own work
   parts    answers of shards that have arrived
 
-Flow: `hedge_times` is called when a sub-request is sent, `parts_verdict` after each change and at
-the latency target.
+Flow: `hedge_timing` is called when a sub-request is sent, `decide_partial_result` after each change
+and at the latency target.
 
 Hedge delay: `HEDGE_SHARE` is the share of sub-requests that may exceed the delay. With extra
 attempts limited to a fifth, part of it kept for retries, 0.12 of hedges leaves room for the
@@ -39,33 +39,35 @@
 MAX_DELAY_MEDIANS: Final = 4.0
 MIN_HEDGE_TIME_MEDIANS: Final = 1.6
 UNKNOWN_DELAY_TARGET_SHARE: Final = 0.3
-MARGIN_MS: Final = 11.5
-NEW_CONNECTION_MS: Final = 6.0
+RESPONSE_MARGIN_MS: Final = 11.5
+NEW_CONNECTION_MARGIN_MS: Final = 6.0
 
 
 @attrs.frozen(kw_only=True)
-class HedgeTimes:
+class HedgeTiming:
     """Delay before a sub-request is hedged, and the route's usual latency."""
 
     delay_ms: float
     usual_ms: float
 
 
-def hedge_times(profile: LatencyProfile, *, aim_left_ms: float, aim_ms: float) -> HedgeTimes:
-    """Return the hedge delay of a sub-request sent now, `aim_left_ms` before the target."""
-    if not profile.known:
-        usual = UNKNOWN_DELAY_TARGET_SHARE * aim_ms / 2
-        return HedgeTimes(delay_ms=UNKNOWN_DELAY_TARGET_SHARE * aim_ms, usual_ms=usual)
+def hedge_timing(
+    profile: LatencyProfile, *, target_left_ms: float, target_ms: float
+) -> HedgeTiming:
+    """Return the hedge delay of a sub-request sent now, `target_left_ms` before the target."""
+    if not profile.has_enough_samples:
+        usual = UNKNOWN_DELAY_TARGET_SHARE * target_ms / 2
+        return HedgeTiming(delay_ms=UNKNOWN_DELAY_TARGET_SHARE * target_ms, usual_ms=usual)
     usual = profile.quantile(0.5)
     delay = profile.quantile(1.0 - HEDGE_SHARE)
     delay = min(max(delay, MIN_DELAY_MEDIANS * usual), MAX_DELAY_MEDIANS * usual)
-    latest = aim_left_ms - MIN_HEDGE_TIME_MEDIANS * usual
+    latest = target_left_ms - MIN_HEDGE_TIME_MEDIANS * usual
     if 0.0 < latest < delay:
         delay = max(latest, MIN_DELAY_MEDIANS * usual)
-    return HedgeTimes(delay_ms=delay, usual_ms=usual)
+    return HedgeTiming(delay_ms=delay, usual_ms=usual)
 
 
-class PartsVerdict(enum.Enum):
+class PartialResultVerdict(enum.Enum):
     """What to do with the parts that have arrived."""
 
     WAIT = "wait"
@@ -73,22 +75,22 @@
     FAIL = "fail"
 
 
-def parts_verdict(
-    *, asked: int, least: int, parts: int, lost: int, aim_passed: bool
-) -> PartsVerdict:
+def decide_partial_result(
+    *, requested: int, min_parts: int, parts: int, lost: int, target_passed: bool
+) -> PartialResultVerdict:
     """Return whether to answer with the parts that have arrived.
 
     The value of an answer is the square of the share of its parts before the latency target, and
     about a tenth after it: nine of ten parts in time are worth 0.81, all ten a moment later 0.1. At
-    the target, an answer with at least `least` parts is therefore sent. Before the target, or with
-    fewer parts, waiting can only help, unless no more parts can arrive.
+    the target, an answer with at least `min_parts` parts is therefore sent. Before the target, or
+    with fewer parts, waiting can only help, unless no more parts can arrive.
     """
-    if parts == asked:
-        return PartsVerdict.ANSWER
-    if asked - lost < least:
-        return PartsVerdict.FAIL
-    if parts < least:
-        return PartsVerdict.WAIT
-    if aim_passed or parts + lost == asked:
-        return PartsVerdict.ANSWER
-    return PartsVerdict.WAIT
+    if parts == requested:
+        return PartialResultVerdict.ANSWER
+    if requested - lost < min_parts:
+        return PartialResultVerdict.FAIL
+    if parts < min_parts:
+        return PartialResultVerdict.WAIT
+    if target_passed or parts + lost == requested:
+        return PartialResultVerdict.ANSWER
+    return PartialResultVerdict.WAIT
--- a/libs/decisions/berylspindle_decisions/rollout_plan.py
+++ b/libs/decisions/berylspindle_decisions/rollout_plan.py
@@ -13,8 +13,8 @@
   final     completed: the old replicas stop at once; rolled back: the new ones drain
 
 Flow: `trial_share` returns the share of a service's requests for the new version; `next_stage` is
-called about once a second with the verdict on the responses (`version_judge`). A version that isn't
-found sound by `DECISION_DEADLINE` of the term is rolled back, as serving all callers with an
+called about once a second with the verdict on the responses (`version_analysis`). A version that
+isn't found sound by `DECISION_DEADLINE` of the term is rolled back, as serving all callers with an
 unproven version is the greater risk.
 """
 
@@ -25,14 +25,14 @@
 
 import attrs
 
-from berylspindle_decisions.version_judge import LENIENT, STRICT, Caution, Verdict
+from berylspindle_decisions.version_analysis import LENIENT, STRICT, EvidenceLimits, Verdict
 
 EARLIEST_SHIFT: Final = 0.6
 DECISION_DEADLINE: Final = 0.8
 """Fractions of the term at which the shift to a sound version begins at the earliest and latest."""
 
-SHIFT_S: Final = 1.6
-SHIFT_MOST: Final = 0.15
+SHIFT_DURATION_S: Final = 1.6
+MAX_SHIFT_FRACTION: Final = 0.15
 """Seconds for which all requests go to the new version before the old replicas are stopped, and the
 largest fraction of the term for it. Other VMs see the shift within one second, and requests in
 progress at the old replicas end meanwhile."""
@@ -96,49 +96,54 @@
     return 2 * share if int(elapsed / TRIAL_PULSE_S) % 2 else 0.0
 
 
-def may_try(
+def allows_trial_request(
     bounds: ExposureBounds,
     *,
     elapsed: float,
     requests: int,
-    tried: int,
-    of_all: int,
+    trial_requests: int,
+    total_requests: int,
     dither: float,
 ) -> bool:
     """Return whether a VM may send one more of its requests to the new version.
 
-    `requests` and `tried` are the VM's own requests and trial requests so far; `of_all` the known
-    requests of all VMs to the service; `elapsed` the seconds since the order. `dither` in [0, 1) is
-    drawn once by each VM, so that fractions of a request add up over the VMs.
+    `requests` and `trial_requests` are the VM's own requests and trial requests so far;
+    `total_requests` the known requests of all VMs to the service; `elapsed` the seconds since the
+    order. `dither` in [0, 1) is drawn once by each VM, so that fractions of a request add up over
+    the VMs.
 
     Guard: `trial_share` is based on the usual rate, and in a burst would exceed the slack many
     times. This limit keeps each VM within the exposure of its own requests and its part of the
     slack.
     """
     allowed = bounds.share * requests
-    if of_all and elapsed >= SLACK_DELAY_S:
-        allowed += TRIAL_SLACK_FRACTION * bounds.slack * min(1.0, requests / of_all)
-    return tried + dither <= allowed
+    if total_requests and elapsed >= SLACK_DELAY_S:
+        allowed += TRIAL_SLACK_FRACTION * bounds.slack * min(1.0, requests / total_requests)
+    return trial_requests + dither <= allowed
 
 
-def caution(bounds: ExposureBounds, *, term: float, rate: float) -> Caution:
+def evidence_limits(bounds: ExposureBounds, *, term: float, rate: float) -> EvidenceLimits:
     """Return the evidence limits for a service with `rate` requests per second."""
     return LENIENT if 0.0 < rate * term <= bounds.slack else STRICT
 
 
 def next_stage(
-    stage: Stage, verdict: Verdict, *, elapsed: float, in_stage: float, term: float
+    stage: Stage, verdict: Verdict, *, elapsed: float, stage_elapsed: float, term: float
 ) -> Stage:
     """Return the next stage.
 
-    `elapsed` is in seconds since the order, `in_stage` in seconds since the stage began.
+    `elapsed` is in seconds since the order, `stage_elapsed` in seconds since the stage began.
     """
     if stage.is_final:
         return stage
     if verdict is Verdict.BAD:
         return Stage.ROLLED_BACK
     if stage is Stage.SHIFT:
-        return Stage.COMPLETED if in_stage >= min(SHIFT_S, SHIFT_MOST * term) else stage
+        return (
+            Stage.COMPLETED
+            if stage_elapsed >= min(SHIFT_DURATION_S, MAX_SHIFT_FRACTION * term)
+            else stage
+        )
     if verdict is Verdict.SOUND and elapsed >= EARLIEST_SHIFT * term:
         return Stage.SHIFT
     return Stage.ROLLED_BACK if elapsed >= DECISION_DEADLINE * term else stage
--- a/libs/decisions/berylspindle_decisions/shared_retry_budget.py
+++ b/libs/decisions/berylspindle_decisions/shared_retry_budget.py
@@ -10,7 +10,7 @@
   ratio     extras allowed per request
   slack     extras allowed in addition, for all VMs together
 
-Flow: `SharedRetryBudget.on_request` counts each request, `may_take` is called before each extra and
+Flow: `SharedRetryBudget.on_request` counts each request, `allows` is called before each extra and
 `take` counts it. The ratio applies to the VM's own requests, so that the sum over all VMs holds for
 any distribution of requests; the slack is divided by the number of VMs.
 
@@ -82,7 +82,7 @@
         """Count a caller's request."""
         self._requests.add(now, 1.0)
 
-    def left(self, now: float, *, vms: int) -> float:
+    def available(self, now: float, *, vms: int) -> float:
         """Return the number of extras that are allowed now, of all kinds."""
         self._requests.expire(now)
         self._extras.expire(now)
@@ -92,9 +92,9 @@
         allowed = SAFETY_FACTOR * (self._bounds.ratio * self._requests.total + slack)
         return allowed - self._extras.total
 
-    def may_take(self, now: float, *, vms: int, hedge: bool) -> bool:
+    def allows(self, now: float, *, vms: int, hedge: bool) -> bool:
         """Return whether one more extra is allowed; hedges leave a part for retries."""
-        left = self.left(now, vms=vms)
+        left = self.available(now, vms=vms)
         if not hedge:
             return left >= 1.0
         allowed = left + self._extras.total
--- a/libs/decisions/berylspindle_decisions/snapshot_choice.py
+++ b/libs/decisions/berylspindle_decisions/snapshot_choice.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeepOne:
+class KeepSnapshot:
     """Keep only the answers on `kept`, if any; count these shards as missing."""
 
     kept: Snapshot | None
@@ -132,7 +132,7 @@
         left_ms: float,
         expected_ms: float,
         usable: Collection[str] | None = None,
-    ) -> Reask | KeepOne | Refusal:
+    ) -> Reask | KeepSnapshot | Refusal:
         """Return what to do when shards refused the snapshot or answered on different ones.
 
         `answered` is the snapshot of each shard's answer, `refused` the shards that no longer hold
@@ -160,13 +160,13 @@
         snapshots = list(answered.values())
         return max(common, key=lambda snapshot: (snapshots.count(snapshot), snapshot))
 
-    def _keep_most_common(self, answered: Mapping[str, Snapshot]) -> KeepOne:
+    def _keep_most_common(self, answered: Mapping[str, Snapshot]) -> KeepSnapshot:
         snapshots = list(answered.values())
         kept = max(
             set(snapshots), key=lambda snapshot: (snapshots.count(snapshot), snapshot), default=None
         )
         missing = tuple(s for s in self._servers if answered.get(s) != kept or kept is None)
-        return KeepOne(kept=kept, missing=missing)
+        return KeepSnapshot(kept=kept, missing=missing)
 
     def _common(self, usable: Collection[str] | None) -> set[Snapshot]:
         common: set[Snapshot] | None = None
--- a/libs/decisions/berylspindle_decisions/suspicions.py
+++ b/libs/decisions/berylspindle_decisions/suspicions.py
@@ -64,9 +64,9 @@
 
     def raise_suspicion(self, vm_id: str, beat: int, now: float) -> bool:
         """Raise or renew a suspicion as guardian; return whether it is new."""
-        return self.hear(Suspicion(vm_id, self.incarnation_of(vm_id), beat), now)
+        return self.merge(Suspicion(vm_id, self.incarnation_of(vm_id), beat), now)
 
-    def hear(self, suspicion: Suspicion, now: float) -> bool:
+    def merge(self, suspicion: Suspicion, now: float) -> bool:
         """Merge a suspicion from another VM; return whether it is new.
 
         A suspicion of this VM itself is refuted by a higher incarnation.
@@ -98,7 +98,7 @@
             for name in [name for name in table if name not in vm_ids]:
                 table.pop(name)
 
-    def told_to(self, vm_id: str, now: float) -> tuple[Suspicion, ...]:
+    def suspicions_for(self, vm_id: str, now: float) -> tuple[Suspicion, ...]:
         """Return suspicions to send to a VM: its own first, then those sent least often."""
         if not self._entries:
             return ()
@@ -118,7 +118,7 @@
         for entry in self._entries.values():
             entry.expires = max(entry.expires, now)
 
-    def ages(self, names: Iterable[str], now: float) -> tuple[int, ...]:
+    def contact_ages(self, names: Iterable[str], now: float) -> tuple[int, ...]:
         """Return the ages to send to other VMs, in tenths of a second.
 
         Each hop adds one tenth. Otherwise an age would shrink by the transit time of each message,
@@ -126,7 +126,7 @@
         """
         return tuple(self._age(name, now) for name in names)
 
-    def hear_ages(self, names: Iterable[str], ages: tuple[int, ...], now: float) -> None:
+    def merge_contact_ages(self, names: Iterable[str], ages: tuple[int, ...], now: float) -> None:
         """Merge the ages from another VM of this data centre."""
         for name, age in zip(names, ages, strict=False):
             if name in self._contacts and age < _MAX_AGE_TENTHS:
--- a/libs/decisions/berylspindle_decisions/version_judge.py
+++ b/libs/decisions/berylspindle_decisions/version_analysis.py
@@ -10,9 +10,9 @@
   bad       a response that failed, or took over `SLOW_RATIO` times the control's median latency
   evidence  likelihood ratio of a version that is worse than the control to one that is not
 
-Flow: VMs count responses by route (`AnswerCounts`); `judge` evaluates each route and the total, and
-may be called at any time. The evidence is a mixture over effect sizes, so that repeated evaluation
-doesn't raise the rate of false positives (a mixture sequential probability ratio test).
+Flow: VMs count responses by route (`AnswerCounts`); `analyse` evaluates each route and the total,
+and may be called at any time. The evidence is a mixture over effect sizes, so that repeated
+evaluation doesn't raise the rate of false positives (a mixture sequential probability ratio test).
 
 Guard: one slow or failing old replica would make a bad version look as good as the old one, and all
 callers would be moved to it. So the control consists of the best old replicas that together gave
@@ -42,20 +42,20 @@
 CONTROL_SHARE: Final = 0.5
 """Smallest fraction of the old version's responses in the control."""
 
-LEAST_ANSWERS: Final = 5
+MIN_ANSWERS: Final = 5
 """Responses of the new version below which it is not found sound."""
 
 
 @attrs.frozen(kw_only=True)
-class Caution:
+class EvidenceLimits:
     """Evidence, of the total and of each route, below which a version is found sound."""
 
     overall: float
     by_route: float
 
 
-STRICT: Final = Caution(overall=0.05, by_route=0.7)
-LENIENT: Final = Caution(overall=0.5, by_route=1.5)
+STRICT: Final = EvidenceLimits(overall=0.05, by_route=0.7)
+LENIENT: Final = EvidenceLimits(overall=0.5, by_route=1.5)
 """LENIENT is for services with so few requests that a bad version can't exceed its exposure: STRICT
 would never get enough responses there."""
 
@@ -67,12 +67,12 @@
 class Verdict(enum.Enum):
     """The result of an evaluation."""
 
-    UNSURE = "unsure"
+    INCONCLUSIVE = "unsure"
     SOUND = "sound"
     BAD = "bad"
 
 
-def control_of(counts: AnswerCounts) -> tuple[int, int]:
+def control_counts(counts: AnswerCounts) -> tuple[int, int]:
     """Return the number of responses of the control, and the number of bad ones among them."""
     ranked = sorted(
         counts.old.values(), key=lambda one: (one[1] + _PRIOR_BAD) / (one[0] + _PRIOR_ANSWERS)
@@ -86,22 +86,22 @@
     return answers, bad
 
 
-def judge(routes: Mapping[str, AnswerCounts], caution: Caution = STRICT) -> Verdict:
+def analyse(routes: Mapping[str, AnswerCounts], caution: EvidenceLimits = STRICT) -> Verdict:
     """Return the verdict on the new version from the counts of all VMs so far, by route."""
     total = AnswerCounts()
     for counts in routes.values():
-        total.join(counts)
+        total.add_all(counts)
     overall = _evidence(total)
     by_route = [_evidence(counts) for counts in routes.values()]
     if max(overall, *by_route, 0.0) >= (1 + len(by_route)) / FALSE_POSITIVE_RATE:
         return Verdict.BAD
-    if total.new < LEAST_ANSWERS or overall >= caution.overall:
-        return Verdict.UNSURE
-    return Verdict.SOUND if max(by_route) < caution.by_route else Verdict.UNSURE
+    if total.new < MIN_ANSWERS or overall >= caution.overall:
+        return Verdict.INCONCLUSIVE
+    return Verdict.SOUND if max(by_route) < caution.by_route else Verdict.INCONCLUSIVE
 
 
 def _evidence(counts: AnswerCounts) -> float:
-    answers, bad = control_of(counts)
+    answers, bad = control_counts(counts)
     share = (bad + _PRIOR_BAD) / (answers + _PRIOR_ANSWERS)
     ratios = [
         _likelihood_ratio(counts, share, min(0.95, share + worse)) for worse in EXCESS_BAD_SHARES
--- a/libs/decisions/berylspindle_decisions/views.py
+++ b/libs/decisions/berylspindle_decisions/views.py
@@ -6,9 +6,9 @@
              may propose its removal
   unsettled  a removal of a member that had not released its rights before
 
-Flow: a proposer computes the next view with `with_joined` or `without` and writes it to the store
-by compare-and-swap on the previous epoch. For VMs that skip epochs, each view contains the epoch in
-which each member joined, and the epoch of the last unsettled removal.
+Flow: a proposer computes the next view with `with_joined` or `with_removed` and writes it to the
+store by compare-and-swap on the previous epoch. For VMs that skip epochs, each view contains the
+epoch in which each member joined, and the epoch of the last unsettled removal.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Collection, Iterable
 from typing import Final
 
-from berylspindle_decisions.rendezvous import first_of
+from berylspindle_decisions.rendezvous import top_members
 from berylspindle_model.topology import View, Vm
 
 # If a rack with a fifth of the data centre fails, three guardians fail together with their ward in
@@ -57,7 +57,7 @@
     )
 
 
-def without(view: View, vm_ids: Collection[str], *, released: bool) -> View:
+def with_removed(view: View, vm_ids: Collection[str], *, released: bool) -> View:
     """Return the next view, without these members; `released` if they have released their rights.
 
     Returns `view` itself if none of them is a member.
@@ -83,7 +83,7 @@
     A change of one member changes at most one guardian of a VM, so the others keep their state.
     """
     others = (vm for vm in view.members if vm.id != vm_id)
-    return first_of(f"guardian/{vm_id}", others, count)
+    return top_members(f"guardian/{vm_id}", others, count)
 
 
 def wards_of(view: View, vm_id: str, count: int = GUARDIANS) -> tuple[Vm, ...]:
--- a/libs/decisions/berylspindle_decisions/warmup.py
+++ b/libs/decisions/berylspindle_decisions/warmup.py
@@ -12,7 +12,7 @@
   baseline    the latency of the server while it was not slow, a moving average
 
 Flow: each outcome is reported to one `on_...` method; `WarmUp.cap` is read before each dispatch. A
-change of ownership hands over `Trust`; without it the new owner starts at the cold cap.
+change of ownership hands over `WarmUpState`; without it the new owner starts at the cold cap.
 
 Steps: one step up takes 30 successes and 0.25 s. With 10 successes the slowest servers fail 5 times
 in two minutes, with 30 they fail 3 times, and fast ones serve the same load; a burst of answers
@@ -91,14 +91,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class Trust:
+class WarmUpState:
     """Warm-up state that one owner hands over to the next.
 
-    `shown_ms` is the baseline latency, `step_factor` the factor on the successes of a step.
+    `baseline_ms` is the baseline latency, `step_factor` the factor on the successes of a step.
     """
 
     cap: int
-    shown_ms: float | None
+    baseline_ms: float | None
     step_factor: int = 1
 
 
@@ -131,9 +131,11 @@
         return self._cold_resets
 
     @property
-    def trust(self) -> Trust:
+    def trust(self) -> WarmUpState:
         """Return the state to hand over to the next owner."""
-        return Trust(cap=self._cap, shown_ms=self._baseline_ms, step_factor=self._step_factor)
+        return WarmUpState(
+            cap=self._cap, baseline_ms=self._baseline_ms, step_factor=self._step_factor
+        )
 
     def cap(self, now: float) -> int:
         """Return the maximum of concurrent requests, reset if the server was idle."""
@@ -197,11 +199,11 @@
         if changed and state is not ReportState.WARM:
             self._reset_to_cold(now)
 
-    def on_takeover(self, now: float, trust: Trust | None = None) -> None:
+    def on_takeover(self, now: float, trust: WarmUpState | None = None) -> None:
         """Start as a new owner, with the state handed over by the last one, if any."""
         self._start_step(now)
         self._slow.clear()
-        self._baseline_ms = trust.shown_ms if trust is not None else None
+        self._baseline_ms = trust.baseline_ms if trust is not None else None
         handed_factor = trust.step_factor if trust is not None else 1
         self._step_factor = max(1, min(handed_factor, self._options.max_caution))
         handed = trust.cap if trust is not None else self._cold
--- a/libs/decisions/berylspindle_decisions/watchers.py
+++ b/libs/decisions/berylspindle_decisions/watchers.py
@@ -30,11 +30,11 @@
 
 from berylspindle_decisions.rendezvous import weight
 
-LEAST: Final = 2
+MIN_WATCHERS: Final = 2
 FOLLOWERS_PER_WATCHER: Final = 16
 
 
-def watchers_of(
+def select_watchers(
     vms: Mapping[str, float], *, data_centre: str, unannounced: int = 0
 ) -> tuple[str, ...]:
     """Return the watchers among the VMs of a data centre, best first.
@@ -42,7 +42,7 @@
     `vms` is the capacity of each VM in cores (`relay_choice`); `unannounced` the number of further
     VMs, which have no entry in the store and can't be watchers.
     """
-    count = max(LEAST, math.ceil((len(vms) + unannounced) / FOLLOWERS_PER_WATCHER))
+    count = max(MIN_WATCHERS, math.ceil((len(vms) + unannounced) / FOLLOWERS_PER_WATCHER))
     ranked = sorted(
         vms, key=lambda name: (vms[name], weight(data_centre, name), name), reverse=True
     )
--- a/libs/decisions/berylspindle_decisions/weighted_turns.py
+++ b/libs/decisions/berylspindle_decisions/weighted_round_robin.py
@@ -18,7 +18,7 @@
 from berylspindle_model.routing import WeightedService
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Round robin over the services of one route; `rng` returns numbers in [0, 1)."""
 
     def __init__(self, targets: Sequence[WeightedService], rng: Callable[[], float]) -> None:
--- a/libs/forwarding/berylspindle_forwarding/attempt.py
+++ b/libs/forwarding/berylspindle_forwarding/attempt.py
@@ -6,7 +6,12 @@
 
 from berylspindle_decisions.hedged_request import AttemptRecord
 from berylspindle_forwarding.replica_registry import ReplicaHandle
-from berylspindle_wire.exchange import ExchangeConnection, ExchangeEnd, ExchangeReply, ExchangeSink
+from berylspindle_wire.exchange import (
+    ExchangeConnection,
+    ExchangeFailure,
+    ExchangeReply,
+    ExchangeSink,
+)
 
 
 class AttemptOwner(abc.ABC):
@@ -17,7 +22,7 @@
         """Handle a complete reply."""
 
     @abc.abstractmethod
-    def on_end(self, attempt: Attempt, end: ExchangeEnd) -> None:
+    def on_end(self, attempt: Attempt, end: ExchangeFailure) -> None:
         """Handle the end of the exchange without a reply."""
 
 
@@ -50,7 +55,7 @@
         self.waited_for_connection = False
         self.connection: ExchangeConnection | None = None
 
-    def on_carried(self, connection: ExchangeConnection) -> None:
+    def on_connection_assigned(self, connection: ExchangeConnection) -> None:
         """Store the connection that carries the request."""
         self.connection = connection
 
@@ -58,6 +63,6 @@
         """Pass a complete reply to the owner."""
         self._owner.on_reply(self, reply)
 
-    def on_end(self, end: ExchangeEnd) -> None:
+    def on_failure(self, end: ExchangeFailure) -> None:
         """Report the end of the exchange without a reply to the owner."""
         self._owner.on_end(self, end)
--- a/libs/forwarding/berylspindle_forwarding/attempt_policy.py
+++ b/libs/forwarding/berylspindle_forwarding/attempt_policy.py
@@ -1,7 +1,7 @@
 """Connect one request to shared replica state, retry budgets and latency statistics.
 
 Terms:
-  aim   a route's latency target (`aim_ms`); it is earlier than the deadline
+  aim   a route's latency target (`target_ms`); it is earlier than the deadline
 
 Flow: the forwarder creates one `ForwardContext`; each request gets a `RouteAttemptPolicy`, which
 selects replicas from the registry, applies the retry budget and the hedge delay, and updates
@@ -20,17 +20,17 @@
 from berylspindle_decisions.admission_controller import (
     AdmissionController,
     AdmissionRequest,
-    added_ms_of,
-    pressure_of,
-    return_after_ms,
+    min_queueing_delay_ms,
+    queueing_pressure,
+    retry_after_ms,
 )
-from berylspindle_decisions.answer_time import HedgeTimes, hedge_times
 from berylspindle_decisions.forward_policy import ForwardPolicy
 from berylspindle_decisions.hedged_request import AttemptPolicy
 from berylspindle_decisions.latency_profile import LatencyProfile
 from berylspindle_decisions.log_rate_limiter import LineKind, LogRateLimiter
-from berylspindle_decisions.reach import Reach
+from berylspindle_decisions.reachability import Reachability
 from berylspindle_decisions.replica_health import ReplicaHealth
+from berylspindle_decisions.response_timing import HedgeTiming, hedge_timing
 from berylspindle_decisions.shared_retry_budget import SharedBudgetOptions, SharedRetryBudget
 from berylspindle_forwarding.attempt import Attempt
 from berylspindle_forwarding.crash_watch import CrashWatch
@@ -43,7 +43,7 @@
 from berylspindle_telemetry import metric_names as names
 from berylspindle_telemetry.logs import logger
 from berylspindle_telemetry.metrics import Metrics
-from berylspindle_wire.exchange import EndKind, ExchangeEnd, ExchangeReply
+from berylspindle_wire.exchange import ExchangeFailure, ExchangeFailureKind, ExchangeReply
 
 NO_REPLICA_WAIT_S: Final = 0.25
 """Maximum wait for a usable replica, in seconds. A replica that has just disappeared is usually
@@ -77,7 +77,7 @@
 
     registry: ReplicaRegistry
     crashes: CrashWatch
-    reach: Reach
+    reach: Reachability
     dialect: Dialect
     metrics: Metrics
     now: Callable[[], float]
@@ -95,8 +95,8 @@
 
     def log_replica_change(self, message: str, **fields: str) -> None:
         """Log a change in the state of a replica, subject to the rate limit of log lines."""
-        if not self.log_limiter.may_write(self.now(), LineKind.BELIEF):
-            self.metrics.count(names.LOG_LEFT_OUT, kind=LineKind.BELIEF.value)
+        if not self.log_limiter.allow(self.now(), LineKind.SUSPICION):
+            self.metrics.count(names.LOG_LEFT_OUT, kind=LineKind.SUSPICION.value)
             return
         _LOG.info(message, extra=fields)
 
@@ -143,38 +143,44 @@
         self._times: Final = times
         self._profile: Final = context.profiles[route.name]
         self._unqueued_profile: Final = context.unqueued_profiles[route.name]
-        self._hedge: HedgeTimes | None = None
+        self._hedge: HedgeTiming | None = None
 
     @property
     def usual_ms(self) -> float:
         """Return the median latency of the route's sub-requests, or 0 if it isn't known yet."""
-        return self._profile.quantile(0.5) if self._profile.known else 0.0
+        return self._profile.quantile(0.5) if self._profile.has_enough_samples else 0.0
 
-    def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
+    def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         """Return the replica for an attempt, or None if none is usable."""
         if hedge and not self._context.policy.hedges:
             return None
-        if not (tried or hedge) and self._context.rollouts.takes_trial(service, u=random.random()):
-            on_trial = self._context.registry.pick_on_trial(service)
+        if not (tried or hedge) and self._context.rollouts.admit_to_trial(
+            service, uniform=random.random()
+        ):
+            on_trial = self._context.registry.pick_trial_replica(service)
             if on_trial is not None:
                 return on_trial.replica.id
         once = not self._route.repeatable
         avoided = tried | self._avoided
-        handle = self._context.registry.pick(service, tried=avoided, hedge=hedge, once=once)
+        handle = self._context.registry.pick(
+            service, tried=avoided, is_hedge=hedge, non_repeatable=once
+        )
         if handle is None and self._avoided:
-            handle = self._context.registry.pick(service, tried=tried, hedge=hedge, once=once)
+            handle = self._context.registry.pick(
+                service, tried=tried, is_hedge=hedge, non_repeatable=once
+            )
         return handle.replica.id if handle is not None else None
 
-    def may_take_extra(self, service: str, *, hedge: bool) -> bool:
+    def acquire_extra(self, service: str, *, hedge: bool) -> bool:
         """Return whether the retry budget allows one more attempt, and if so spend it."""
         now, budget = self._context.now(), self._context.retry_budget(service)
-        if not budget.may_take(now, vms=self._context.vms(), hedge=hedge):
+        if not budget.allows(now, vms=self._context.vms(), hedge=hedge):
             self._context.metrics.count(names.FORWARD_DENIED, reason="hedge" if hedge else "retry")
             return False
         budget.take(now)
         return True
 
-    def hedge_after(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         """Return the hedge delay in seconds for an attempt that is sent now."""
         return self._hedge_times().delay_ms / 1000
 
@@ -186,16 +192,16 @@
 
     def record_sent(self, now: float, attempt: Attempt, reason: str) -> None:
         """Record an attempt that is sent."""
-        attempt.expected_slowdown = attempt.handle.health.explained(now)
+        attempt.expected_slowdown = attempt.handle.health.queueing_factor(now)
         delay = attempt.record.hedge_at - attempt.record.sent_at
-        attempt.handle.health.sent(
+        attempt.handle.health.on_sent(
             attempt,
             late_at=attempt.record.hedge_at,
-            unexplained_at=now + delay * attempt.expected_slowdown,
+            overdue_at=now + delay * attempt.expected_slowdown,
         )
-        self._context.reach.tried(now, attempt.handle.replica.data_centre)
+        self._context.reach.on_attempt(now, attempt.handle.replica.data_centre)
         if now < attempt.handle.health.cold_until:
-            attempt.handle.note_cold_send(now)
+            attempt.handle.record_cold_request(now)
         self._context.metrics.count(names.FORWARD_ATTEMPTS, reason=reason)
 
     def record_load(self, now: float, handle: ReplicaHandle, reply: ExchangeReply) -> None:
@@ -206,7 +212,7 @@
         parts = text.split(",")
         if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
             running, waiting, slots = (int(part) for part in parts)
-            handle.health.reported(now, running=running, waiting=waiting, slots=slots)
+            handle.health.on_report(now, running=running, waiting=waiting, slots=slots)
 
     def record_reply(
         self,
@@ -218,42 +224,42 @@
     ) -> None:
         """Update replica health, latencies and rollout statistics from a complete reply."""
         health = attempt.handle.health
-        self._context.reach.heard(now, attempt.handle.replica.data_centre)
+        self._context.reach.on_contact(now, attempt.handle.replica.data_centre)
         self._context.metrics.count(names.FORWARD_REPLIES, kind=verdict.value)
         if verdict in (ReplyClass.ANSWER, ReplyClass.FINAL):
             ratio = self._ratio(attempt, elapsed_ms)
             self._record_version(now, attempt, elapsed_ms)
             self._profile.add(elapsed_ms)
             self._record_unqueued(attempt, elapsed_ms)
-            health.answered(now, attempt, ratio=ratio)
+            health.on_answer(now, attempt, latency_ratio=ratio)
         elif verdict is ReplyClass.REFUSED:
-            health.refused(now, attempt)
+            health.on_refusal(now, attempt)
         elif verdict is ReplyClass.MISDIRECTED:
-            health.withdrawn(attempt)
+            health.on_not_sent(attempt)
             self._context.log_replica_change(
                 "address belongs to another replica", replica=attempt.handle.replica.id
             )
-            self._context.registry.set_misplaced(attempt.handle)
+            self._context.registry.mark_misplaced(attempt.handle)
         else:
             if verdict is ReplyClass.FOREIGN:
-                self._context.registry.losses.lost(now, attempt.handle.replica.id)
+                self._context.registry.losses.on_loss(now, attempt.handle.replica.id)
             else:
                 self._record_version(now, attempt, None)
             self._record_failure(now, attempt, verdict.value)
 
-    def record_end(self, now: float, attempt: Attempt, end: ExchangeEnd) -> None:
+    def record_end(self, now: float, attempt: Attempt, end: ExchangeFailure) -> None:
         """Update replica health and loss reports from an attempt without a reply."""
         self._context.metrics.count(names.FORWARD_REPLIES, kind=end.kind.value)
-        if end.kind is EndKind.NOT_SENT:
-            attempt.handle.health.withdrawn(attempt)
+        if end.kind is ExchangeFailureKind.NOT_SENT:
+            attempt.handle.health.on_not_sent(attempt)
         else:
-            self._context.registry.losses.lost(now, attempt.handle.replica.id)
+            self._context.registry.losses.on_loss(now, attempt.handle.replica.id)
         self._record_failure(now, attempt, f"{end.kind.value} {end.detail}")
 
     def _record_failure(self, now: float, attempt: Attempt, reason: str) -> None:
         health = attempt.handle.health
-        was_held_off = health.is_held_off(now)
-        health.failed(now, attempt)
+        was_held_off = health.is_backing_off(now)
+        health.on_failure(now, attempt)
         if was_held_off:
             return
         self._context.log_replica_change(
@@ -269,9 +275,11 @@
         replica, ms = attempt.handle.replica, elapsed_ms / attempt.expected_slowdown
         is_cold = now < attempt.handle.health.cold_until
         sent_at = now - elapsed_ms / 1000
-        if not is_cold and self._context.reach.heard_since(replica.data_centre, sent_at):
-            self._context.rollouts.note_abandoned(replica, self._route.name, ms)
-        attempt.handle.health.given_up(now, attempt, ratio=self._ratio(attempt, elapsed_ms))
+        if not is_cold and self._context.reach.had_contact_since(replica.data_centre, sent_at):
+            self._context.rollouts.record_abandoned(replica, self._route.name, ms)
+        attempt.handle.health.on_abandoned(
+            now, attempt, latency_ratio=self._ratio(attempt, elapsed_ms)
+        )
 
     def _record_version(self, now: float, attempt: Attempt, elapsed_ms: float | None) -> None:
         """Count a reply for the version of its replica; `elapsed_ms` is None for a failure.
@@ -283,7 +291,7 @@
             return
         replica = attempt.handle.replica
         ms = None if elapsed_ms is None else elapsed_ms / attempt.expected_slowdown
-        self._context.rollouts.note_answer(replica, self._route.name, ms)
+        self._context.rollouts.record_answer(replica, self._route.name, ms)
 
     def _record_unqueued(self, attempt: Attempt, elapsed_ms: float) -> None:
         """Record the latency of an attempt as that of a replica without a queue.
@@ -295,35 +303,42 @@
         """
         if attempt.waited_for_connection:
             return
-        if attempt.expected_slowdown <= 1.0 or not self._unqueued_profile.known:
+        if attempt.expected_slowdown <= 1.0 or not self._unqueued_profile.has_enough_samples:
             self._unqueued_profile.add(elapsed_ms / attempt.expected_slowdown)
 
     def _ratio(self, attempt: Attempt, elapsed_ms: float) -> float:
         """Return a latency over the latency expected from a replica of normal speed."""
         expected_ms = self._hedge_times().usual_ms
-        if self._unqueued_profile.known:
+        if self._unqueued_profile.has_enough_samples:
             expected_ms = self._unqueued_profile.quantile(0.5)
         return elapsed_ms / max(expected_ms * attempt.expected_slowdown, 0.1)
 
     def admission_refusal(self, services: Sequence[str]) -> Refusal | None:
         """Return a refusal if admission control rejects the request, else None."""
         now = self._context.now()
-        usual_ms = self._unqueued_profile.quantile(0.5) if self._unqueued_profile.known else 0.0
+        usual_ms = (
+            self._unqueued_profile.quantile(0.5)
+            if self._unqueued_profile.has_enough_samples
+            else 0.0
+        )
         added_ms = [
-            added_ms_of(self._healths(service), now, usual_ms=usual_ms) for service in services
+            min_queueing_delay_ms(self._healths(service), now, usual_ms=usual_ms)
+            for service in services
         ]
         shard_set = self._route.shard_set
-        least = shard_set.least if shard_set is not None else len(services)
+        least = shard_set.min_shards if shard_set is not None else len(services)
         aim_ms = (self._times.aim_cutoff - self._times.started) * 1000
         left_ms = (self._times.deadline - now) * 1000
         request = AdmissionRequest(
             group=services[0],
             priority=self._route.priority,
-            pressure=pressure_of(added_ms, least=least, aim_ms=aim_ms),
+            pressure=queueing_pressure(added_ms, min_parts=least, target_ms=aim_ms),
         )
-        if self._context.admission.admits(now, request, u=random.random()):
+        if self._context.admission.admit(now, request, uniform=random.random()):
             return None
-        wait = return_after_ms(added_ms=max(added_ms), left_ms=left_ms, u=random.random())
+        wait = retry_after_ms(
+            queueing_delay_ms=max(added_ms), left_ms=left_ms, uniform=random.random()
+        )
         return Refusal(
             ErrorKind.OVERLOADED,
             f"queueing delay is {request.pressure:.2f} times the latency target",
@@ -337,13 +352,16 @@
     def lacks_reachable_shards(self) -> bool:
         """Return whether a VM that is cut off reaches too few of the route's shards to answer."""
         shard_set = self._route.shard_set
-        if shard_set is None or not self._context.reach.is_cut_off(self._context.now()):
+        if shard_set is None or not self._context.reach.is_isolated(self._context.now()):
             return False
-        return sum(map(self._context.registry.has_at_home, shard_set.shards)) < shard_set.least
+        return (
+            sum(map(self._context.registry.has_local_replica, shard_set.shards))
+            < shard_set.min_shards
+        )
 
     def no_replica_wait_s(self) -> float:
         """Return how long to wait for a usable replica, in seconds."""
-        if not self._context.policy.wait_for_replica or self._context.reach.is_cut_off(
+        if not self._context.policy.wait_for_replica or self._context.reach.is_isolated(
             self._context.now()
         ):
             return 0.0
@@ -357,7 +375,7 @@
         """
         left_ms = (self._times.deadline - now) * 1000
         wait_ms: float = RETRY_AFTER_MS
-        if self._context.reach.is_cut_off(now):
+        if self._context.reach.is_isolated(now):
             wait_ms = self._context.until_rerouted(now) * 1000
         return int(max(0.0, min(wait_ms, left_ms / 3)))
 
@@ -365,8 +383,8 @@
         """Return the end-to-end headers of a reply."""
         return tuple((n, v) for n, v in reply.headers if n not in HOP_HEADERS)
 
-    def _hedge_times(self) -> HedgeTimes:
+    def _hedge_times(self) -> HedgeTiming:
         now = self._context.now()
         aim_left_ms = (self._times.aim_cutoff - now) * 1000
         aim_ms = (self._times.aim_cutoff - self._times.started) * 1000
-        return hedge_times(self._profile, aim_left_ms=aim_left_ms, aim_ms=aim_ms)
+        return hedge_timing(self._profile, target_left_ms=aim_left_ms, target_ms=aim_ms)
--- a/libs/forwarding/berylspindle_forwarding/catalogue.py
+++ b/libs/forwarding/berylspindle_forwarding/catalogue.py
@@ -15,7 +15,7 @@
 applied only if the entry has not been written again. An entry that can't be read is ignored and
 affects no other entry. If the store stops responding while a watch is pending, the watch is neither
 answered nor is its connection closed, and would hide all changes for as long as it may wait. So a
-pending watch is aborted as soon as any other call is not answered (`doubt`).
+pending watch is aborted as soon as any other call is not answered (`abort_store_watch`).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     RolloutStatus,
 )
 from berylspindle_model.routing import Replica, RoutingTable
-from berylspindle_store.store import StoreAway, StoredValue, StoreUnsure, WatchResult
+from berylspindle_store.store import StoredValue, StoreOutcomeUnknown, StoreUnavailable, WatchResult
 
 STORE_WATCH_WAIT_S: Final = 28.0
 """Longest wait of a watch, in seconds: the store's maximum, less the round-trip time."""
@@ -84,11 +84,11 @@
 
 
 @attrs.frozen
-class OutChange:
+class DataCentreExclusionChange:
     """A data centre was excluded, or included again."""
 
     data_centre: str
-    is_out: bool
+    is_excluded: bool
 
 
 @attrs.frozen(kw_only=True)
@@ -128,7 +128,7 @@
 
 
 @attrs.frozen
-class OrderChange:
+class RolloutOrderChange:
     """The operator has ordered a rollout, or the order was deleted."""
 
     service: str
@@ -136,7 +136,7 @@
 
 
 @attrs.frozen
-class StatusChange:
+class RolloutStatusChange:
     """The status of a rollout was reported to the operator, or the entry was deleted."""
 
     service: str
@@ -144,7 +144,7 @@
 
 
 @attrs.frozen
-class ShiftChange:
+class RolloutShiftChange:
     """All requests to a service go to the new version, or the entry was deleted."""
 
     service: str
@@ -152,7 +152,7 @@
 
 
 @attrs.frozen
-class AnswersChange:
+class RolloutAnswersChange:
     """A data centre has recorded the responses of a rollout, or the entry was deleted."""
 
     service: str
@@ -160,11 +160,11 @@
     answers: RolloutAnswers | None
 
 
-RolloutChange = OrderChange | StatusChange | ShiftChange | AnswersChange
+RolloutChange = RolloutOrderChange | RolloutStatusChange | RolloutShiftChange | RolloutAnswersChange
 
 
 @attrs.frozen
-class Unreadable:
+class UnreadableEntry:
     """An entry that can't be decoded; the reason is logged."""
 
     key: str
@@ -172,7 +172,13 @@
 
 
 Change = (
-    TableChange | ReplicaChange | OutChange | VmChange | SuspectChange | RolloutChange | Unreadable
+    TableChange
+    | ReplicaChange
+    | DataCentreExclusionChange
+    | VmChange
+    | SuspectChange
+    | RolloutChange
+    | UnreadableEntry
 )
 
 
@@ -186,15 +192,15 @@
 
     @property
     @abc.abstractmethod
-    def parts(self) -> tuple[str, ...]:
+    def list_prefixes(self) -> tuple[str, ...]:
         """Return the prefixes to list at the start, which cover all relevant keys."""
 
     @abc.abstractmethod
-    def is_vm(self, key: str) -> bool:
+    def is_vm_key(self, key: str) -> bool:
         """Return whether a key belongs to a VM's entry."""
 
     @abc.abstractmethod
-    def read(self, entry: StoredValue) -> Change | None:
+    def decode(self, entry: StoredValue) -> Change | None:
         """Decode an entry; return None for one that is not relevant to the catalogue."""
 
 
@@ -210,11 +216,11 @@
         """Handle the end of a complete list."""
 
     @abc.abstractmethod
-    def on_told_cut_off(self, cut_off: bool, source: object) -> None:
+    def on_peer_isolation(self, cut_off: bool, source: object) -> None:
         """Handle a report of whether the VM of the followed mirror, `source`, is cut off."""
 
     @abc.abstractmethod
-    def on_store(self, reached: bool, detail: str) -> None:
+    def on_store_reachability(self, reached: bool, detail: str) -> None:
         """Handle whether the store answered; `detail` is the error if not."""
 
 
@@ -229,25 +235,25 @@
         mirror: Mirror,
         *,
         first_start: bool = False,
-        is_used: Callable[[], bool],
+        has_recent_requests: Callable[[], bool],
         now: Callable[[], float],
-        u: Callable[[], float],
+        uniform: Callable[[], float],
     ) -> None:
         self._selector: Final = selector
         self._reader: Final = reader
         self._listener: Final = listener
         self._mirror: Final = mirror
         self._cached_lists_left = STARTUP_LISTS if first_start else 1
-        self._has_recent_requests: Final = is_used
+        self._has_recent_requests: Final = has_recent_requests
         self._now: Final = now
-        self._uniform: Final = u
+        self._uniform: Final = uniform
         self._revisions: dict[str, int] = {}
         self._deferred_deletions: dict[str, StoredValue] = {}
         self._settled_at = 0.0
         self._vms_settled_at = 0.0
         self._watch_timeout: asyncio.Timeout | None = None
 
-    def doubt(self) -> None:
+    def abort_store_watch(self) -> None:
         """Abort a pending watch of the store and retry."""
         if self._watch_timeout is not None:
             self._watch_timeout.reschedule(asyncio.get_running_loop().time())
@@ -260,11 +266,11 @@
             upstream = self._selector.pick()
             try:
                 after = await self._step(upstream, after)
-            except (StoreAway, StoreUnsure) as error:
+            except (StoreUnavailable, StoreOutcomeUnknown) as error:
                 await self._selector.record_failure(upstream)
                 if not upstream.is_mirror:
                     self._mirror.set_in_sync(False)
-                    self._listener.on_store(False, str(error))
+                    self._listener.on_store_reachability(False, str(error))
                 await asyncio.sleep(pause * (0.5 + self._uniform()))
                 pause = min(RETRY_MAX_S, 2 * pause)
                 continue
@@ -290,7 +296,7 @@
     async def _list(self, upstream: Upstream, *, cached: bool = False) -> int:
         revision: int | None = None
         found: dict[str, StoredValue] = {}
-        for part in self._reader.parts:
+        for part in self._reader.list_prefixes:
             if cached:
                 listed = await upstream.store.list_cached(part)
             else:
@@ -331,7 +337,9 @@
             async with asyncio.timeout(None) as self._watch_timeout:
                 return await upstream.store.watch(self._reader.prefix, after=after, wait=wait)
         except TimeoutError as error:
-            raise StoreAway("watch aborted: another call to the store was not answered") from error
+            raise StoreUnavailable(
+                "watch aborted: another call to the store was not answered"
+            ) from error
         finally:
             self._watch_timeout = None
 
@@ -349,9 +357,9 @@
         self._mirror.set_settled_at(self._settled_at)
         self._mirror.set_in_sync(not upstream.behind_ms and not upstream.is_fallback)
         if upstream.is_mirror:
-            self._listener.on_told_cut_off(upstream.cut_off, upstream.store)
+            self._listener.on_peer_isolation(upstream.cut_off, upstream.store)
         else:
-            self._listener.on_store(True, "")
+            self._listener.on_store_reachability(True, "")
         await self._selector.record_success(upstream)
 
     def _apply(self, entry: StoredValue) -> None:
@@ -374,7 +382,7 @@
         self._notify(entry)
 
     def _settles_at(self, key: str) -> float:
-        return self._vms_settled_at if self._reader.is_vm(key) else self._settled_at
+        return self._vms_settled_at if self._reader.is_vm_key(key) else self._settled_at
 
     def _apply_settled_deletions(self) -> None:
         if not self._deferred_deletions:
@@ -386,6 +394,6 @@
             self._notify(self._deferred_deletions.pop(key))
 
     def _notify(self, entry: StoredValue) -> None:
-        change = self._reader.read(entry)
+        change = self._reader.decode(entry)
         if change is not None:
             self._listener.on_change(change)
--- a/libs/forwarding/berylspindle_forwarding/crash_watch.py
+++ b/libs/forwarding/berylspindle_forwarding/crash_watch.py
@@ -6,11 +6,11 @@
   strike       a crash that counts against a fingerprint
   record       the strikes of a fingerprint (`decisions.quarantine`), as VMs share them
 
-Flow: `lost` is called for each attempt that ended with its connection. A new connection shows
-whether the replica has crashed or only the response was lost. Records are stored one key each under
-a lease, and every VM applies them with `merge`. `mode` returns how a request may run. A suspect
-first runs once as a canary, on a single shard and on a replica that it has not crashed yet: a
-replica that keeps crashing by itself would prove nothing.
+Flow: `record_connection_loss` is called for each attempt that ended with its connection. A new
+connection shows whether the replica has crashed or only the response was lost. Records are stored
+one key each under a lease, and every VM applies them with `merge`. `run_mode` returns how a request
+may run. A suspect first runs once as a canary, on a single shard and on a replica that it has not
+crashed yet: a replica that keeps crashing by itself would prove nothing.
 
 Guards: the records that a VM writes are limited to `MAX_WRITES` in `WRITE_WINDOW_S`, and each
 expires with its lease. While the store is unavailable other VMs receive the records late, but this
@@ -73,7 +73,7 @@
         self._write_times: Final[deque[float]] = deque()
         self._log: Final = logger("crashes")
 
-    def mode(self, request: ForwardRequest) -> RunMode | Refusal:
+    def run_mode(self, request: ForwardRequest) -> RunMode | Refusal:
         """Return how a request may run; CANARY reserves the single canary of a suspect."""
         if self._quarantine.is_empty:
             return RunMode.PLAIN
@@ -83,20 +83,22 @@
         wait_ms = mode.retry_after_ms or RETRY_AFTER_MS
         return Refusal(mode.kind, mode.detail, RunState.NOT_RUN, retry_after_ms=wait_ms)
 
-    def crashed(self, request: ForwardRequest) -> frozenset[str]:
+    def crashed_replicas(self, request: ForwardRequest) -> frozenset[str]:
         """Return the replicas that crashed under a request."""
         return self._quarantine.servers(self._now(), fingerprint_of(request))
 
-    def answered(self, request: ForwardRequest) -> None:
+    def record_success(self, request: ForwardRequest) -> None:
         """Record that replicas ran a request without a crash."""
         if not self._quarantine.is_empty:
             self._quarantine.on_success(self._now(), fingerprint_of(request))
 
-    def unsettled(self, request: ForwardRequest) -> None:
+    def record_inconclusive(self, request: ForwardRequest) -> None:
         """Record that a canary ended with neither a response nor a crash."""
-        self._quarantine.on_unsettled(fingerprint_of(request))
+        self._quarantine.on_inconclusive(fingerprint_of(request))
 
-    def lost(self, request: ForwardRequest, handle: ReplicaHandle, *, elapsed_ms: float) -> None:
+    def record_connection_loss(
+        self, request: ForwardRequest, handle: ReplicaHandle, *, elapsed_ms: float
+    ) -> None:
         """Handle a connection that broke under an attempt sent `elapsed_ms` ago."""
         self._spawn(self._check_for_crash(fingerprint_of(request), handle, elapsed_ms))
 
@@ -123,7 +125,9 @@
             return
         now = self._now()
         elapsed_ms += (now - lost_at) * 1000
-        self._quarantine.on_lost(now, fingerprint, handle.replica.id, elapsed_ms=elapsed_ms)
+        self._quarantine.on_connection_lost(
+            now, fingerprint, handle.replica.id, elapsed_ms=elapsed_ms
+        )
         if not self._key_prefix or fingerprint in self._pending_records:
             return
         self._pending_records.add(fingerprint)
--- a/libs/forwarding/berylspindle_forwarding/failure_cause.py
+++ b/libs/forwarding/berylspindle_forwarding/failure_cause.py
@@ -16,12 +16,12 @@
 
 import attrs
 
-from berylspindle_decisions.hedged_request import LossReason
+from berylspindle_decisions.hedged_request import GiveUpReason
 from berylspindle_forwarding.reply_check import ReplyClass
 from berylspindle_forwarding.request_trace import RequestTrace, Step, StepKind
 from berylspindle_model.causes import Cause
 from berylspindle_model.errors import ErrorKind, Refusal
-from berylspindle_wire.exchange import EndKind
+from berylspindle_wire.exchange import ExchangeFailureKind
 
 LITTLE_TIME_FACTOR: Final = 2.0
 """Time left on arrival, in median latencies, below which replicas are not at fault: half of all
@@ -102,7 +102,7 @@
 
 
 def _cause_of_loss(lost: Step, trace: RequestTrace) -> Cause:
-    if lost.label is LossReason.EXTRA_SPENT:
+    if lost.label is GiveUpReason.RETRY_BUDGET_EXHAUSTED:
         return Cause.RETRY_BUDGET_SPENT
     steps = [step for step in trace.steps if step.service == lost.service]
     return _last_cause(steps, default=Cause.NO_USABLE_REPLICA)
@@ -131,7 +131,9 @@
     if step.kind is StepKind.REPLIED:
         return _BY_VERDICT.get(step.label)  # type: ignore[call-overload,no-any-return]
     if step.kind is StepKind.ENDED:
-        return Cause.UNREACHABLE if step.label is EndKind.NOT_SENT else Cause.ANSWER_LOST
+        return (
+            Cause.UNREACHABLE if step.label is ExchangeFailureKind.NOT_SENT else Cause.ANSWER_LOST
+        )
     return None
 
 
--- a/libs/forwarding/berylspindle_forwarding/forward_daemon.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_daemon.py
@@ -70,7 +70,8 @@
     """The edges of one daemon.
 
     Attributes:
-        callers: where callers' requests arrive; `bound` is a socket that already listens there.
+        callers: where callers' requests arrive; `listening_socket` is a socket that already listens
+            there.
         ready: where the balancer checks readiness, or None; `ready_path` is the path of the check.
         metrics: where metrics are read, or None; `metrics_path` likewise.
         peers: where other VMs read this one's mirror, or None.
@@ -112,13 +113,13 @@
             on_fault=self._on_fault,
             read=read_raw_head,
             refuse=self._refuse_unread,
-            bound=self._edges.bound,
+            listening_socket=self._edges.bound,
         )
         self._stack.push_async_callback(self._callers.close, 0.0)
         self._forwarder.on_limits = self._set_limits
-        self._forwarder.on_cut_off = self._callers.ask_to_go
+        self._forwarder.on_cut_off = self._callers.set_connection_close
         if self._edges.peers is not None:
-            await self._serve_edge(self._edges.peers, self._forwarder.mirror.answer)
+            await self._serve_edge(self._edges.peers, self._forwarder.mirror.handle)
         if self._edges.ready is not None:
             await self._serve_edge(self._edges.ready, self._answer_ready)
         if self._edges.metrics is not None:
@@ -174,7 +175,7 @@
     def _refuse_unread(self, refusal: Refusal) -> HttpResponse:
         """Answer input that never became a request, or that the shutdown interrupted."""
         self._metrics.count(names.FORWARD_REQUESTS, route="-", result=refusal.kind.value)
-        if self._log_limiter.may_write(asyncio.get_running_loop().time(), LineKind.REFUSED):
+        if self._log_limiter.allow(asyncio.get_running_loop().time(), LineKind.REFUSED):
             self._log.info(
                 "request refused before it was read",
                 extra={"kind": refusal.kind.value, "detail": refusal.detail},
--- a/libs/forwarding/berylspindle_forwarding/forward_options.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_options.py
@@ -10,7 +10,7 @@
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_forwarding.replica_pool import PoolOptions
 from berylspindle_forwarding.replica_registry import ColdBounds
-from berylspindle_forwarding.rollout_keeper import RolloutEntries
+from berylspindle_forwarding.rollout_controller import RolloutEntries
 from berylspindle_forwarding.upstream_selector import MirrorAddress
 
 
--- a/libs/forwarding/berylspindle_forwarding/forward_parts.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_parts.py
@@ -6,13 +6,13 @@
 import random
 from collections.abc import Callable
 
-from berylspindle_decisions.reach import Reach
+from berylspindle_decisions.reachability import Reachability
 from berylspindle_forwarding.catalogue import VmEntry
 from berylspindle_forwarding.forward_options import ForwardOptions
 from berylspindle_forwarding.mirror import Mirror
 from berylspindle_forwarding.relay import Relay
 from berylspindle_forwarding.replica_registry import ReplicaRegistry
-from berylspindle_forwarding.rollout_keeper import RolloutKeeper
+from berylspindle_forwarding.rollout_controller import RolloutController
 from berylspindle_forwarding.rollouts import Rollouts
 from berylspindle_forwarding.vm_announcer import VmAnnouncer
 from berylspindle_forwarding.vm_registry import VmRegistry
@@ -22,20 +22,24 @@
 
 
 def make_registry(
-    options: ForwardOptions, vms: VmRegistry, reach: Reach, rollouts: Rollouts, metrics: Metrics
+    options: ForwardOptions,
+    vms: VmRegistry,
+    reach: Reachability,
+    rollouts: Rollouts,
+    metrics: Metrics,
 ) -> ReplicaRegistry:
     """Create the replica registry."""
     return ReplicaRegistry(
         data_centre=options.data_centre,
         now=asyncio.get_running_loop().time,
-        u=random.random,
-        vms=lambda: vms.alike,
+        uniform=random.random,
+        share_divisor=lambda: vms.share_divisor,
         pool_options=options.pool,
         cold=options.cold,
         reach=reach,
         on_opened=lambda: metrics.count(names.FORWARD_CONNECTIONS, reason="needed"),
         policy=options.policy,
-        version_rule=rollouts.rule,
+        version_rule=rollouts.version_rule,
     )
 
 
@@ -43,14 +47,14 @@
     options: ForwardOptions,
     vms: VmRegistry,
     registry: ReplicaRegistry,
-    reach: Reach,
+    reach: Reachability,
     metrics: Metrics,
 ) -> Relay:
     """Create the relay to VMs that merge searches."""
     return Relay(
         bears=options.bears,
         data_centre=options.data_centre,
-        vms=vms.mergers,
+        vms=vms.merge_candidates,
         registry=registry,
         reach=reach,
         dialect=options.dialect,
@@ -61,26 +65,26 @@
     )
 
 
-def make_keeper(
+def make_rollout_controller(
     options: ForwardOptions,
     store: Store,
     rollouts: Rollouts,
     registry: ReplicaRegistry,
     mirror: Mirror,
     *,
-    is_keeper: Callable[[], bool],
-) -> RolloutKeeper | None:
-    """Create the keeper of rollouts, or return None if rollouts are disabled."""
+    is_controller: Callable[[], bool],
+) -> RolloutController | None:
+    """Create the rollout controller, or return None if rollouts are disabled."""
     if options.rollout_entries is None:
         return None
-    return RolloutKeeper(
+    return RolloutController(
         rollouts,
         store,
         options.rollout_entries,
         data_centre=options.data_centre,
-        entry=mirror.entry,
+        stored_entry=mirror.get,
         versions=registry.versions,
-        is_keeper=is_keeper,
+        is_controller=is_controller,
         now=asyncio.get_running_loop().time,
     )
 
@@ -109,10 +113,10 @@
         key=options.announce_key,
         entry=entry,
         followers=mirror.followers,
-        is_needed=lambda: vms.needs_me(options.announced_here),
-        known=lambda: mirror.entry(options.announce_key),
+        is_needed=lambda: vms.is_announcement_needed(options.announced_here),
+        stored_entry=lambda: mirror.get(options.announce_key),
         listed=listed,
         on_failure=on_failure,
         is_watcher=lambda: not vms.watchers(),
-        u=random.random,
+        uniform=random.random,
     )
--- a/libs/forwarding/berylspindle_forwarding/forwarder.py
+++ b/libs/forwarding/berylspindle_forwarding/forwarder.py
@@ -14,22 +14,22 @@
 from typing import Final
 
 from berylspindle_decisions.admission_controller import AdmissionController
-from berylspindle_decisions.forward_policy import switched_off
-from berylspindle_decisions.quarantine import FirstSeen, Quarantine, QuarantineOptions
-from berylspindle_decisions.reach import Reach
+from berylspindle_decisions.forward_policy import disabled_switches
+from berylspindle_decisions.quarantine import FirstSeenPolicy, Quarantine, QuarantineOptions
+from berylspindle_decisions.reachability import Reachability
 from berylspindle_forwarding.attempt_policy import ForwardContext
 from berylspindle_forwarding.catalogue import (
-    AnswersChange,
     Catalogue,
     CatalogueListener,
     CatalogueReader,
     Change,
-    OutChange,
+    DataCentreExclusionChange,
     ReplicaChange,
+    RolloutAnswersChange,
     RolloutChange,
     SuspectChange,
     TableChange,
-    Unreadable,
+    UnreadableEntry,
     VmChange,
 )
 from berylspindle_forwarding.crash_watch import CrashWatch
@@ -37,14 +37,14 @@
 from berylspindle_forwarding.forward_options import ForwardOptions
 from berylspindle_forwarding.forward_parts import (
     make_announcer,
-    make_keeper,
     make_registry,
     make_relay,
+    make_rollout_controller,
 )
 from berylspindle_forwarding.front import Front
+from berylspindle_forwarding.isolation_monitor import IsolationMonitor
 from berylspindle_forwarding.mirror import Mirror, pack_losses
-from berylspindle_forwarding.outside import Outside
-from berylspindle_forwarding.rollout_changes import show_answers, take_change
+from berylspindle_forwarding.rollout_changes import apply_change, update_answer_metrics
 from berylspindle_forwarding.rollouts import Rollouts
 from berylspindle_forwarding.upstream_selector import UpstreamSelector
 from berylspindle_forwarding.vm_probe import Prober
@@ -77,8 +77,8 @@
         self.vms: Final = VmRegistry(
             vm=options.vm,
             data_centre=options.data_centre,
-            bears=options.bears,
-            peers=options.peers,
+            capacity=options.bears,
+            own_mirror=options.peers,
             seeds=options.seeds,
             expected_vms=options.expected_vms,
         )
@@ -88,17 +88,17 @@
         self._store_reached: bool | None = None
         self.table_version = 0
         self.on_limits: Callable[[HttpLimits], None] = lambda limits: None
-        self._reach: Final = Reach(options.data_centre)
+        self._reach: Final = Reachability(options.data_centre)
         self.on_cut_off: Callable[[bool], None] = lambda cut_off: None
         self.rollouts: Final = Rollouts(
             options.exposure,
             now=loop.time,
-            on_change=lambda: self.registry.follow_versions(),
+            on_change=lambda: self.registry.invalidate_candidates(),
             dither=random.random(),
         )
         self.registry: Final = make_registry(options, self.vms, self._reach, self.rollouts, metrics)
         self._crashes: Final = CrashWatch(
-            Quarantine(QuarantineOptions(first_seen=FirstSeen.NEVER, suspect_s=SUSPECT_S)),
+            Quarantine(QuarantineOptions(first_seen=FirstSeenPolicy.NEVER, suspect_s=SUSPECT_S)),
             store,
             key_prefix=options.suspects_prefix,
             now=loop.time,
@@ -110,8 +110,8 @@
             dialect=options.dialect,
             metrics=metrics,
             now=loop.time,
-            vms=lambda: self.vms.alike,
-            until_rerouted=lambda now: self._outside.until_elsewhere(now),
+            vms=lambda: self.vms.share_divisor,
+            until_rerouted=lambda now: self._isolation_monitor.failover_delay(now),
             budget_options=options.extra,
             started=loop.time(),
             policy=options.policy,
@@ -120,40 +120,40 @@
         )
         self._relay: Final = make_relay(options, self.vms, self.registry, self._reach, metrics)
         self.front: Final = Front(self._context, self._relay, self._accepts_relayed)
-        self._outside: Final = Outside(
+        self._isolation_monitor: Final = IsolationMonitor(
             self._reach,
             self.registry,
             data_centre=options.data_centre,
-            vms=lambda: self.vms.entries,
+            known_vms=lambda: self.vms.entries,
             table=lambda: self.front.table,
-            watches=lambda: not self.vms.watchers(),
-            is_followed=self.vms.is_watcher,
+            probes_when_idle=lambda: not self.vms.watchers(),
+            has_followers=self.vms.is_watcher,
             prober=Prober(self._upstream_report, self._on_losses),
             now=loop.time,
             on_change=self._on_cut_off_change,
         )
         self.mirror: Final = Mirror(loop.time)
         self.mirror.losses = self.registry.losses
-        self.mirror.on_rollouts = self._on_rollouts
-        self._choice: Final = UpstreamSelector(
+        self.mirror.on_rollout_report = self._on_rollouts
+        self._upstream_selector: Final = UpstreamSelector(
             store,
             mirrors=self.vms.mirrors,
             now=loop.time,
             rng=random.Random(),
             watchers=self.vms.watchers,
-            vms_here=self.vms.size_here,
-            introduction=self._upstream_report,
+            local_vm_count=self.vms.local_vm_count,
+            extra_query=self._upstream_report,
             on_losses=self._on_losses,
         )
         self._catalogue: Final = Catalogue(
-            self._choice,
+            self._upstream_selector,
             reader,
             self,
             self.mirror,
             first_start=options.first_start,
-            is_used=self._has_recent_requests,
+            has_recent_requests=self._has_recent_requests,
             now=loop.time,
-            u=random.random,
+            uniform=random.random,
         )
         self._announcer: Final = make_announcer(
             options,
@@ -163,15 +163,15 @@
             listed=self._listed,
             on_failure=self._on_announce_failed,
         )
-        self._keeper: Final = make_keeper(
+        self._rollout_controller: Final = make_rollout_controller(
             options,
             store,
             self.rollouts,
             self.registry,
             self.mirror,
-            is_keeper=lambda: self._choice.follows_store,
+            is_controller=lambda: self._upstream_selector.follows_store,
         )
-        if off := switched_off(options.policy):
+        if off := disabled_switches(options.policy):
             self._log.warning("decisions switched off", extra={"switches": ", ".join(off)})
         metrics.gauge_function(names.REPLICAS_KNOWN, lambda: len(self.registry))
 
@@ -186,7 +186,7 @@
             return Refusal(ErrorKind.SHUTTING_DOWN)
         if not self._listed.is_set() or self.table_version == 0:
             return Refusal(ErrorKind.NOT_READY)
-        if self._outside.is_cut_off:
+        if self._isolation_monitor.is_cut_off:
             return Refusal(ErrorKind.NO_REPLICA, "cut off from other data centres")
         return None
 
@@ -198,11 +198,11 @@
         """Apply catalogue changes and keep this VM announced until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._catalogue.run())
-            tasks.create_task(self._outside.run())
+            tasks.create_task(self._isolation_monitor.run())
             if self._announcer is not None:
                 tasks.create_task(self._announcer.run())
-            if self._keeper is not None:
-                tasks.create_task(self._keeper.run())
+            if self._rollout_controller is not None:
+                tasks.create_task(self._rollout_controller.run())
 
     async def leave(self) -> None:
         """Withdraw this VM's announcement."""
@@ -211,9 +211,9 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._choice.close()
+        await self._upstream_selector.close()
         await self._crashes.close()
-        await self._outside.close()
+        await self._isolation_monitor.close()
         await self._relay.close()
         await self.registry.close()
 
@@ -223,13 +223,13 @@
             self._set_table(change)
         elif isinstance(change, ReplicaChange):
             self._update_replica(change)
-        elif isinstance(change, OutChange):
+        elif isinstance(change, DataCentreExclusionChange):
             self._set_out(change)
         elif isinstance(change, VmChange):
             self._update_vm(change)
         elif isinstance(change, SuspectChange):
             self._crashes.merge(change.record)
-        elif isinstance(change, Unreadable):
+        elif isinstance(change, UnreadableEntry):
             self._log_unreadable(change)
         else:
             self._on_rollout(change)
@@ -243,11 +243,11 @@
             )
         self._listed.set()
 
-    def on_told_cut_off(self, cut_off: bool, source: object) -> None:
+    def on_peer_isolation(self, cut_off: bool, source: object) -> None:
         """Record whether the upstream VM reports itself cut off."""
-        self._outside.told(cut_off, source=source)
+        self._isolation_monitor.record_peer_report(cut_off, source=source)
 
-    def on_store(self, reached: bool, detail: str) -> None:
+    def on_store_reachability(self, reached: bool, detail: str) -> None:
         """Record whether the store answers, and log each change."""
         if reached == self._store_reached:
             return
@@ -308,14 +308,14 @@
         self.on_cut_off(cut_off)
 
     def _update_vm(self, change: VmChange) -> None:
-        self.vms.take(change)
+        self.vms.apply(change)
         message = "VM announced" if change.vm is not None else "VM gone"
         self._log_entry(message, id=change.id, vms=len(self.vms))
 
     def _on_rollout(self, change: RolloutChange) -> None:
-        take_change(self.rollouts, change, is_new=self._listed.is_set())
-        if isinstance(change, AnswersChange):
-            show_answers(self._metrics, self.rollouts, change.service)
+        apply_change(self.rollouts, change, is_new=self._listed.is_set())
+        if isinstance(change, RolloutAnswersChange):
+            update_answer_metrics(self._metrics, self.rollouts, change.service)
             return
         stage = self.rollouts.stage(change.service)
         self._log_entry("rollout updated", service=change.service, stage=stage.value)
@@ -324,7 +324,7 @@
         """Return the query fields that this VM sends to its upstream VM."""
         fields: dict[str, str] = {}
         for_others = self.vms.is_watcher() and bool(self.vms.watchers())
-        if report := self.rollouts.report(for_others=for_others):
+        if report := self.rollouts.report(include_reports=for_others):
             fields |= {"vm": self._options.vm, "rollouts": report}
         if losses := self.registry.losses.report(asyncio.get_running_loop().time()):
             fields["losses"] = pack_losses(losses)
@@ -339,7 +339,7 @@
 
     def _on_rollouts(self, vm: str, report: str) -> None:
         try:
-            self.rollouts.take_report(vm, report)
+            self.rollouts.merge_report(vm, report)
         except codec.MalformedError as error:
             self._log.warning(
                 "ignored unreadable rollout report", extra={"vm": vm, "detail": str(error)}
@@ -352,16 +352,16 @@
     def _on_announce_failed(self, detail: str) -> None:
         self._metrics.count(names.ANNOUNCE_FAILED)
         self._log.debug("announcement of this VM failed", extra={"detail": detail})
-        self._catalogue.doubt()
+        self._catalogue.abort_store_watch()
 
-    def _set_out(self, change: OutChange) -> None:
-        if change.is_out:
+    def _set_out(self, change: DataCentreExclusionChange) -> None:
+        if change.is_excluded:
             self._data_centres_out.add(change.data_centre)
         else:
             self._data_centres_out.discard(change.data_centre)
-        self.registry.set_out(frozenset(self._data_centres_out))
+        self.registry.set_excluded_data_centres(frozenset(self._data_centres_out))
 
-    def _log_unreadable(self, change: Unreadable) -> None:
+    def _log_unreadable(self, change: UnreadableEntry) -> None:
         self._log.warning(
             "ignored unreadable store entry", extra={"key": change.key, "reason": change.reason}
         )
--- a/libs/forwarding/berylspindle_forwarding/front.py
+++ b/libs/forwarding/berylspindle_forwarding/front.py
@@ -16,9 +16,9 @@
 
 import attrs
 
-from berylspindle_decisions.answer_time import MARGIN_MS, NEW_CONNECTION_MS
 from berylspindle_decisions.quarantine import RunMode
-from berylspindle_decisions.weighted_turns import WeightedTurns
+from berylspindle_decisions.response_timing import NEW_CONNECTION_MARGIN_MS, RESPONSE_MARGIN_MS
+from berylspindle_decisions.weighted_round_robin import WeightedRoundRobin
 from berylspindle_forwarding.attempt_policy import ForwardContext, RequestTimes
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_forwarding.relay import Relay, RelayTimes
@@ -96,7 +96,7 @@
         self._accepts_relayed: Final = accepts_relayed
         self._table: RoutingTable | None = None
         self._table_known: Final = asyncio.Event()
-        self._turns: dict[str, tuple[Route, WeightedTurns]] = {}
+        self._turns: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         self._in_flight = 0
         self.last_request = float("-inf")
         self._request_log: Final = RequestLog(context.metrics, context.now, self._log_context)
@@ -174,7 +174,7 @@
     async def _execute(self, routed: RoutedRequest) -> HttpResponse:
         """Execute a request and record its outcome."""
         forward, id_header = routed.forward, self._context.dialect.request_id
-        mode = self._context.crashes.mode(forward)
+        mode = self._context.crashes.run_mode(forward)
         if isinstance(mode, Refusal):
             self._count(routed.route.name, mode.kind.value)
             self._request_log.record(
@@ -189,11 +189,11 @@
             # This task is cancelled if the caller disconnects; the request is recorded anyway.
             self._record_end(routed, work, outcome)
             if mode is RunMode.CANARY:
-                self._context.crashes.unsettled(forward)
+                self._context.crashes.record_inconclusive(forward)
         if isinstance(outcome, Refusal):
             outcome = refusal_reply(outcome, id_header, forward.request_id)
         else:
-            self._context.crashes.answered(forward)
+            self._context.crashes.record_success(forward)
         if forward.relayed is not None:
             load = (RELAY_LOAD, b"%d" % self._in_flight)
             return attrs.evolve(outcome, raw_headers=(*outcome.raw_headers, load))
@@ -219,7 +219,7 @@
             self._services(route),
             routed.times,
             canary=True,
-            avoided=self._context.crashes.crashed(routed.forward),
+            avoided=self._context.crashes.crashed_replicas(routed.forward),
         )
 
     def _can_merge(self, relayed: RelayInfo) -> bool:
@@ -296,7 +296,7 @@
             table_version=self._table.version if self._table is not None else 0,
             vms=self._context.vms(),
             in_flight=self._in_flight,
-            cut_off=self._context.reach.is_cut_off(self._context.now()),
+            cut_off=self._context.reach.is_isolated(self._context.now()),
         )
 
     def _services(self, route: Route) -> tuple[str, ...]:
@@ -306,7 +306,10 @@
             return (route.targets[0].service,)
         known = self._turns.get(route.name)
         if known is None or known[0].targets != route.targets:
-            known = self._turns[route.name] = (route, WeightedTurns(route.targets, random.random))
+            known = self._turns[route.name] = (
+                route,
+                WeightedRoundRobin(route.targets, random.random),
+            )
         return (known[1].next(),)
 
     def _count(self, route: str, result: str) -> None:
@@ -320,7 +323,7 @@
     left_ms = float(route.timeout_ms)
     if forward.left_ms is not None:
         left_ms = min(left_ms, forward.left_ms)
-    margin_ms = MARGIN_MS + (NEW_CONNECTION_MS if is_first else 0.0)
+    margin_ms = RESPONSE_MARGIN_MS + (NEW_CONNECTION_MARGIN_MS if is_first else 0.0)
     aim_ms = max(1.0, route.aim_ms - margin_ms)
     if forward.relayed is not None:
         # The origin has subtracted the margin, and knows when the request arrived.
@@ -342,7 +345,7 @@
     if shard_set is None or max(positions) >= len(shard_set.shards):
         return None
     shards = tuple(shard_set.shards[n] for n in positions)
-    least = max(1, shard_set.least - (len(shard_set.shards) - len(shards)))
+    least = max(1, shard_set.min_shards - (len(shard_set.shards) - len(shards)))
     subset = attrs.evolve(shard_set, shards=shards, least_share=least / len(shards))
     return attrs.evolve(route, shard_set=subset)
 
--- a/libs/forwarding/berylspindle_forwarding/outside.py
+++ b/libs/forwarding/berylspindle_forwarding/isolation_monitor.py
@@ -9,8 +9,8 @@
 locally, and probes peers in other data centres until one responds. In normal operation only a VM
 that follows the store directly probes, two data centres at a time, and so detects a cut before
 callers' requests are affected. A VM that has followers also probes as soon as an attempt is
-overdue. `told` reports whether the followed mirror's VM is cut off; if so, this VM suspects that it
-is cut off too.
+overdue. `record_peer_report` reports whether the followed mirror's VM is cut off; if so, this VM
+suspects that it is cut off too.
 
 Guards: where twenty VMs share a data centre's callers, most of them see too few requests to detect
 a cut themselves. The balancer sends callers to each VM that is ready, and diverts them to another
@@ -25,7 +25,7 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from berylspindle_decisions.reach import TRIES, Reach
+from berylspindle_decisions.reachability import MIN_ATTEMPTS, Reachability
 from berylspindle_forwarding.catalogue import VmEntry
 from berylspindle_forwarding.replica_registry import ReplicaRegistry
 from berylspindle_forwarding.vm_probe import Prober
@@ -56,37 +56,37 @@
 failures has detected that this VM is unready."""
 
 
-class Outside:
+class IsolationMonitor:
     """Track the reachability of other data centres, and derive this VM's readiness from it."""
 
     def __init__(
         self,
-        reach: Reach,
+        reach: Reachability,
         registry: ReplicaRegistry,
         *,
         data_centre: str,
-        vms: Callable[[], tuple[VmEntry, ...]],
+        known_vms: Callable[[], tuple[VmEntry, ...]],
         table: Callable[[], RoutingTable | None],
-        watches: Callable[[], bool],
-        is_followed: Callable[[], bool],
+        probes_when_idle: Callable[[], bool],
+        has_followers: Callable[[], bool],
         prober: Prober,
         now: Callable[[], float],
         on_change: Callable[[bool], None],
     ) -> None:
         """Initialize the monitor.
 
-        `watches` returns whether this VM probes in normal operation, and `is_followed` whether it
-        probes for overdue attempts.
+        `probes_when_idle` returns whether this VM probes in normal operation, and `has_followers`
+        whether it probes for overdue attempts.
         """
-        self._probes_when_idle: Final = watches
-        self._is_followed: Final = is_followed
+        self._probes_when_idle: Final = probes_when_idle
+        self._is_followed: Final = has_followers
         self._idle_probe_at = 0.0
         self._next_confirm_at = 0.0
         self._prober: Final = prober
         self._reach: Final = reach
         self._registry: Final = registry
         self._data_centre: Final = data_centre
-        self._vms: Final = vms
+        self._vms: Final = known_vms
         self._table: Final = table
         self._now: Final = now
         self._on_change: Final = on_change
@@ -98,13 +98,13 @@
         """Return whether this VM is cut off and can't serve all routes locally."""
         return self._cut_off_since is not None
 
-    def until_elsewhere(self, now: float) -> float:
+    def failover_delay(self, now: float) -> float:
         """Return the seconds until the balancer diverts callers; 0 if it already does."""
         if self._cut_off_since is None:
             return 0.0
         return max(0.0, self._cut_off_since + BALANCER_DETECTION_S - now)
 
-    def told(self, cut_off: bool, *, source: object) -> None:
+    def record_peer_report(self, cut_off: bool, *, source: object) -> None:
         """Record whether another VM of this data centre reports that it is cut off.
 
         Only the VM that raised a suspicion ends it: others may not have detected the cut yet.
@@ -112,10 +112,10 @@
         now = self._now()
         if cut_off:
             self._suspected_by = source
-            self._reach.suspect(now, until=now + SUSPICION_S)
+            self._reach.on_isolation_report(now, until=now + SUSPICION_S)
         elif source is self._suspected_by:
             self._suspected_by = None
-            self._reach.end_suspicion()
+            self._reach.clear_isolation_report()
         self._update(now)
 
     async def run(self) -> None:
@@ -123,20 +123,22 @@
         async with asyncio.TaskGroup() as probes:
             while True:
                 await asyncio.sleep(
-                    PENDING_CHECK_INTERVAL_S if self._reach.is_waiting else CHECK_INTERVAL_S
+                    PENDING_CHECK_INTERVAL_S
+                    if self._reach.has_unanswered_attempt
+                    else CHECK_INTERVAL_S
                 )
                 now = self._now()
                 self._update(now)
                 if self._reach.should_probe(now):
                     await self._probe(self._peers())
-                elif self._reach.is_quiet(now) and self._may_confirm(now):
+                elif self._reach.is_response_overdue(now) and self._may_confirm(now):
                     probes.create_task(self._confirm())
                 elif self._probes_when_idle() and now >= self._idle_probe_at:
                     self._idle_probe_at = now + IDLE_PROBE_INTERVAL_S
                     probes.create_task(self._probe_idle())
 
     def _update(self, now: float) -> None:
-        cut_off = self._reach.is_cut_off(now) and not self._is_served_locally()
+        cut_off = self._reach.is_isolated(now) and not self._is_served_locally()
         if cut_off == self.is_cut_off:
             return
         self._cut_off_since = now if cut_off else None
@@ -163,7 +165,7 @@
         """Probe a few data centres, and retry with other VMs while none responds."""
         peers = self._peers()
         sampled = random.sample(sorted(peers), min(IDLE_PROBE_DATA_CENTRES, len(peers)))
-        for _ in range(TRIES):
+        for _ in range(MIN_ATTEMPTS):
             responded = await self._probe({name: peers[name] for name in sampled})
             if responded or not sampled:
                 return
@@ -183,14 +185,14 @@
         return any(await asyncio.gather(*probes))
 
     def _choose(self, vms: list[VmEntry]) -> VmEntry:
-        connected = [vm for vm in vms if self._prober.knows(vm.host, vm.port)]
+        connected = [vm for vm in vms if self._prober.has_connection(vm.host, vm.port)]
         return random.choice(connected or vms)
 
     async def _probe_one(self, vm: VmEntry) -> bool:
-        self._reach.probed(self._now(), vm.data_centre)
-        if not await self._prober.answers(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
+        self._reach.on_probe(self._now(), vm.data_centre)
+        if not await self._prober.is_responding(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
             return False
-        self._reach.heard(self._now(), vm.data_centre)
+        self._reach.on_contact(self._now(), vm.data_centre)
         return True
 
     def _is_served_locally(self) -> bool:
@@ -198,7 +200,7 @@
         return table is not None and all(self._is_route_local(route) for route in table.routes)
 
     def _is_route_local(self, route: Route) -> bool:
-        local = sum(map(self._registry.has_at_home, route.services))
+        local = sum(map(self._registry.has_local_replica, route.services))
         if route.shard_set is not None:
-            return local >= route.shard_set.least
+            return local >= route.shard_set.min_shards
         return local == len(route.services)
--- a/libs/forwarding/berylspindle_forwarding/mirror.py
+++ b/libs/forwarding/berylspindle_forwarding/mirror.py
@@ -31,8 +31,8 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoredValue,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_wire.client import HttpClient
@@ -109,14 +109,14 @@
         self._cut_off = False
         self.followers: Final = FollowerCount()
         self.losses = LossReports()
-        self.on_rollouts: Callable[[str, str], None] = lambda vm, report: None
+        self.on_rollout_report: Callable[[str, str], None] = lambda vm, report: None
 
     @property
     def revision(self) -> int:
         """Return the store's revision that the entries reflect; 0 before the first list."""
         return self._revision
 
-    def entry(self, key: str) -> StoredValue | None:
+    def get(self, key: str) -> StoredValue | None:
         """Return an entry by its key."""
         return self._entries.get(key)
 
@@ -159,7 +159,7 @@
         """Record until when deletions may be reverted after an outage of the store."""
         self._settled_at = at
 
-    async def answer(self, request: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Handle a peer's list or watch."""
         if request.path == LIST_PATH:
             return self._to_response(
@@ -176,9 +176,9 @@
                 self.losses.merge(self._now(), unpack_losses(losses))
             if follower := request.query.get("follower"):
                 bears = float(request.query.get("bears", "0"))
-                self.followers.seen(self._now(), follower, bears=bears)
+                self.followers.on_read(self._now(), follower, capacity=bears)
             if report := request.query.get("rollouts"):
-                self.on_rollouts(request.query.get("vm", ""), report)
+                self.on_rollout_report(request.query.get("vm", ""), report)
             return self._to_response(await self._watch(request.query))
         return HttpResponse(status=404)
 
@@ -209,7 +209,7 @@
 
     def _to_response(self, message: MirrorList | MirrorChanges) -> HttpResponse:
         return HttpResponse(
-            status=200, body=codec.to_pack(message), headers={"content-type": CONTENT_TYPE}
+            status=200, body=codec.to_msgpack(message), headers={"content-type": CONTENT_TYPE}
         )
 
     def _behind_ms(self) -> int:
@@ -228,7 +228,7 @@
 class MirrorStore(Store):
     """Read-only access to a peer's mirror as a `Store`.
 
-    `behind_ms`, `settling_ms` and `cut_off` are as the mirror reported them last. `introduction`
+    `behind_ms`, `settling_ms` and `cut_off` are as the mirror reported them last. `extra_query`
     returns the query parameters that describe this VM, sent with each watch and probe.
     """
 
@@ -237,10 +237,10 @@
         host: str,
         port: int,
         *,
-        introduction: Callable[[], dict[str, str]] = dict,
+        extra_query: Callable[[], dict[str, str]] = dict,
         on_losses: Callable[[dict[str, int]], None] = lambda losses: None,
     ) -> None:
-        self._introduction: Final = introduction
+        self._introduction: Final = extra_query
         self._on_losses: Final = on_losses
         limits = HttpLimits(body_bytes=MAX_RESPONSE_BYTES)
         self._client: Final = HttpClient(host, port, limit=2, connect_timeout=0.5, limits=limits)
@@ -253,10 +253,10 @@
         await self._client.close()
 
     async def list(self, prefix: str) -> ListResult:
-        """Return all entries under a prefix. Raises StoreAway if the mirror has none yet."""
+        """Return all entries under a prefix. Raises StoreUnavailable if the mirror has none yet."""
         response: MirrorList = await self._request(LIST_PATH, {}, LIST_TIMEOUT_S, MirrorList)
         if not response.revision:
-            raise StoreAway("the mirror has not been filled yet")
+            raise StoreUnavailable("the mirror has not been filled yet")
         self.behind_ms, self.settling_ms = response.behind_ms, response.settling_ms
         self.cut_off = response.cut_off
         matching = tuple(entry for entry in response.entries if entry.key.startswith(prefix))
@@ -280,44 +280,44 @@
         )
 
     async def probe(self, timeout: float) -> None:
-        """Check that the mirror responds within `timeout` seconds. Raises StoreAway."""
+        """Check that the mirror responds within `timeout` seconds. Raises StoreUnavailable."""
         query = {"after": "0", "wait": "0", **self._introduction()}
         response: MirrorChanges = await self._request(WATCH_PATH, query, timeout, MirrorChanges)
         self._on_losses(response.losses)
 
     async def get(self, key: str) -> StoredValue | None:
-        """Raise StoreAway: a mirror supports lists and watches only."""
-        raise StoreAway("a mirror supports lists and watches only")
+        """Raise StoreUnavailable: a mirror supports lists and watches only."""
+        raise StoreUnavailable("a mirror supports lists and watches only")
 
     async def compare_and_swap(
         self, key: str, value: bytes | None, *, expect: int, lease: str | None = None
     ) -> StoredValue:
-        """Raise StoreAway: a mirror is read-only."""
-        raise StoreAway("a mirror is read-only")
+        """Raise StoreUnavailable: a mirror is read-only."""
+        raise StoreUnavailable("a mirror is read-only")
 
     async def grant_lease(self, ttl: float) -> Lease:
-        """Raise StoreAway: a mirror is read-only."""
-        raise StoreAway("a mirror is read-only")
+        """Raise StoreUnavailable: a mirror is read-only."""
+        raise StoreUnavailable("a mirror is read-only")
 
     async def keep_alive(self, lease: str) -> Lease:
-        """Raise StoreAway: a mirror is read-only."""
-        raise StoreAway("a mirror is read-only")
+        """Raise StoreUnavailable: a mirror is read-only."""
+        raise StoreUnavailable("a mirror is read-only")
 
     async def revoke(self, lease: str) -> None:
-        """Raise StoreAway: a mirror is read-only."""
-        raise StoreAway("a mirror is read-only")
+        """Raise StoreUnavailable: a mirror is read-only."""
+        raise StoreUnavailable("a mirror is read-only")
 
     async def _request(self, path: str, query: dict[str, str], timeout: float, kind: type[T]) -> T:
         try:
             response = await self._client.get(path, query=query, timeout=timeout)
         except HttpFailure as failure:
-            raise StoreAway(f"mirror: {failure}") from failure
+            raise StoreUnavailable(f"mirror: {failure}") from failure
         if response.status != 200:
-            raise StoreAway(f"mirror: status {response.status}")
+            raise StoreUnavailable(f"mirror: status {response.status}")
         try:
-            return codec.from_pack(response.body, kind)
+            return codec.from_msgpack(response.body, kind)
         except codec.MalformedError as error:
-            raise StoreAway(f"mirror: {error}") from error
+            raise StoreUnavailable(f"mirror: {error}") from error
 
 
 def pack_losses(losses: Mapping[str, int]) -> str:
--- a/libs/forwarding/berylspindle_forwarding/part_collector.py
+++ b/libs/forwarding/berylspindle_forwarding/part_collector.py
@@ -12,8 +12,8 @@
 
 from typing import Final
 
-from berylspindle_decisions.answer_time import PartsVerdict, parts_verdict
-from berylspindle_decisions.record_merge import greatest
+from berylspindle_decisions.record_merge import top_records
+from berylspindle_decisions.response_timing import PartialResultVerdict, decide_partial_result
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_model.routing import ShardSet
 from berylspindle_wire.http import HttpResponse
@@ -55,14 +55,14 @@
         """Count shards that will give no part."""
         self._lost += shards
 
-    def verdict(self, *, aim_passed: bool) -> PartsVerdict:
+    def verdict(self, *, aim_passed: bool) -> PartialResultVerdict:
         """Return whether to answer with the parts received so far."""
-        return parts_verdict(
-            asked=self.asked,
-            least=self._shard_set.least,
+        return decide_partial_result(
+            requested=self.asked,
+            min_parts=self._shard_set.min_shards,
             parts=len(self._signatures),
             lost=self._lost,
-            aim_passed=aim_passed,
+            target_passed=aim_passed,
         )
 
     def response(self, request_id: bytes) -> HttpResponse:
@@ -74,7 +74,7 @@
         ]
         if request_id:
             headers.append((self._dialect.request_id, request_id))
-        body = greatest(self._bodies, self._shard_set.top)
+        body = top_records(self._bodies, self._shard_set.top)
         return HttpResponse(status=200, body=body, raw_headers=tuple(headers))
 
 
--- a/libs/forwarding/berylspindle_forwarding/relay.py
+++ b/libs/forwarding/berylspindle_forwarding/relay.py
@@ -27,8 +27,8 @@
 import attrs
 
 from berylspindle_decisions.forward_policy import ForwardPolicy
-from berylspindle_decisions.reach import Reach
-from berylspindle_decisions.relay_choice import NEARER, RelayChoice, RelayVm
+from berylspindle_decisions.reachability import Reachability
+from berylspindle_decisions.relay_choice import MIN_LOCALITY_GAIN, RelayChoice, RelayVm
 from berylspindle_forwarding.catalogue import VmEntry
 from berylspindle_forwarding.dialect import HOP_HEADERS, Dialect
 from berylspindle_forwarding.replica_pool import PoolOptions, ReplicaPool, RetiredPools
@@ -42,14 +42,14 @@
     ForwardRequest,
     pack_positions,
 )
-from berylspindle_forwarding.vm_probe import answers
+from berylspindle_forwarding.vm_probe import is_responding
 from berylspindle_model.errors import ErrorKind, Refusal
 from berylspindle_telemetry import metric_names as names
 from berylspindle_telemetry.metrics import Metrics
 from berylspindle_wire.exchange import (
-    EndKind,
     ExchangeConnection,
-    ExchangeEnd,
+    ExchangeFailure,
+    ExchangeFailureKind,
     ExchangeReply,
     ExchangeRequest,
     ExchangeSink,
@@ -99,10 +99,10 @@
     """One exchange with a merger."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.done: Final[asyncio.Future[ExchangeReply | ExchangeEnd]] = loop.create_future()
+        self.done: Final[asyncio.Future[ExchangeReply | ExchangeFailure]] = loop.create_future()
         self.connection: ExchangeConnection | None = None
 
-    def on_carried(self, connection: ExchangeConnection) -> None:
+    def on_connection_assigned(self, connection: ExchangeConnection) -> None:
         """Store the connection that carries the request."""
         self.connection = connection
 
@@ -111,7 +111,7 @@
         if not self.done.done():
             self.done.set_result(reply)
 
-    def on_end(self, end: ExchangeEnd) -> None:
+    def on_failure(self, end: ExchangeFailure) -> None:
         """Handle the end of the exchange without a reply."""
         if not self.done.done():
             self.done.set_result(end)
@@ -131,7 +131,7 @@
         data_centre: str,
         vms: Callable[[], Mapping[str, VmEntry]],
         registry: ReplicaRegistry,
-        reach: Reach,
+        reach: Reachability,
         dialect: Dialect,
         metrics: Metrics,
         now: Callable[[], float],
@@ -160,22 +160,22 @@
         known = self._vms()
         if known is not self._known_vms:
             self._update_vms(known)
-        now, missing = self._now(), self._registry.missing(shards)
+        now, missing = self._now(), self._registry.missing_shares(shards)
         own_missing = missing.get(self._data_centre, 1.0)
         mergers = (
             RelayVm(name, vm.bears, missing.get(vm.data_centre, 1.0))
             for name, vm in known.items()
             if self._is_candidate(now, vm, missing, own_missing)
         )
-        return self._choice.pick(
-            now, mergers, in_flight=in_flight, u=self._uniform(), missing=own_missing
+        return self._choice.pick_merger(
+            now, mergers, in_flight=in_flight, uniform=self._uniform(), missing_share=own_missing
         )
 
     def choose_subset(self, shards: tuple[str, ...], in_flight: int) -> Subset | None:
         """Return the merger and positions of the shards without a replica here, if there is one."""
         if not self._policy.subsets:
             return None
-        remote = self._registry.far_positions(shards)
+        remote = self._registry.remote_positions(shards)
         if len(remote) < MIN_SUBSET_SHARDS or len(remote) == len(shards):
             return None
         merger = self.choose_merger(tuple(shards[n] for n in remote), in_flight)
@@ -184,7 +184,7 @@
         data_centre = self._known_vms[merger].data_centre
         if data_centre == self._data_centre:
             return None
-        held = tuple(n for n in remote if self._registry.holds(data_centre, shards[n]))
+        held = tuple(n for n in remote if self._registry.has_replica(data_centre, shards[n]))
         return Subset(merger=merger, positions=held)
 
     async def dispatch(
@@ -206,8 +206,8 @@
         loop = asyncio.get_running_loop()
         exchange = _RelayedExchange(loop)
         pool = self._pool(vm)
-        self._choice.sent(merger)
-        self._reach.tried(self._now(), vm.data_centre)
+        self._choice.on_sent(merger)
+        self._reach.on_attempt(self._now(), vm.data_centre)
         late = loop.call_at(times.aim, self._on_late, merger, vm, pool, exchange)
         hop_ms = HOP_RESERVE_MS if vm.data_centre == self._data_centre else REMOTE_HOP_RESERVE_MS
         exchange.connection = pool.submit(
@@ -225,14 +225,14 @@
             )
         finally:
             late.cancel()
-            self._choice.ended(merger)
+            self._choice.on_finished(merger)
             if not is_done:
                 # Closing the connection stops the work at the merger.
                 pool.withdraw(exchange)
                 if exchange.connection is not None:
-                    exchange.connection.forget()
+                    exchange.connection.discard()
         if isinstance(outcome, ExchangeReply):
-            self._reach.heard(self._now(), vm.data_centre)
+            self._reach.on_contact(self._now(), vm.data_centre)
         return self._outcome(merger, forward, outcome)
 
     async def close(self) -> None:
@@ -258,16 +258,16 @@
         if vm.data_centre == self._data_centre:
             return True
         return (
-            missing.get(vm.data_centre, 1.0) <= own_missing - NEARER
-            and not self._reach.is_dark(now, vm.data_centre)
-            and not self._reach.is_cut_off(now)
+            missing.get(vm.data_centre, 1.0) <= own_missing - MIN_LOCALITY_GAIN
+            and not self._reach.is_unreachable(now, vm.data_centre)
+            and not self._reach.is_isolated(now)
         )
 
     def _outcome(
-        self, merger: str, forward: ForwardRequest, outcome: ExchangeReply | ExchangeEnd
+        self, merger: str, forward: ForwardRequest, outcome: ExchangeReply | ExchangeFailure
     ) -> HttpResponse | Refusal | None:
-        if isinstance(outcome, ExchangeEnd):
-            not_sent = outcome.kind is EndKind.NOT_SENT
+        if isinstance(outcome, ExchangeFailure):
+            not_sent = outcome.kind is ExchangeFailureKind.NOT_SENT
             self._record_failure(merger, outcome.kind.value, long=True)
             return None if not_sent else Refusal(ErrorKind.PEER_LOST, f"{merger}: {outcome.detail}")
         if outcome.header(RELAY_UNRUN) is not None:
@@ -279,7 +279,7 @@
             return Refusal(ErrorKind.BAD_REPLY, f"{merger} replied to another request")
         load = outcome.header(RELAY_LOAD)
         if load is not None and load.isdigit():
-            self._choice.reported(self._now(), merger, int(load))
+            self._choice.on_report(self._now(), merger, int(load))
         self._metrics.count(names.FORWARD_RELAYED, result="answered")
         dropped = HOP_HEADERS | _RELAY_HEADERS
         kept = tuple((n, v) for n, v in outcome.headers if n not in dropped)
@@ -325,17 +325,19 @@
 
     async def _probe(self, vm: VmEntry, pool: ReplicaPool, exchange: _RelayedExchange) -> None:
         """End the exchange if the merger does not answer a probe."""
-        self._reach.tried(self._now(), vm.data_centre)
-        if await answers(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
-            self._reach.heard(self._now(), vm.data_centre)
+        self._reach.on_attempt(self._now(), vm.data_centre)
+        if await is_responding(vm.host, vm.port, timeout=PROBE_TIMEOUT_S):
+            self._reach.on_contact(self._now(), vm.data_centre)
             return
         if exchange.done.done():
             return
-        kind = EndKind.NOT_SENT if pool.withdraw(exchange) else EndKind.LOST
+        kind = ExchangeFailureKind.NOT_SENT if pool.withdraw(exchange) else ExchangeFailureKind.LOST
         if exchange.connection is not None:
-            exchange.connection.forget()
-        exchange.on_end(ExchangeEnd(kind, "no reply by the latency target, and a probe timed out"))
+            exchange.connection.discard()
+        exchange.on_failure(
+            ExchangeFailure(kind, "no reply by the latency target, and a probe timed out")
+        )
 
     def _record_failure(self, merger: str, result: str, *, long: bool) -> None:
         self._metrics.count(names.FORWARD_RELAYED, result=result)
-        self._choice.doubt(self._now(), merger, long=long)
+        self._choice.back_off(self._now(), merger, long=long)
--- a/libs/forwarding/berylspindle_forwarding/replica_pool.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_pool.py
@@ -24,12 +24,12 @@
 import attrs
 
 from berylspindle_wire.exchange import (
-    EndKind,
     ExchangeConnection,
-    ExchangeEnd,
+    ExchangeFailure,
+    ExchangeFailureKind,
     ExchangeRequest,
     ExchangeSink,
-    open_exchanges,
+    open_exchange_connection,
 )
 
 BuildRequest = Callable[[], ExchangeRequest]
@@ -46,7 +46,7 @@
     Attributes:
         connect_timeout: connect timeout in seconds; a running replica accepts within a few
             milliseconds, so half a second without an accept means that it is down.
-        most_bytes: maximum size of a reply body, in bytes.
+        max_reply_bytes: maximum size of a reply body, in bytes.
     """
 
     connect_timeout: float = 0.5
@@ -86,7 +86,7 @@
         """Send or queue a request; return its connection, or None if it waits for one.
 
         `build` returns the request as of the time of sending. The connection of a request that
-        waited is passed to `sink.on_carried`.
+        waited is passed to `sink.on_connection_assigned`.
         """
         while self._free:
             connection, request = self._free.pop(), build()
@@ -113,7 +113,7 @@
 
     async def is_reachable(self) -> bool:
         """Return whether the address accepts a connection; a new one stays in the pool."""
-        if any(not connection.peer_has_ended() for connection in self._free):
+        if any(not connection.is_closed_by_peer() for connection in self._free):
             return True
         if self._closed:
             return False
@@ -148,7 +148,7 @@
             return False
         if not request.body and connection.idle_for() < IDLE_CHECK_AFTER_S:
             return True
-        return not connection.peer_has_ended()
+        return not connection.is_closed_by_peer()
 
     def _open_more(self) -> None:
         while len(self._waiting) > len(self._tasks) and self.open_connections < self.limit:
@@ -161,10 +161,10 @@
 
     async def _open_one(self) -> None:
         try:
-            connection = await open_exchanges(
+            connection = await open_exchange_connection(
                 *self._address,
                 timeout=self._options.connect_timeout,
-                most_bytes=self._options.most_bytes,
+                max_reply_bytes=self._options.most_bytes,
                 on_free=self._on_free,
             )
         except OSError as error:
@@ -188,16 +188,16 @@
             return
         while self._waiting:
             build, sink = self._waiting.popleft()
-            sink.on_carried(connection)
+            sink.on_connection_assigned(connection)
             connection.send(build(), sink)
             return
         self._free.append(connection)
 
     def _fail_waiting(self, detail: str) -> None:
-        ended, waiting = ExchangeEnd(EndKind.NOT_SENT, detail), list(self._waiting)
+        ended, waiting = ExchangeFailure(ExchangeFailureKind.NOT_SENT, detail), list(self._waiting)
         self._waiting.clear()
         for _, sink in waiting:
-            sink.on_end(ended)
+            sink.on_failure(ended)
 
 
 class RetiredPools:
--- a/libs/forwarding/berylspindle_forwarding/replica_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_registry.py
@@ -8,8 +8,9 @@
               itself again
   cold        a replica with a limited request rate, which all VMs share
 
-Flow: `put`, `remove` and `set_out` apply the announcements; `pick` selects a replica for each
-attempt. The health of a replica is kept as long as its address and its start time stay the same.
+Flow: `put`, `remove` and `set_excluded_data_centres` apply the announcements; `pick` selects a
+replica for each attempt. The health of a replica is kept as long as its address and its start time
+stay the same.
 
 Guard: a cold replica fails under full load, also when eight VMs send "only a few" requests each.
 Each VM uses its share of the stated rate over a second, and less than its share while it does not
@@ -27,8 +28,8 @@
 
 from berylspindle_decisions.forward_policy import ForwardPolicy
 from berylspindle_decisions.loss_reports import LossReports
-from berylspindle_decisions.reach import Reach
-from berylspindle_decisions.replica_health import STALLED, ReplicaHealth
+from berylspindle_decisions.reachability import Reachability
+from berylspindle_decisions.replica_health import STALLED_COST, ReplicaHealth
 from berylspindle_forwarding.replica_pool import PoolOptions, ReplicaPool, RetiredPools
 from berylspindle_forwarding.rollouts import VersionRule
 from berylspindle_model.routing import Replica, RoutingTable
@@ -70,7 +71,7 @@
         self.failures = 0
         self._cold_requests: deque[float] = deque()
 
-    def note_cold_send(self, now: float) -> None:
+    def record_cold_request(self, now: float) -> None:
         """Record a request to a cold replica."""
         self._cold_requests.append(now)
 
@@ -89,11 +90,11 @@
         *,
         data_centre: str,
         now: Callable[[], float],
-        u: Callable[[], float],
-        vms: Callable[[], int],
+        uniform: Callable[[], float],
+        share_divisor: Callable[[], int],
         pool_options: PoolOptions,
         cold: ColdBounds,
-        reach: Reach,
+        reach: Reachability,
         on_opened: Callable[[], None],
         policy: ForwardPolicy,
         version_rule: Callable[[str], VersionRule | None] = lambda service: None,
@@ -107,8 +108,8 @@
         self._reach: Final = reach
         self._data_centre: Final = data_centre
         self._now: Final = now
-        self._uniform: Final = u
-        self._share_divisor: Final = vms
+        self._uniform: Final = uniform
+        self._share_divisor: Final = share_divisor
         self._pool_options: Final = pool_options
         self._cold: Final = cold
         self._on_opened: Final = on_opened
@@ -157,7 +158,7 @@
         self._invalidate_caches()
         self._retired.retire(handle.pool)
 
-    def set_out(self, data_centres: frozenset[str]) -> None:
+    def set_excluded_data_centres(self, data_centres: frozenset[str]) -> None:
         """Exclude the replicas of these data centres."""
         self._excluded_data_centres = data_centres
         self._invalidate_caches()
@@ -175,7 +176,7 @@
             found = self._usable[service] = self._select_usable(service)
         return found
 
-    def pick_on_trial(self, service: str) -> ReplicaHandle | None:
+    def pick_trial_replica(self, service: str) -> ReplicaHandle | None:
         """Return the replica on which the new version of a service is tried, or None.
 
         All VMs try the same one, so that a small share of the requests gives it the load of a full
@@ -201,7 +202,7 @@
             if handle.replica.service == service
         }
 
-    def follow_versions(self) -> None:
+    def invalidate_candidates(self) -> None:
         """Drop cached selections after a change of the version rules."""
         self._invalidate_caches()
 
@@ -225,7 +226,7 @@
             and handle.replica.data_centre not in self._excluded_data_centres
         )
 
-    def missing(self, services: tuple[str, ...]) -> Mapping[str, float]:
+    def missing_shares(self, services: tuple[str, ...]) -> Mapping[str, float]:
         """Return by data centre the share of services without a usable replica there.
 
         A data centre that is absent from the result has none of them.
@@ -241,28 +242,29 @@
             self._missing_shares[services] = found
         return found
 
-    def far_positions(self, services: tuple[str, ...]) -> tuple[int, ...]:
+    def remote_positions(self, services: tuple[str, ...]) -> tuple[int, ...]:
         """Return the positions of the services without a usable replica in this data centre."""
         found = self._remote_positions.get(services)
         if found is None:
-            found = tuple(n for n, name in enumerate(services) if not self.has_at_home(name))
+            found = tuple(n for n, name in enumerate(services) if not self.has_local_replica(name))
             self._remote_positions[services] = found
         return found
 
-    def holds(self, data_centre: str, service: str) -> bool:
+    def has_replica(self, data_centre: str, service: str) -> bool:
         """Return whether a service has a usable replica in a data centre."""
         return any(h.replica.data_centre == data_centre for h in self.usable(service))
 
-    def has_at_home(self, service: str) -> bool:
+    def has_local_replica(self, service: str) -> bool:
         """Return whether a service has a usable replica in this VM's data centre."""
-        return self.holds(self._data_centre, service)
+        return self.has_replica(self._data_centre, service)
 
     def pick(
-        self, service: str, *, tried: frozenset[str], hedge: bool, once: bool = False
+        self, service: str, *, tried: frozenset[str], is_hedge: bool, non_repeatable: bool = False
     ) -> ReplicaHandle | None:
         """Return the untried replica of least cost, or None.
 
-        With `once` the request must not be repeated, and replicas that lost responses cost more.
+        With `non_repeatable` the request must not be repeated, and replicas that lost responses
+        cost more.
 
         A hedge goes only to a replica that currently responds and has a free slot: on any other it
         would queue like the first attempt and delay the requests behind it. A replica in an
@@ -270,27 +272,27 @@
         while this VM is cut off.
         """
         now, best, best_cost = self._now(), None, float("inf")
-        cut_off = self._reach.is_cut_off(now)
+        cut_off = self._reach.is_isolated(now)
         for handle in self.usable(service):
             if handle.replica.id in tried or self._is_cold_limit_reached(handle, now):
                 continue
-            if hedge and self._policy.hedge_idle_only and not handle.health.has_free_slot(now):
+            if is_hedge and self._policy.hedge_idle_only and not handle.health.has_free_slot(now):
                 continue
-            cost = handle.health.cost(now, u=self._uniform())
+            cost = handle.health.cost(now, uniform=self._uniform())
             if handle.replica.data_centre != self._data_centre:
                 if cut_off:
                     continue
-                if self._reach.is_dark(now, handle.replica.data_centre):
-                    cost += STALLED
-            if once and self.losses.is_lossy(now, handle.replica.id):
+                if self._reach.is_unreachable(now, handle.replica.data_centre):
+                    cost += STALLED_COST
+            if non_repeatable and self.losses.is_lossy(now, handle.replica.id):
                 cost += LOSSY_COST
             if cost < best_cost:
                 best, best_cost = handle, cost
-        if hedge and best_cost >= STALLED:
+        if is_hedge and best_cost >= STALLED_COST:
             return None
         return best
 
-    def set_misplaced(self, handle: ReplicaHandle) -> None:
+    def mark_misplaced(self, handle: ReplicaHandle) -> None:
         """Exclude a replica whose address now belongs to another one."""
         handle.is_misplaced = True
         self._invalidate_caches()
@@ -321,7 +323,7 @@
         return ReplicaHandle(replica, health, pool)
 
     def _on_connection_opened(self, replica: Replica) -> None:
-        self._reach.heard(self._now(), replica.data_centre)
+        self._reach.on_contact(self._now(), replica.data_centre)
         self._on_opened()
 
     def _limit(self, replica: Replica) -> int:
--- a/libs/forwarding/berylspindle_forwarding/request_log.py
+++ b/libs/forwarding/berylspindle_forwarding/request_log.py
@@ -87,7 +87,7 @@
                 finished.trace,
             )
             self._metrics.count(names.FORWARD_CAUSES, cause=cause.value)
-        if not self._limiter.may_write(self._now(), kind):
+        if not self._limiter.allow(self._now(), kind):
             self._metrics.count(names.LOG_LEFT_OUT, kind=kind.value)
             return
         self._log.info(kind.value, extra=self._fields(finished, kind, cause))
@@ -128,7 +128,7 @@
             fields["merger"] = finished.trace.merger
         elif finished.trace is not None:
             fields["steps"] = finished.trace.text()
-        if left_out := self._limiter.left_out(kind):
+        if left_out := self._limiter.take_suppressed_count(kind):
             fields["left_out"] = left_out
         return fields
 
--- a/libs/forwarding/berylspindle_forwarding/request_trace.py
+++ b/libs/forwarding/berylspindle_forwarding/request_trace.py
@@ -12,10 +12,10 @@
 import enum
 from typing import Final, NamedTuple
 
-from berylspindle_decisions.hedged_request import LossReason
+from berylspindle_decisions.hedged_request import GiveUpReason
 from berylspindle_forwarding.replica_registry import ReplicaHandle
 from berylspindle_forwarding.reply_check import ReplyClass
-from berylspindle_wire.exchange import EndKind, ExchangeEnd
+from berylspindle_wire.exchange import ExchangeFailure, ExchangeFailureKind
 
 
 class StepKind(enum.Enum):
@@ -31,13 +31,13 @@
     """One step; a tuple, since a request over ten shards has about forty.
 
     `label` is the reason of an attempt, the class of a reply, the kind of an end, or the reason why
-    a shard is lost. `load` and `pace` are the state of the replica as known at the time of sending:
-    attempts in flight, and its latency over the usual one.
+    a shard is lost. `load` and `pace` are the state of the replica as known at the time of
+    sending: attempts in flight, and its latency over the usual one.
     """
 
     at: float
     kind: StepKind
-    label: str | ReplyClass | EndKind | LossReason
+    label: str | ReplyClass | ExchangeFailureKind | GiveUpReason
     service: str
     replica: str = ""
     detail: str | int = ""
@@ -72,7 +72,7 @@
                 replica.id,
                 "",
                 health.outstanding,
-                health.pace(now),
+                health.slowdown(now),
             )
         )
 
@@ -81,14 +81,14 @@
         replica = handle.replica
         self.steps.append(Step(now, StepKind.REPLIED, verdict, replica.service, replica.id, status))
 
-    def ended(self, now: float, handle: ReplicaHandle, end: ExchangeEnd) -> None:
+    def ended(self, now: float, handle: ReplicaHandle, end: ExchangeFailure) -> None:
         """Record the end of an attempt without a reply."""
         replica = handle.replica
         self.steps.append(
             Step(now, StepKind.ENDED, end.kind, replica.service, replica.id, end.detail)
         )
 
-    def lost(self, now: float, service: str, reason: LossReason) -> None:
+    def lost(self, now: float, service: str, reason: GiveUpReason) -> None:
         """Record that a service will not answer."""
         self.steps.append(Step(now, StepKind.LOST, reason, service))
 
--- a/libs/forwarding/berylspindle_forwarding/rollout_changes.py
+++ b/libs/forwarding/berylspindle_forwarding/rollout_changes.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from berylspindle_forwarding.catalogue import (
-    OrderChange,
     RolloutChange,
-    ShiftChange,
-    StatusChange,
+    RolloutOrderChange,
+    RolloutShiftChange,
+    RolloutStatusChange,
 )
 from berylspindle_forwarding.rollouts import Rollouts
 from berylspindle_model.rollout import AnswerCounts
@@ -14,23 +14,23 @@
 from berylspindle_telemetry.metrics import Metrics
 
 
-def take_change(rollouts: Rollouts, change: RolloutChange, *, is_new: bool) -> None:
+def apply_change(rollouts: Rollouts, change: RolloutChange, *, is_new: bool) -> None:
     """Apply an entry of the store; `is_new` if it has just been written."""
-    if isinstance(change, OrderChange):
+    if isinstance(change, RolloutOrderChange):
         rollouts.apply_order(change.service, change.order, is_new=is_new)
-    elif isinstance(change, StatusChange):
+    elif isinstance(change, RolloutStatusChange):
         rollouts.apply_status(change.service, change.status)
-    elif isinstance(change, ShiftChange):
+    elif isinstance(change, RolloutShiftChange):
         rollouts.apply_shift(change.service, change.shift)
     else:
         rollouts.apply_record(change.service, change.data_centre, change.answers)
 
 
-def show_answers(metrics: Metrics, rollouts: Rollouts, service: str) -> None:
+def update_answer_metrics(metrics: Metrics, rollouts: Rollouts, service: str) -> None:
     """Set the metrics of the answers by which a service's new version is judged."""
     total = AnswerCounts()
     for counts in rollouts.answer_counts(service).values():
-        total.join(counts)
+        total.add_all(counts)
     old = total.old.values()
     for version, result, value in (
         ("new", "all", total.new),
--- a/libs/forwarding/berylspindle_forwarding/rollout_keeper.py
+++ b/libs/forwarding/berylspindle_forwarding/rollout_controller.py
@@ -1,14 +1,14 @@
 """Decide on rollouts in the store: shift all requests to the new version, complete or roll back.
 
 Terms:
-  keeper   a VM that follows the store itself, usually one per data centre; all decide by the same
-           records
-  record   the answers of one data centre, an entry under a lease
+  controller  a VM that follows the store itself, usually one per data centre; all decide by the
+              same records
+  record      the answers of one data centre, an entry under a lease
 
-Flow: `run` waits for a rollout. A keeper then writes its data centre's record once a second, and
-takes the next step as soon as the records of all data centres allow it. Each step is a conditional
-write: the first keeper to write it wins, and the others see the entry by their watch. The status
-reports each result to the operator.
+Flow: `run` waits for a rollout. A controller then writes its data centre's record once a second,
+and takes the next step as soon as the records of all data centres allow it. Each step is a
+conditional write: the first controller to write it wins, and the others see the entry by their
+watch. The status reports each result to the operator.
 
 Guards: the old replicas stop without draining as soon as the status is `completed`. So all VMs
 first receive the shift and send no more requests to the old version; the status is written only
@@ -37,7 +37,7 @@
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreLeaseGone,
+    StoreLeaseNotFound,
 )
 from berylspindle_telemetry.logs import logger
 
@@ -66,8 +66,8 @@
         """Return the key of a data centre's record."""
 
 
-class RolloutKeeper:
-    """Take the steps of rollouts while `is_keeper` returns true."""
+class RolloutController:
+    """Take the steps of rollouts while `is_controller` returns true."""
 
     def __init__(
         self,
@@ -76,23 +76,23 @@
         entries: RolloutEntries,
         *,
         data_centre: str,
-        entry: Callable[[str], StoredValue | None],
+        stored_entry: Callable[[str], StoredValue | None],
         versions: Callable[[str], set[str]],
-        is_keeper: Callable[[], bool],
+        is_controller: Callable[[], bool],
         now: Callable[[], float],
     ) -> None:
-        """Initialize the keeper.
+        """Initialize the controller.
 
-        `entry` looks up an entry of the store in this VM's mirror, and `versions` the announced
-        versions of a service.
+        `stored_entry` looks up an entry of the store in this VM's mirror, and `versions` the
+        announced versions of a service.
         """
         self._rollouts: Final = rollouts
         self._store: Final = store
         self._entries: Final = entries
         self._data_centre: Final = data_centre
-        self._stored_entry: Final = entry
+        self._stored_entry: Final = stored_entry
         self._versions: Final = versions
-        self._is_keeper: Final = is_keeper
+        self._is_controller: Final = is_controller
         self._now: Final = now
         self._written_records: Final[dict[str, tuple[float, RolloutAnswers]]] = {}
         self._leases: Final[dict[int, str]] = {}
@@ -104,7 +104,7 @@
         while True:
             await self._rollouts.wait_active()
             await asyncio.sleep(STEP_INTERVAL_S)
-            if not self._is_keeper():
+            if not self._is_controller():
                 continue
             for service in self._rollouts.active:
                 try:
@@ -113,7 +113,7 @@
                     self._log.debug(
                         "rollout entry already written by another VM", extra={"service": service}
                     )
-                except StoreLeaseGone:
+                except StoreLeaseNotFound:
                     self._leases.clear()
                 except StoreError as error:
                     self._log_failure(service, str(error))
@@ -141,7 +141,9 @@
             return
         verdict = self._rollouts.verdict(service)
         in_stage = self._rollouts.stage_elapsed(service)
-        target = next_stage(stage, verdict, elapsed=elapsed, in_stage=in_stage, term=order.term)
+        target = next_stage(
+            stage, verdict, elapsed=elapsed, stage_elapsed=in_stage, term=order.term
+        )
         if target is stage:
             return
         await self._write_stage(order, target)
--- a/libs/forwarding/berylspindle_forwarding/rollouts.py
+++ b/libs/forwarding/berylspindle_forwarding/rollouts.py
@@ -7,11 +7,11 @@
   report                  answers that a VM sends to the VM that it follows
   record                  answers of a whole data centre, an entry in the store
 
-Flow: the forwarder passes each entry of the store that concerns a rollout. `rule` returns which
-replicas of a service receive requests, and `takes_trial` whether a request goes to the new version
-instead; attempts report their responses. Reports are sent with the reads of mirrors (`report`,
-`take_report`) up to the first watcher of the data centre. It writes the record, from which the
-watchers of all data centres decide (`rollout_keeper`).
+Flow: the forwarder passes each entry of the store that concerns a rollout. `version_rule` returns
+which replicas of a service receive requests, and `admit_to_trial` whether a request goes to the new
+version instead; attempts report their responses. Reports are sent with the reads of mirrors
+(`report`, `merge_report`) up to the first watcher of the data centre. It writes the record, from
+which the watchers of all data centres decide (`rollout_controller`).
 
 Guards: a VM that has just started does not know the age of an order, and sends no trial requests
 until a record states it: a trial must not exceed its part of the term. A VM whose own answers show
@@ -31,11 +31,11 @@
 from berylspindle_decisions.rollout_plan import (
     ExposureBounds,
     Stage,
-    caution,
-    may_try,
+    allows_trial_request,
+    evidence_limits,
     trial_share,
 )
-from berylspindle_decisions.version_judge import SLOW_RATIO, Verdict, judge
+from berylspindle_decisions.version_analysis import SLOW_RATIO, Verdict, analyse
 from berylspindle_model import codec
 from berylspindle_model.rollout import (
     AnswerCounts,
@@ -122,7 +122,7 @@
     def is_slow(self, route: str, ms: float) -> bool:
         """Return whether a response is slow in comparison with the old version."""
         baseline = self.baselines[route]
-        return baseline.known and ms >= SLOW_RATIO * baseline.quantile(0.5)
+        return baseline.has_enough_samples and ms >= SLOW_RATIO * baseline.quantile(0.5)
 
     def reset(self, order: RolloutOrder | None, ordered_at: float | None) -> None:
         """Reset to a new order, or to none."""
@@ -150,7 +150,8 @@
     ) -> None:
         """Initialize without rollouts.
 
-        `dither` is a random number in [0, 1), drawn once by each VM (`rollout_plan.may_try`).
+        `dither` is a random number in [0, 1), drawn once by each VM
+        (`rollout_plan.allows_trial_request`).
         """
         self._dither: Final = dither
         self._bounds: Final = bounds
@@ -198,7 +199,7 @@
         began = self._now() - record.elapsed_ms / 1000
         rollout.ordered_at = began if rollout.ordered_at is None else min(rollout.ordered_at, began)
 
-    def rule(self, service: str) -> VersionRule | None:
+    def version_rule(self, service: str) -> VersionRule | None:
         """Return which replicas of a service receive its requests; None if any may."""
         rollout = self._services.get(service)
         if rollout is None or not rollout.version:
@@ -206,10 +207,10 @@
         is_used = rollout.stage in (Stage.SHIFT, Stage.COMPLETED)
         return VersionRule(version=rollout.version, is_used=is_used)
 
-    def takes_trial(self, service: str, *, u: float) -> bool:
+    def admit_to_trial(self, service: str, *, uniform: float) -> bool:
         """Count a request to a service; return whether it goes to the new version on trial.
 
-        `u` is a uniform random number in [0, 1).
+        `uniform` is a uniform random number in [0, 1).
         """
         if service not in self._active:
             return False
@@ -226,18 +227,18 @@
         share = trial_share(
             self._bounds, term=order.term, rate=self._rate(rollout), elapsed=elapsed
         )
-        is_admitted = u < share and may_try(
+        is_admitted = uniform < share and allows_trial_request(
             self._bounds,
             elapsed=elapsed,
             requests=rollout.requests,
-            tried=rollout.tried,
-            of_all=sum(record.requests for record in rollout.records.values()),
+            trial_requests=rollout.tried,
+            total_requests=sum(record.requests for record in rollout.records.values()),
             dither=self._dither,
         )
         rollout.tried += is_admitted
         return is_admitted
 
-    def note_answer(self, replica: Replica, route: str, ms: float | None) -> None:
+    def record_answer(self, replica: Replica, route: str, ms: float | None) -> None:
         """Count a response of a replica.
 
         `ms` is the latency without queueing delay, or None if the request failed. Latencies are
@@ -252,7 +253,7 @@
             rollout.baselines[route].add(ms)
         self._count(rollout, route, replica, is_bad=is_bad)
 
-    def note_abandoned(self, replica: Replica, route: str, ms: float) -> None:
+    def record_abandoned(self, replica: Replica, route: str, ms: float) -> None:
         """Count an abandoned attempt if it was already slow."""
         rollout = self._active_rollout(replica.service)
         if rollout is not None and rollout.is_slow(route, ms):
@@ -266,35 +267,35 @@
         rollout.routes[route].add(replica.id, is_new=is_new, is_bad=is_bad)
         if is_new and is_bad:
             rollout.is_trial_stopped = (
-                rollout.is_trial_stopped or judge(rollout.routes) is Verdict.BAD
+                rollout.is_trial_stopped or analyse(rollout.routes) is Verdict.BAD
             )
 
-    def report(self, *, for_others: bool) -> str:
+    def report(self, *, include_reports: bool) -> str:
         """Return the report for the VM that this one follows; empty without active rollouts.
 
-        With `for_others` it includes the reports that this VM has received.
+        With `include_reports` it includes the reports that this VM has received.
         """
         if not self._active:
             return ""
         latest = sorted(self._active, key=self._order_revision, reverse=True)[
             :MAX_REPORTED_SERVICES
         ]
-        services = {name: self.answers(name, for_others=for_others) for name in latest}
-        report = RolloutReport(is_sum=for_others, services=services)
+        services = {name: self.answers(name, include_reports=include_reports) for name in latest}
+        report = RolloutReport(is_sum=include_reports, services=services)
         return codec.to_json(report).decode()
 
-    def take_report(self, vm: str, text: str) -> None:
+    def merge_report(self, vm: str, text: str) -> None:
         """Merge the report of a VM that follows this one. Raises MalformedError."""
         self._reports[vm] = (self._now(), codec.from_json(text.encode(), RolloutReport))
 
     def answers(
-        self, service: str, *, for_others: bool, include_sums: bool = False
+        self, service: str, *, include_reports: bool, include_sums: bool = False
     ) -> RolloutAnswers:
         """Return the answers of a rollout that this VM has counted.
 
-        With `for_others` they include those reported to it. Reports that are sums themselves count
-        only with `include_sums`; else two VMs that temporarily follow each other would count the
-        same answers repeatedly.
+        With `include_reports` they include those reported to it. Reports that are sums themselves
+        count only with `include_sums`; else two VMs that temporarily follow each other would count
+        the same answers repeatedly.
         """
         rollout = self._services[service]
         order = rollout.order
@@ -302,7 +303,7 @@
         requests, routes = rollout.requests, _new_counts()
         _merge_counts(routes, rollout.routes)
         for reported in (
-            self._reported_answers(service, order.revision, include_sums) if for_others else ()
+            self._reported_answers(service, order.revision, include_sums) if include_reports else ()
         ):
             requests += reported.requests
             _merge_counts(routes, reported.routes)
@@ -322,7 +323,7 @@
         evidence of a bad version would be lost, and with fewer requests counted the trial would
         take a larger share.
         """
-        reported = self.answers(service, for_others=True, include_sums=True)
+        reported = self.answers(service, include_reports=True, include_sums=True)
         rate = (
             1000 * reported.requests / reported.elapsed_ms
             if reported.elapsed_ms > MIN_RATE_PERIOD_MS
@@ -332,7 +333,7 @@
         if stored is None:
             return attrs.evolve(reported, rate=rate)
         for name, counts in stored.routes.items():
-            reported.routes.setdefault(name, AnswerCounts()).raise_to(counts)
+            reported.routes.setdefault(name, AnswerCounts()).merge_max(counts)
         return attrs.evolve(
             reported,
             requests=max(reported.requests, stored.requests),
@@ -368,8 +369,8 @@
         """Return the verdict on the answers of all data centres."""
         rollout = self._services[service]
         term = rollout.order.term if rollout.order is not None else 0.0
-        required_caution = caution(self._bounds, term=term, rate=self._rate(rollout))
-        return judge(self._recorded_counts(service), required_caution)
+        required_caution = evidence_limits(self._bounds, term=term, rate=self._rate(rollout))
+        return analyse(self._recorded_counts(service), required_caution)
 
     def _recorded_counts(self, service: str) -> defaultdict[str, AnswerCounts]:
         routes = _new_counts()
@@ -418,4 +419,4 @@
 
 def _merge_counts(routes: defaultdict[str, AnswerCounts], more: Mapping[str, AnswerCounts]) -> None:
     for name, counts in more.items():
-        routes[name].join(counts)
+        routes[name].add_all(counts)
--- a/libs/forwarding/berylspindle_forwarding/scatter_gather.py
+++ b/libs/forwarding/berylspindle_forwarding/scatter_gather.py
@@ -24,14 +24,14 @@
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-from berylspindle_decisions.answer_time import PartsVerdict
 from berylspindle_decisions.hedged_request import (
-    AttemptEnd,
+    AttemptOutcome,
     GiveUp,
     HedgedRequest,
     RequestState,
     SendTo,
 )
+from berylspindle_decisions.response_timing import PartialResultVerdict
 from berylspindle_forwarding.attempt import Attempt, AttemptOwner
 from berylspindle_forwarding.attempt_policy import ForwardContext, RequestTimes, RouteAttemptPolicy
 from berylspindle_forwarding.part_collector import PartCollector
@@ -42,8 +42,8 @@
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.routing import Route
 from berylspindle_wire.exchange import (
-    EndKind,
-    ExchangeEnd,
+    ExchangeFailure,
+    ExchangeFailureKind,
     ExchangeReply,
     ExchangeRequest,
 )
@@ -83,8 +83,8 @@
             HedgedRequest(
                 service,
                 repeatable=route.repeatable,
-                most_runs=route.max_replicas if route.repeatable else 1,
-                wait_until=wait_until,
+                max_runs=route.max_replicas if route.repeatable else 1,
+                no_replica_deadline=wait_until,
                 deadline=times.deadline,
             )
             for service in services
@@ -118,7 +118,7 @@
     def extra_left(self) -> float:
         """Return what is left of this VM's retry budget for the first service."""
         budget = self._context.retry_budget(self._hedged[0].service)
-        return budget.left(self._context.now(), vms=self._context.vms())
+        return budget.available(self._context.now(), vms=self._context.vms())
 
     async def run(self) -> HttpResponse | Refusal:
         """Return the response or the refusal; cancellation closes all attempts."""
@@ -210,29 +210,31 @@
         self._policy.record_reply(now, attempt, verdict, elapsed_ms, reply)
         hedged = self._hedged[attempt.index]
         if verdict is ReplyClass.ANSWER:
-            if hedged.state is not RequestState.WON:
-                hedged.answered(attempt.record)
+            if hedged.state is not RequestState.ANSWERED:
+                hedged.on_answer(attempt.record)
                 self._accept(reply)
                 self._withdraw_waiting(attempt.index)
         else:
             self._handle_failed_reply(now, attempt, verdict, reply)
         self._advance(attempt.index)
 
-    def on_end(self, attempt: Attempt, end: ExchangeEnd) -> None:
+    def on_end(self, attempt: Attempt, end: ExchangeFailure) -> None:
         """Handle the end of an attempt without a reply."""
         now = self._context.now()
         self._in_flight.discard(attempt)
         self._policy.record_end(now, attempt, end)
-        if end.kind is EndKind.LOST:
+        if end.kind is ExchangeFailureKind.LOST:
             elapsed_ms = (now - attempt.record.sent_at) * 1000
-            self._context.crashes.lost(self._request, attempt.handle, elapsed_ms=elapsed_ms)
-        attempt_end = AttemptEnd.MAY_HAVE_RUN
-        if end.kind is EndKind.NOT_SENT:
-            attempt_end = AttemptEnd.NOT_SENT
+            self._context.crashes.record_connection_loss(
+                self._request, attempt.handle, elapsed_ms=elapsed_ms
+            )
+        attempt_end = AttemptOutcome.MAY_HAVE_RUN
+        if end.kind is ExchangeFailureKind.NOT_SENT:
+            attempt_end = AttemptOutcome.NOT_SENT
         self._detail = f"{attempt.handle.replica.id}: {end.kind} {end.detail}"
         if not self._done.done():
             self.trace.ended(now, attempt.handle, end)
-        self._hedged[attempt.index].ended(now, attempt.record, attempt_end, refused=False)
+        self._hedged[attempt.index].on_failure(now, attempt.record, attempt_end, refused=False)
         self._advance(attempt.index)
 
     def _accept(self, reply: ExchangeReply) -> None:
@@ -246,18 +248,18 @@
     ) -> None:
         hedged = self._hedged[attempt.index]
         refused = verdict in (ReplyClass.REFUSED, ReplyClass.MISDIRECTED)
-        end = AttemptEnd.NOT_RUN if refused else AttemptEnd.RAN
+        end = AttemptOutcome.NOT_RUN if refused else AttemptOutcome.RAN
         if verdict is ReplyClass.FOREIGN:
-            end = AttemptEnd.MAY_HAVE_RUN
+            end = AttemptOutcome.MAY_HAVE_RUN
         self._detail = f"{attempt.handle.replica.id}: {verdict} {reply.status}"
         if verdict is ReplyClass.FINAL:
             # The request itself is invalid; every replica would reply the same.
             self._reply = reply
-            hedged.answered(attempt.record)
+            hedged.on_answer(attempt.record)
             return
         if verdict is ReplyClass.FAILURE:
             self._failure = reply
-        hedged.ended(now, attempt.record, end, refused=verdict is ReplyClass.REFUSED)
+        hedged.on_failure(now, attempt.record, end, refused=verdict is ReplyClass.REFUSED)
 
     def _advance(self, index: int) -> None:
         if self._done.done() or self._is_stepping:
@@ -275,9 +277,9 @@
     def _continue_after_canary(self) -> None:
         """Start the other shards once the first has answered, or fail them if it is lost."""
         state, others = self._hedged[0].state, range(1, len(self._hedged))
-        if state is RequestState.WON:
+        if state is RequestState.ANSWERED:
             self._start_services(others)
-        elif state is RequestState.LOST and self._collector is not None:
+        elif state is RequestState.FAILED and self._collector is not None:
             self._collector.add_lost(len(others))
 
     def _step(self, index: int) -> None:
@@ -302,7 +304,7 @@
 
     def _send(self, now: float, index: int, step: SendTo) -> None:
         handle = self._policy.handle(step.replica)
-        record = self._hedged[index].sent(now, step.replica, self._policy)
+        record = self._hedged[index].on_sent(now, step.replica, self._policy)
         attempt = Attempt(self, index, handle, record)
         self._in_flight.add(attempt)
         self.trace.sent(now, handle, step.reason)
@@ -328,7 +330,7 @@
                 continue
             if attempt.handle.pool.withdraw(attempt):
                 self._in_flight.discard(attempt)
-                attempt.handle.health.withdrawn(attempt)
+                attempt.handle.health.on_not_sent(attempt)
 
     def _on_timer(self) -> None:
         self._timer = None
@@ -369,11 +371,11 @@
         verdict = self._collector.verdict(
             aim_passed=now >= self._times.aim_cutoff and self._context.policy.partial_at_target
         )
-        if verdict is PartsVerdict.ANSWER:
+        if verdict is PartialResultVerdict.ANSWER:
             return self._collector.response(self._request.request_id)
-        if verdict is PartsVerdict.FAIL and self._subset_refusal is not None:
+        if verdict is PartialResultVerdict.FAIL and self._subset_refusal is not None:
             return self._subset_refusal
-        if verdict is PartsVerdict.FAIL or now >= self._times.answer_by:
+        if verdict is PartialResultVerdict.FAIL or now >= self._times.answer_by:
             return self._refusal(now)
         return None
 
@@ -415,6 +417,6 @@
             elapsed_ms = (now - attempt.record.sent_at) * 1000
             self._policy.record_abandoned(now, attempt, elapsed_ms)
             if attempt.connection is not None:
-                attempt.connection.forget()
+                attempt.connection.discard()
             else:
                 attempt.handle.pool.withdraw(attempt)
--- a/libs/forwarding/berylspindle_forwarding/upstream_selector.py
+++ b/libs/forwarding/berylspindle_forwarding/upstream_selector.py
@@ -104,19 +104,19 @@
         now: Callable[[], float],
         rng: random.Random,
         watchers: Callable[[], tuple[MirrorAddress, ...]] = tuple,
-        vms_here: Callable[[], int] = lambda: 1,
-        introduction: Callable[[], dict[str, str]] = dict,
+        local_vm_count: Callable[[], int] = lambda: 1,
+        extra_query: Callable[[], dict[str, str]] = dict,
         on_losses: Callable[[dict[str, int]], None] = lambda losses: None,
     ) -> None:
         """Initialize the selector. `watchers` returns the watchers to follow, none on a watcher.
 
-        `vms_here` returns the number of VMs in the data centre, and `introduction` the query
+        `local_vm_count` returns the number of VMs in the data centre, and `extra_query` the query
         parameters that describe this VM to a mirror. `on_losses` receives a mirror's reports of
         lost responses by replica.
         """
-        self._introduction: Final = introduction
+        self._introduction: Final = extra_query
         self._on_losses: Final = on_losses
-        self._vms_here: Final = vms_here
+        self._vms_here: Final = local_vm_count
         self._watchers: Final = watchers
         self._store_probe_at = 0.0
         self._follow_store_until = 0.0
@@ -243,7 +243,7 @@
         return MirrorStore(
             address.host,
             address.port,
-            introduction=self._introduction,
+            extra_query=self._introduction,
             on_losses=self._on_losses,
         )
 
--- a/libs/forwarding/berylspindle_forwarding/vm_announcer.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_announcer.py
@@ -32,11 +32,11 @@
 from berylspindle_model import codec
 from berylspindle_store.store import (
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreLeaseGone,
+    StoreLeaseNotFound,
+    StoreUnavailable,
 )
 
 LEASE_S: Final = 30.0
@@ -66,8 +66,8 @@
 class VmAnnouncer:
     """Keep this VM's entry in the store.
 
-    `known` returns the entry as this VM's mirror holds it, and `listed` is set once all entries are
-    listed; `on_failure` receives the error of each failed call.
+    `stored_entry` returns the entry as this VM's mirror holds it, and `listed` is set once all
+    entries are listed; `on_failure` receives the error of each failed call.
     """
 
     def __init__(
@@ -78,21 +78,21 @@
         entry: VmEntry,
         followers: FollowerCount,
         is_needed: Callable[[], bool],
-        known: Callable[[], StoredValue | None],
+        stored_entry: Callable[[], StoredValue | None],
         listed: asyncio.Event,
         on_failure: Callable[[str], None],
         is_watcher: Callable[[], bool],
-        u: Callable[[], float],
+        uniform: Callable[[], float],
     ) -> None:
         self._is_watcher: Final = is_watcher
         self._entry: Final = entry
         self._followers: Final = followers
         self._is_needed: Final = is_needed
-        self._uniform: Final = u
+        self._uniform: Final = uniform
         self._written_followers = 0
         self._store: Final = store
         self._key: Final = key
-        self._stored_entry: Final = known
+        self._stored_entry: Final = stored_entry
         self._listed: Final = listed
         self._on_failure: Final = on_failure
         self._lease: str | None = None
@@ -112,7 +112,7 @@
                 await asyncio.sleep(
                     WATCHER_RENEW_INTERVAL_S if self._is_watcher() else RENEW_INTERVAL_S
                 )
-            except StoreLeaseGone:
+            except StoreLeaseNotFound:
                 self._discard_lease()
             except StoreError as error:
                 self._on_failure(str(error))
@@ -159,7 +159,7 @@
             return None
         if vm.followers and not self._written_followers:
             self._written_followers = vm.followers
-            self._followers.restore(_now(), vm.followers, bears=vm.follower_bears)
+            self._followers.restore(_now(), vm.followers, capacity=vm.follower_bears)
         return entry.lease or None
 
     def _decode_own(self, entry: StoredValue | None) -> VmEntry | None:
@@ -185,7 +185,7 @@
         entry = self._stored_entry()
         if entry is not None and self._decode_own(entry) is not None and entry.lease in ("", lease):
             self._mismatched_renewals = 0
-            if self._followers.is_due(_now(), self._written_followers):
+            if self._followers.needs_write(_now(), self._written_followers):
                 await self._write(lease)
             return
         self._mismatched_renewals += 1
@@ -203,7 +203,7 @@
         vm = attrs.evolve(
             self._entry,
             followers=self._written_followers,
-            follower_bears=self._followers.least_bears(),
+            follower_bears=self._followers.min_capacity(),
         )
         value = codec.to_json(vm)
         entry = self._stored_entry()
@@ -215,7 +215,7 @@
                 expect = conflict.current.revision if conflict.current is not None else 0
             else:
                 return
-        raise StoreAway("the entry was changed by another writer at each of 3 attempts")
+        raise StoreUnavailable("the entry was changed by another writer at each of 3 attempts")
 
 
 def _now() -> float:
--- a/libs/forwarding/berylspindle_forwarding/vm_probe.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_probe.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 from berylspindle_forwarding.mirror import MirrorStore
-from berylspindle_store.store import StoreAway
+from berylspindle_store.store import StoreUnavailable
 
 
-async def answers(host: str, port: int, *, timeout: float) -> bool:
+async def is_responding(host: str, port: int, *, timeout: float) -> bool:
     """Return whether the VM whose mirror has this address responds within `timeout` seconds."""
     mirror = MirrorStore(host, port)
     try:
@@ -21,25 +21,25 @@
 class Prober:
     """Probe a few VMs over connections that stay open while they respond.
 
-    `introduction` returns the query parameters that describe this VM; `on_losses` receives the
+    `extra_query` returns the query parameters that describe this VM; `on_losses` receives the
     reports of lost responses.
     """
 
     def __init__(
         self,
-        introduction: Callable[[], dict[str, str]],
+        extra_query: Callable[[], dict[str, str]],
         on_losses: Callable[[dict[str, int]], None],
     ) -> None:
-        self._introduction: Final = introduction
+        self._introduction: Final = extra_query
         self._on_losses: Final = on_losses
         self._mirrors: Final[dict[tuple[str, int], MirrorStore]] = {}
 
-    async def answers(self, host: str, port: int, *, timeout: float) -> bool:
+    async def is_responding(self, host: str, port: int, *, timeout: float) -> bool:
         """Return whether the VM whose mirror has this address responds within `timeout` seconds."""
         mirror = self._mirrors.get((host, port))
         if mirror is None:
             mirror = MirrorStore(
-                host, port, introduction=self._introduction, on_losses=self._on_losses
+                host, port, extra_query=self._introduction, on_losses=self._on_losses
             )
             self._mirrors[host, port] = mirror
         if await _responds(mirror, timeout):
@@ -47,7 +47,7 @@
         await self._disconnect((host, port))
         return False
 
-    def knows(self, host: str, port: int) -> bool:
+    def has_connection(self, host: str, port: int) -> bool:
         """Return whether a connection to a VM is open."""
         return (host, port) in self._mirrors
 
@@ -65,7 +65,7 @@
 async def _responds(mirror: MirrorStore, timeout: float) -> bool:
     try:
         await mirror.probe(timeout)
-    except StoreAway:
+    except StoreUnavailable:
         # A missing response is a result of the probe, not an error.
         return False
     return True
--- a/libs/forwarding/berylspindle_forwarding/vm_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_registry.py
@@ -1,7 +1,7 @@
 """Registry of the other VMs, from their announcements.
 
-Flow: the forwarder passes each announcement to `take`. The registry answers which VMs are followed,
-which VMs may merge searches, and by how many VMs cluster-wide limits are divided.
+Flow: the forwarder passes each announcement to `apply`. The registry answers which VMs are
+followed, which VMs may merge searches, and by how many VMs cluster-wide limits are divided.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import Final
 
-from berylspindle_decisions.relay_choice import count_alike, least_merger
-from berylspindle_decisions.watchers import LEAST, watchers_of
+from berylspindle_decisions.relay_choice import min_merger_capacity, share_divisor
+from berylspindle_decisions.watchers import MIN_WATCHERS, select_watchers
 from berylspindle_forwarding.catalogue import VmChange, VmEntry
 from berylspindle_forwarding.upstream_selector import MirrorAddress
 
@@ -19,8 +19,8 @@
 class VmRegistry:
     """All VMs known to this one, itself among them once it is announced.
 
-    `bears` is this VM's capacity in cores, `peers` the address of its own mirror, and `seeds` are
-    mirrors that are known without an announcement.
+    `capacity` is this VM's capacity in cores, `own_mirror` the address of its own mirror, and
+    `seeds` are mirrors that are known without an announcement.
     """
 
     def __init__(
@@ -28,15 +28,15 @@
         *,
         vm: str,
         data_centre: str,
-        bears: float,
-        peers: MirrorAddress | None,
+        capacity: float,
+        own_mirror: MirrorAddress | None,
         seeds: tuple[MirrorAddress, ...],
         expected_vms: int,
     ) -> None:
         self._vm: Final = vm
         self._data_centre: Final = data_centre
-        self._capacity: Final = bears
-        self._own_mirror: Final = peers
+        self._capacity: Final = capacity
+        self._own_mirror: Final = own_mirror
         self._seeds: Final = seeds
         self._expected_vms: Final = expected_vms
         self._vms: dict[str, VmEntry] = {}
@@ -54,11 +54,11 @@
         return tuple(self._vms.values())
 
     @property
-    def alike(self) -> int:
+    def share_divisor(self) -> int:
         """Return the divisor of cluster-wide limits, counted in VMs of this one's capacity."""
         return max(self._share_divisor, self._expected_vms)
 
-    def take(self, change: VmChange) -> None:
+    def apply(self, change: VmChange) -> None:
         """Apply an announcement, or its deletion."""
         if change.vm is not None:
             self._vms[change.id] = change.vm
@@ -78,12 +78,12 @@
             and (vm.data_centre == self._data_centre or vm.bears >= self._min_merger_capacity)
         }
 
-    def needs_me(self, required: int) -> bool:
+    def is_announcement_needed(self, required: int) -> bool:
         """Return whether fewer than `required` other local VMs, each at least as big, are known."""
         bigger = [vm for vm in self._local_peers.values() if vm.bears >= self._capacity]
         return len(bigger) < required
 
-    def size_here(self) -> int:
+    def local_vm_count(self) -> int:
         """Return the number of VMs in the data centre, including those without an entry."""
         local = [vm for vm in self._vms.values() if vm.data_centre == self._data_centre]
         return max(1, sum(1 + vm.followers for vm in local))
@@ -95,8 +95,8 @@
                 others_by_capacity[vm.bears] += 1
             if vm.followers:
                 others_by_capacity[vm.follower_bears] += vm.followers
-        self._share_divisor = count_alike(self._capacity, others_by_capacity)
-        self._min_merger_capacity = least_merger([self._capacity, *others_by_capacity])
+        self._share_divisor = share_divisor(self._capacity, others_by_capacity)
+        self._min_merger_capacity = min_merger_capacity([self._capacity, *others_by_capacity])
 
     def mirrors(self) -> tuple[MirrorAddress, ...]:
         """Return the addresses of peers' mirrors: those of known VMs and the seeds."""
@@ -130,15 +130,15 @@
     def _ranked_watchers(self) -> tuple[str, ...]:
         local = {name: vm for name, vm in self._vms.items() if vm.data_centre == self._data_centre}
         capacities = {name: vm.bears for name, vm in local.items()}
-        if len(local) < LEAST:
+        if len(local) < MIN_WATCHERS:
             capacities[self._vm] = self._capacity
-        return watchers_of(
+        return select_watchers(
             capacities,
             data_centre=self._data_centre,
             unannounced=sum(vm.followers for vm in local.values()),
         )
 
-    def mergers(self) -> Mapping[str, VmEntry]:
+    def merge_candidates(self) -> Mapping[str, VmEntry]:
         """Return the VMs that may merge this one's requests; a new mapping after each change."""
         return self._mergers
 
--- a/libs/model/berylspindle_model/codec.py
+++ b/libs/model/berylspindle_model/codec.py
@@ -43,12 +43,12 @@
     return message
 
 
-def to_pack(message: object) -> bytes:
+def to_msgpack(message: object) -> bytes:
     """Return the MessagePack encoding of a message."""
     return _MSGPACK.encode(message)
 
 
-def from_pack(data: bytes, kind: type[T]) -> T:
+def from_msgpack(data: bytes, kind: type[T]) -> T:
     """Return the message of type `kind` that is encoded in MessagePack.
 
     Raises the same errors as `from_json`.
--- a/libs/model/berylspindle_model/configuration.py
+++ b/libs/model/berylspindle_model/configuration.py
@@ -8,10 +8,10 @@
   policy           a service's trade-off between latency and coverage, and its limits
   intent record    a confirmed operator intent, by its own id
 
-Flow: `checked.parse_configuration` reads a document and reports all its faults at once; only a
-document without faults becomes a `Configuration`. A change makes a new one with the next revision.
-A desk of ten services with three replicas each is by default configured as one service with ten
-shards. The configuration can also express it as ten services of one shard each.
+Flow: `configuration_codec.parse_configuration` reads a document and reports all its faults at once;
+only a document without faults becomes a `Configuration`. A change makes a new one with the next
+revision. A desk of ten services with three replicas each is by default configured as one service
+with ten shards. The configuration can also express it as ten services of one shard each.
 """
 
 from __future__ import annotations
--- a/libs/model/berylspindle_model/faults.py
+++ b/libs/model/berylspindle_model/configuration_checks.py
@@ -3,7 +3,7 @@
 Terms:
   fault   a problem in a configuration: the path to it and a description for operators
 
-Flow: `faults_of` runs all checks over the whole document and returns everything that they found,
+Flow: `find_faults` runs all checks over the whole document and returns everything that they found,
 so that an operator can correct a document in one round.
 """
 
@@ -34,7 +34,7 @@
     text: str
 
 
-def faults_of(configuration: Configuration) -> tuple[Fault, ...]:
+def find_faults(configuration: Configuration) -> tuple[Fault, ...]:
     """Return all faults of the content; empty if the configuration is valid."""
     return (
         *_check_header(configuration),
--- a/libs/model/berylspindle_model/checked.py
+++ b/libs/model/berylspindle_model/configuration_codec.py
@@ -7,7 +7,8 @@
               limited to 1 MB, which the plain text of 5,200 backend servers exceeds
 
 Flow: text -> `parse_configuration` -> cattrs structures the types and collects all errors ->
-`faults_of` checks the contents -> a `Configuration`, or `ConfigurationFaults` with all faults.
+`find_faults` checks the contents -> a `Configuration`, or `InvalidConfigurationError` with all
+faults.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
     Preference,
     ServerState,
 )
-from berylspindle_model.faults import Fault, faults_of
+from berylspindle_model.configuration_checks import Fault, find_faults
 
 # Longer documents are rejected unparsed. Compressed, about this much fits into the store's 1 MB.
-MAX_TEXT: Final = 16 * 1024 * 1024
+MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 _ROOT: Final = "$"
 
 
-class ConfigurationFaults(Exception):  # noqa: N818 - named after what it carries
+class InvalidConfigurationError(Exception):
     """Raised for an invalid configuration, with all faults that were found in it."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
@@ -45,12 +46,12 @@
 def parse_configuration(data: bytes) -> Configuration:
     """Return the configuration in a JSON document.
 
-    Raises ConfigurationFaults with all type errors, or else with all faults of the content.
+    Raises InvalidConfigurationError with all type errors, or else with all faults of the content.
     """
     configuration = _structure_document(_load_document(data))
-    faults = faults_of(configuration)
+    faults = find_faults(configuration)
     if faults:
-        raise ConfigurationFaults(faults)
+        raise InvalidConfigurationError(faults)
     return normalise(configuration)
 
 
@@ -82,31 +83,33 @@
 def from_stored(data: bytes) -> Configuration:
     """Return the configuration in a value of the store, compressed or plain JSON.
 
-    Raises ConfigurationFaults for any other value.
+    Raises InvalidConfigurationError for any other value.
     """
     if data[:1].isspace() or data[:1] == b"{":
         return parse_configuration(data)
     decompressor = zlib.decompressobj()
     try:
-        text = decompressor.decompress(data, MAX_TEXT)
+        text = decompressor.decompress(data, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
-        raise ConfigurationFaults(
+        raise InvalidConfigurationError(
             (Fault(_ROOT, f"is neither JSON nor compressed JSON: {error}"),)
         ) from error
     if decompressor.unconsumed_tail or not decompressor.eof:
-        raise ConfigurationFaults(
+        raise InvalidConfigurationError(
             (Fault(_ROOT, "decompresses to too many bytes, or is truncated"),)
         )
     return parse_configuration(text)
 
 
 def _load_document(data: bytes) -> object:
-    if len(data) > MAX_TEXT:
-        raise ConfigurationFaults((Fault(_ROOT, f"is larger than {MAX_TEXT} bytes"),))
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise InvalidConfigurationError(
+            (Fault(_ROOT, f"is larger than {MAX_DOCUMENT_BYTES} bytes"),)
+        )
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise ConfigurationFaults((Fault(_ROOT, f"is not valid JSON: {error}"),)) from error
+        raise InvalidConfigurationError((Fault(_ROOT, f"is not valid JSON: {error}"),)) from error
 
 
 def _structure_document(document: object) -> Configuration:
@@ -116,7 +119,9 @@
         # cattrs groups whatever exceptions the hooks raise; each becomes a fault with its path.
         lines = transform_error(error, path=_ROOT, format_exception=_describe_error)
         parts = (line.rpartition(" @ ") for line in lines)
-        raise ConfigurationFaults(tuple(Fault(path, text) for text, _, path in parts)) from error
+        raise InvalidConfigurationError(
+            tuple(Fault(path, text) for text, _, path in parts)
+        ) from error
 
 
 def _describe_error(error: BaseException, kind: type | None) -> str:
--- a/libs/model/berylspindle_model/control_messages.py
+++ b/libs/model/berylspindle_model/control_messages.py
@@ -160,7 +160,7 @@
     # Only digests are nested, so that `attrs.astuple` is not needed; its recursion took a third
     # of the processor time of the control plane.
     row = [_digest_values(value) if type(value) is Digest else value for value in values]
-    return bytes((message.KIND,)) + codec.to_pack(row)
+    return bytes((message.KIND,)) + codec.to_msgpack(row)
 
 
 def from_datagram(data: bytes) -> Datagram:
@@ -168,7 +168,7 @@
     kind = _TYPES_BY_KIND.get(data[0]) if data else None
     if kind is None:
         raise codec.MalformedError("datagram is empty or has an unknown kind")
-    values = codec.from_pack(data[1:], list[Any])
+    values = codec.from_msgpack(data[1:], list[Any])
     message: Datagram = _from_values(kind, values)
     return message
 
