--- a/libs/model/berylspindle_model/delta.py
+++ b/libs/model/berylspindle_model/delta.py
@@ -30,7 +30,7 @@
 
 T = TypeVar("T")
 
-# Limit of the decompressed size of a message; twice `checked.MAX_TEXT`.
+# Limit of the decompressed size of a message; twice `configuration_codec.MAX_DOCUMENT_BYTES`.
 _MAX_UNPACKED_BYTES: Final = 32 * 1024 * 1024
 
 
@@ -166,7 +166,7 @@
 
 def pack_changes(changes: Changes) -> bytes:
     """Return the compressed encoding that VMs exchange."""
-    return zlib.compress(codec.to_pack(changes), 6)
+    return zlib.compress(codec.to_msgpack(changes), 6)
 
 
 def unpack_changes(data: bytes) -> Changes:
@@ -176,7 +176,7 @@
         packed = decompressor.decompress(data, _MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise codec.MalformedError(str(error)) from error
-    return codec.from_pack(packed, Changes)
+    return codec.from_msgpack(packed, Changes)
 
 
 def _sort_by_revision(records: Iterable[IntentRecord]) -> tuple[IntentRecord, ...]:
--- a/libs/model/berylspindle_model/rollout.py
+++ b/libs/model/berylspindle_model/rollout.py
@@ -71,7 +71,7 @@
         answers, bad = self.old.get(replica, (0, 0))
         self.old[replica] = (answers + 1, bad + is_bad)
 
-    def join(self, other: AnswerCounts) -> None:
+    def add_all(self, other: AnswerCounts) -> None:
         """Add the counts of another VM."""
         self.new += other.new
         self.new_bad += other.new_bad
@@ -79,7 +79,7 @@
             current = self.old.get(replica, (0, 0))
             self.old[replica] = (current[0] + answers, current[1] + bad)
 
-    def raise_to(self, minimum: AnswerCounts) -> None:
+    def merge_max(self, minimum: AnswerCounts) -> None:
         """Raise each count to that of an earlier record if that is higher."""
         self.new = max(self.new, minimum.new)
         self.new_bad = max(self.new_bad, minimum.new_bad)
--- a/libs/model/berylspindle_model/routing.py
+++ b/libs/model/berylspindle_model/routing.py
@@ -48,7 +48,7 @@
     least_share: float
 
     @property
-    def least(self) -> int:
+    def min_shards(self) -> int:
         """Return the number of shards that a response requires, at least one."""
         exact = self.least_share * len(self.shards)
         # 0.89 * 100 is 89.00000000000001 in floating point and must be rounded up to 89, not to 90.
@@ -63,7 +63,7 @@
         host: host of the requests, in lower case and without a port.
         prefix: path prefix that starts and ends with a slash; the longest match is used.
         timeout_ms: maximum time until the response.
-        aim_ms: latency target.
+        target_ms: latency target.
         priority: priority under load shedding; 0 is the highest.
         max_replicas: maximum number of replicas, of each shard, that may run one request.
     """
--- a/libs/standins/berylspindle_standins/backend_server.py
+++ b/libs/standins/berylspindle_standins/backend_server.py
@@ -170,7 +170,7 @@
         loop = asyncio.get_running_loop()
         self._down_until = loop.time() + self._options.restart_ms / 1000
         self._reset_to_cold()
-        self._log_step(CallStep.FELL)
+        self._log_step(CallStep.CRASHED)
         self._on_crash()
 
     def turn_cold(self) -> None:
--- a/libs/standins/berylspindle_standins/call_log.py
+++ b/libs/standins/berylspindle_standins/call_log.py
@@ -27,7 +27,7 @@
 
     ADMITTED to OVERRUN concern one call, the others the server. A call is ADMITTED when it passes
     admission, STARTED when it holds a slot, and then FINISHED or STOPPED. OVERRUN is a call beyond
-    the capacity of a cold server, which crashes the server (`FELL`).
+    the capacity of a cold server, which crashes the server (`CRASHED`).
     """
 
     ADMITTED = "admitted"
@@ -36,7 +36,7 @@
     STOPPED = "stopped"
     REFUSED = "refused"
     OVERRUN = "overrun"
-    FELL = "fell"
+    CRASHED = "fell"
     TURNED_COLD = "turned_cold"
     TURNED_WARM = "turned_warm"
     DRAIN = "drain"
--- a/libs/standins/berylspindle_standins/forward_replica.py
+++ b/libs/standins/berylspindle_standins/forward_replica.py
@@ -3,7 +3,7 @@
 Terms:
   answer      a body derived from service and target, with a signature over service, request id and
               body; all replicas of a service return the same body for a target
-  `Spoil`     a fault of an answer on the wire
+  `ReplyFault`     a fault of an answer on the wire
   pause       a period in which no request starts and no answer is sent
 
 Flow: `start_replica` listens; each connection serves one request at a time. A request acquires a
@@ -30,27 +30,27 @@
 _READ_BYTES: Final = 65536
 
 
-class Spoil(enum.StrEnum):
+class ReplyFault(enum.StrEnum):
     """Faults of an answer on the wire.
 
-    CUT: half of the body, then the connection closes. UNFRAMED: no content length; the body ends
-    with the connection. UNFRAMED_RESET: the same, but a reset after half of the body. EXTRA: a
-    second answer at once. LATE_EXTRA: a second answer after 10 ms. GARBAGE: bytes that are not
-    HTTP. FOREIGN: the id of another request. UNSIGNED: no signature. ENCODED: a content encoding
-    that was not requested. LOST: a connection reset after the run instead of an answer. EARLY: the
-    answer is sent before the request's body is read.
+    TRUNCATED: half of the body, then the connection closes. UNFRAMED: no content length; the body
+    ends with the connection. UNFRAMED_RESET: the same, but a reset after half of the body.
+    DUPLICATE: a second answer at once. LATE_DUPLICATE: a second answer after 10 ms. GARBAGE: bytes
+    that are not HTTP. WRONG_REQUEST_ID: the id of another request. UNSIGNED: no signature. ENCODED:
+    a content encoding that was not requested. CONNECTION_RESET: a connection reset after the run
+    instead of an answer. EARLY: the answer is sent before the request's body is read.
     """
 
-    CUT = "cut"
+    TRUNCATED = "cut"
     UNFRAMED = "unframed"
     UNFRAMED_RESET = "unframed_reset"
-    EXTRA = "extra"
-    LATE_EXTRA = "late_extra"
+    DUPLICATE = "extra"
+    LATE_DUPLICATE = "late_extra"
     GARBAGE = "garbage"
-    FOREIGN = "foreign"
+    WRONG_REQUEST_ID = "foreign"
     UNSIGNED = "unsigned"
     ENCODED = "encoded"
-    LOST = "lost"
+    CONNECTION_RESET = "lost"
     EARLY = "early"
 
 
@@ -59,26 +59,26 @@
     """Current behaviour of one replica; times in seconds.
 
     Attributes:
-        work: service time of a request, within its slot.
-        spoil: fault of the next answers; None for none.
-        spoiled: number of answers with that fault; -1 means all.
-        refuse: number of requests to refuse without running them; -1 means all.
-        fail: number of requests that run and then fail; -1 means all.
-        misplaced: whether to answer as misdirected, like another replica at the same address.
-        crash: text in a target that crashes the replica; empty for none.
-        idle: time after which an idle connection is closed.
-        omit_keep_alive: whether to omit `idle` from replies; otherwise each states it in whole
-            seconds if it is at least 1 s.
+        service_time_s: service time of a request, within its slot.
+        reply_fault: fault of the next answers; None for none.
+        faulty_replies: number of answers with that fault; -1 means all.
+        refused_requests: number of requests to refuse without running them; -1 means all.
+        failed_requests: number of requests that run and then fail; -1 means all.
+        misdirected: whether to answer as misdirected, like another replica at the same address.
+        crash_marker: text in a target that crashes the replica; empty for none.
+        idle_timeout_s: time after which an idle connection is closed.
+        omit_keep_alive: whether to omit the idle timeout from replies; otherwise each states it in
+            whole seconds if it is at least 1 s.
     """
 
-    work: float = 0.0
-    spoil: Spoil | None = None
-    spoiled: int = 0
-    refuse: int = 0
-    fail: int = 0
-    misplaced: bool = False
-    crash: str = ""
-    idle: float = 5.0
+    service_time_s: float = 0.0
+    reply_fault: ReplyFault | None = None
+    faulty_replies: int = 0
+    refused_requests: int = 0
+    failed_requests: int = 0
+    misdirected: bool = False
+    crash_marker: str = ""
+    idle_timeout_s: float = 5.0
     omit_keep_alive: bool = False
 
 
@@ -88,8 +88,8 @@
 
     Attributes:
         runs: number of runs by request id.
-        ended_early: requests whose connection closed before their answer.
-        times_left: remaining times of the requests that ran, in milliseconds.
+        cancelled: requests whose connection closed before their answer.
+        remaining_ms: remaining times of the requests that ran, in milliseconds.
         targets: targets of the requests that ran.
         bodies: bodies of the requests that ran.
     """
@@ -97,10 +97,10 @@
     arrivals: int = 0
     runs: Counter[str] = attrs.field(factory=Counter)
     refused: int = 0
-    ended_early: int = 0
+    cancelled: int = 0
     crashes: int = 0
     connections: int = 0
-    times_left: list[int] = attrs.field(factory=list)
+    remaining_ms: list[int] = attrs.field(factory=list)
     targets: list[str] = attrs.field(factory=list)
     bodies: list[bytes] = attrs.field(factory=list)
 
@@ -137,7 +137,7 @@
         self.port = 0
 
     async def listen(self, port: int = 0) -> None:
-        """Accept connections; port 0 picks a free port, or the previous one after `go_down`."""
+        """Accept connections; port 0 picks a free port, or the previous one after `crash`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port or self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -149,22 +149,22 @@
         """End a pause."""
         self._resumed.set()
 
-    def go_down(self) -> None:
+    def crash(self) -> None:
         """Crash: stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
             _reset(writer)
 
-    async def revive(self) -> None:
-        """Accept connections again after `go_down`."""
+    async def restart(self) -> None:
+        """Accept connections again after `crash`."""
         if self._server is not None and not self._server.is_serving():
             await self.listen()
 
     async def close(self) -> None:
         """Stop listening and reset all connections."""
         self.resume()
-        self.go_down()
+        self.crash()
         await asyncio.sleep(0)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -180,7 +180,7 @@
             writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        async with asyncio.timeout(self.behaviour.idle):
+        async with asyncio.timeout(self.behaviour.idle_timeout_s):
             head = await reader.readuntil(b"\r\n\r\n")
         lines = head.decode("latin-1").split("\r\n")
         target = lines[0].split(" ")[1]
@@ -190,7 +190,7 @@
         }
         length = int(headers.get("content-length", "0"))
         self.counts.arrivals += 1
-        early = self._consume_fault(Spoil.EARLY)
+        early = self._consume_fault(ReplyFault.EARLY)
         if early:
             self._write(writer, self._answer(target, headers))
         body = await reader.readexactly(length) if length else b""
@@ -201,7 +201,7 @@
         try:
             await asyncio.wait((disconnect, answer_task), return_when=asyncio.FIRST_COMPLETED)
             if not answer_task.done():
-                self.counts.ended_early += 1
+                self.counts.cancelled += 1
                 return False
             return answer_task.result()
         finally:
@@ -214,11 +214,11 @@
     ) -> bool:
         behaviour = self.behaviour
         await self._resumed.wait()
-        if behaviour.misplaced:
+        if behaviour.misdirected:
             self._write(writer, self._empty_response(self._dialect.misdirected))
             return True
-        if behaviour.refuse or self._slots.full:
-            behaviour.refuse -= behaviour.refuse > 0
+        if behaviour.refused_requests or self._slots.full:
+            behaviour.refused_requests -= behaviour.refused_requests > 0
             self.counts.refused += 1
             self._write(writer, self._empty_response(503, (self._dialect.not_run.decode(), "1")))
             return True
@@ -238,32 +238,32 @@
         counts.runs[headers.get(self._dialect.request_id.decode(), "")] += 1
         counts.targets.append(target)
         counts.bodies.append(body)
-        counts.times_left.append(int(headers.get(self._dialect.time_left.decode(), "0")))
-        if behaviour.crash and behaviour.crash in target:
+        counts.remaining_ms.append(int(headers.get(self._dialect.time_left.decode(), "0")))
+        if behaviour.crash_marker and behaviour.crash_marker in target:
             counts.crashes += 1
-            self.go_down()
+            self.crash()
             return False
-        if behaviour.work:
-            await asyncio.sleep(behaviour.work)
+        if behaviour.service_time_s:
+            await asyncio.sleep(behaviour.service_time_s)
         await self._resumed.wait()
-        if behaviour.fail:
-            behaviour.fail -= behaviour.fail > 0
+        if behaviour.failed_requests:
+            behaviour.failed_requests -= behaviour.failed_requests > 0
             signed = (self._dialect.signature.decode(), f"{self.service}.failed")
             self._write(writer, self._empty_response(500, signed))
             return True
         answer = self._answer(target, headers)
-        fault = behaviour.spoil
-        if fault is None or fault is Spoil.EARLY or not behaviour.spoiled:
+        fault = behaviour.reply_fault
+        if fault is None or fault is ReplyFault.EARLY or not behaviour.faulty_replies:
             self._write(writer, answer)
             return True
-        behaviour.spoiled -= behaviour.spoiled > 0
+        behaviour.faulty_replies -= behaviour.faulty_replies > 0
         return await self._write_faulty(writer, answer, fault)
 
-    def _consume_fault(self, fault: Spoil) -> bool:
+    def _consume_fault(self, fault: ReplyFault) -> bool:
         behaviour = self.behaviour
-        if behaviour.spoil is not fault or not behaviour.spoiled:
+        if behaviour.reply_fault is not fault or not behaviour.faulty_replies:
             return False
-        behaviour.spoiled -= behaviour.spoiled > 0
+        behaviour.faulty_replies -= behaviour.faulty_replies > 0
         return True
 
     def _answer(self, target: str, headers: dict[str, str]) -> bytes:
@@ -283,8 +283,8 @@
         load = f"{self._slots.running},{self._slots.queued},{self._slot_count}"
         lines = [f"HTTP/1.1 {status} -", f"{self._dialect.load.decode()}: {load}"]
         lines += [f"{name}: {value}" for name, value in headers]
-        if not self.behaviour.omit_keep_alive and self.behaviour.idle >= 1:
-            lines.append(f"keep-alive: timeout={int(self.behaviour.idle)}")
+        if not self.behaviour.omit_keep_alive and self.behaviour.idle_timeout_s >= 1:
+            lines.append(f"keep-alive: timeout={int(self.behaviour.idle_timeout_s)}")
         lines += [f"content-length: {len(body)}", "", ""]
         return "\r\n".join(lines).encode("latin-1") + body
 
@@ -292,32 +292,32 @@
         writer.write(data)
 
     async def _write_faulty(
-        self, writer: asyncio.StreamWriter, answer: bytes, fault: Spoil
+        self, writer: asyncio.StreamWriter, answer: bytes, fault: ReplyFault
     ) -> bool:
         """Write an answer with a fault. Return whether the connection stays open."""
         head, _, body = answer.partition(b"\r\n\r\n")
-        if fault is Spoil.LOST:
+        if fault is ReplyFault.CONNECTION_RESET:
             _reset(writer)
             return False
-        if fault is Spoil.EXTRA:
+        if fault is ReplyFault.DUPLICATE:
             writer.write(answer + answer)
             return True
-        if fault is Spoil.LATE_EXTRA:
+        if fault is ReplyFault.LATE_DUPLICATE:
             writer.write(answer)
             asyncio.get_running_loop().call_later(0.01, writer.write, answer)
             return True
-        if fault in (Spoil.FOREIGN, Spoil.UNSIGNED, Spoil.ENCODED):
+        if fault in (ReplyFault.WRONG_REQUEST_ID, ReplyFault.UNSIGNED, ReplyFault.ENCODED):
             writer.write(self._alter_head(head, fault) + b"\r\n\r\n" + body)
             return True
-        if fault is Spoil.GARBAGE:
+        if fault is ReplyFault.GARBAGE:
             writer.write(b"\x00\x17garbage\r\n\r\n")
             return True
-        if fault is Spoil.CUT:
+        if fault is ReplyFault.TRUNCATED:
             writer.write(answer[: len(answer) - len(body) // 2])
             return False
         lines = [line for line in head.split(b"\r\n") if not line.startswith(b"content-length")]
         unframed = b"\r\n".join(lines) + b"\r\nconnection: close\r\n\r\n"
-        if fault is Spoil.UNFRAMED:
+        if fault is ReplyFault.UNFRAMED:
             writer.write(unframed + body)
             return False
         writer.write(unframed + body[: len(body) // 2])
@@ -326,13 +326,13 @@
         _reset(writer)
         return False
 
-    def _alter_head(self, head: bytes, fault: Spoil) -> bytes:
+    def _alter_head(self, head: bytes, fault: ReplyFault) -> bytes:
         """Return a response head with a wrong request id, no signature or a content encoding."""
-        if fault is Spoil.ENCODED:
+        if fault is ReplyFault.ENCODED:
             return head + b"\r\ncontent-encoding: gzip"
-        name = self._dialect.signature if fault is Spoil.UNSIGNED else self._dialect.request_id
+        name = self._dialect.signature if fault is ReplyFault.UNSIGNED else self._dialect.request_id
         lines = [line for line in head.split(b"\r\n") if not line.startswith(name + b":")]
-        if fault is Spoil.FOREIGN:
+        if fault is ReplyFault.WRONG_REQUEST_ID:
             lines.append(name + b": of-somebody-else")
         return b"\r\n".join(lines)
 
--- a/libs/standins/berylspindle_standins/index.py
+++ b/libs/standins/berylspindle_standins/index.py
@@ -49,7 +49,7 @@
         )
         for number in range(total_matches(service, shard, snapshot, query))
     ]
-    return tuple(sorted(hits, key=hit_order))
+    return tuple(sorted(hits, key=hit_sort_key))
 
 
 def merged_hits(
@@ -57,9 +57,9 @@
 ) -> tuple[Hit, ...]:
     """Return all hits of the given shards in the order of a complete answer."""
     hits = [hit for shard in shards for hit in shard_hits(service, shard, snapshot, query)]
-    return tuple(sorted(hits, key=hit_order))
+    return tuple(sorted(hits, key=hit_sort_key))
 
 
-def hit_order(hit: Hit) -> tuple[float, str]:
+def hit_sort_key(hit: Hit) -> tuple[float, str]:
     """Return the sort key of a hit: descending score, then id."""
     return (-hit.score, hit.id)
--- a/libs/standins/berylspindle_standins/platform_calls.py
+++ b/libs/standins/berylspindle_standins/platform_calls.py
@@ -106,7 +106,7 @@
             (routes.REVISION_HEADER, "0" if entry is None else str(entry.revision)),
         )
         if entry is None:
-            return Reply(status=routes.STATUS_NO_ENTRY, headers=headers)
+            return Reply(status=routes.STATUS_NOT_FOUND, headers=headers)
         return Reply(status=routes.STATUS_OK, headers=headers, body=entry.value or b"")
 
     async def _list(self, request: HttpRequest) -> Reply:
@@ -164,7 +164,7 @@
 
     async def _put(self, request: HttpRequest) -> Reply:
         self.counts.largest_value = max(self.counts.largest_value, len(request.body))
-        if len(request.body) > routes.VALUE_BYTES:
+        if len(request.body) > routes.MAX_VALUE_BYTES:
             return json_reply(routes.STATUS_TOO_LARGE, {"error": "the value is too large"})
         return self._write(request, request.body)
 
--- a/libs/standins/berylspindle_standins/platform_standin.py
+++ b/libs/standins/berylspindle_standins/platform_standin.py
@@ -144,7 +144,7 @@
         """Count a call, run it and apply the faults."""
         kind = call_kind(request)
         if kind is None:
-            return json_reply(routes.STATUS_NO_ENTRY, {"error": "no such route"})
+            return json_reply(routes.STATUS_NOT_FOUND, {"error": "no such route"})
         refusal = await self._refusal(kind)
         if refusal is not None:
             return refusal
--- a/libs/store/berylspindle_store/claim_records.py
+++ b/libs/store/berylspindle_store/claim_records.py
@@ -21,7 +21,7 @@
 
 from berylspindle_model import codec
 from berylspindle_model.errors import ErrorKind, RunState
-from berylspindle_store.store import StoreAway, StoredValue
+from berylspindle_store.store import StoredValue, StoreUnavailable
 
 CLAIMS_PREFIX: Final = "claims/"
 
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """This attempt holds the claim: dispatch once and then settle, or release."""
+    """This attempt holds the claim: dispatch once and then store the outcome, or release."""
 
     claim: Claim
 
@@ -109,16 +109,16 @@
 class ClaimUnavailable:
     """The key could not be claimed: do not dispatch. This attempt did not run the request.
 
-    `may_stand` is set if a claim that no VM will dispatch may remain in the store for a while.
+    `may_exist` is set if a claim that no VM will dispatch may remain in the store for a while.
     """
 
-    may_stand: bool
+    may_exist: bool
 
 
 ClaimOutcome = Claimed | AlreadyClaimed | KeyReused | ClaimUnavailable
 
 
-class SettleState(enum.StrEnum):
+class OutcomeWriteState(enum.StrEnum):
     """Result of storing an outcome.
 
     PENDING: the store is unavailable and `Claims.retry_pending` retries. LAPSED: the claim had
@@ -146,7 +146,7 @@
 
 
 def decode_record(entry: StoredValue) -> ClaimRecord:
-    """Decode the record of an entry. Raises StoreAway if the entry holds no valid record.
+    """Decode the record of an entry. Raises StoreUnavailable if the entry holds no valid record.
 
     The key is in use whatever the entry holds, so it is safe to refuse the request as if the store
     were unavailable.
@@ -154,4 +154,4 @@
     try:
         return codec.from_json(entry.value or b"", ClaimRecord)
     except codec.MalformedError as error:
-        raise StoreAway(f"no valid claim in {entry.key}: {error}") from error
+        raise StoreUnavailable(f"no valid claim in {entry.key}: {error}") from error
--- a/libs/store/berylspindle_store/claims.py
+++ b/libs/store/berylspindle_store/claims.py
@@ -1,16 +1,16 @@
 """Dispatch non-idempotent requests at most once, by means of claims in the platform's store.
 
 Terms: see `claim_records`, and
-  settle     store the outcome of a claim that was dispatched
+  outcome    the result of a dispatch, which replaces the claim in its entry
   release    delete a claim that was never dispatched
   abandoned  a claim whose write got no conclusive reply in time: it may exist, or come into
              existence later, and this VM never dispatches it
 
 Flow: `claim` creates the key's entry by a compare-and-swap that expects no entry; only the VM that
-created the entry dispatches. `settle` then replaces the entry with the outcome. An execute costs
-two writes, plus one lease grant per VM and sharing period; a repeated request costs one write,
-which fails. No decision is based on a read: reads can lag, the conflict of a compare-and-swap
-cannot.
+created the entry dispatches. `store_outcome` then replaces the entry with the outcome. An execute
+costs two writes, plus one lease grant per VM and sharing period; a repeated request costs one
+write, which fails. No decision is based on a read: reads can lag, the conflict of a
+compare-and-swap cannot.
 
 After a lost reply the write is repeated with the same token. If the first write took effect, the
 conflict shows the VM's own token; if it did not, the second write decides. A first write that
@@ -56,7 +56,7 @@
     ClaimUnavailable,
     DispatchOutcome,
     KeyReused,
-    SettleState,
+    OutcomeWriteState,
     claim_path,
     decode_record,
     encode_record,
@@ -64,12 +64,12 @@
 from berylspindle_store.pending_claims import PendingClaims
 from berylspindle_store.store import (
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 
 # Fraction of a claim's validity within which its dispatch must begin.
@@ -134,12 +134,12 @@
         attempt_id: str,
         valid_ms: int | None = None,
         *,
-        within: float | None = None,
+        timeout: float | None = None,
     ) -> ClaimOutcome:
-        """Claim a key for one dispatch, in at most `within` seconds. Never raises StoreError.
+        """Claim a key for one dispatch, in at most `timeout` seconds. Never raises StoreError.
 
         `valid_ms` is the time during which the request may be repeated; None selects the default.
-        If `within` is None, only the store's own timeouts apply. Raises ValueError if the validity
+        If `timeout` is None, only the store's own timeouts apply. Raises ValueError if the validity
         is not within the limits.
         """
         finished = self._pending.outcome_of(claim_path(service, key))
@@ -151,21 +151,21 @@
         try:
             # If the store does not respond, the timeouts of all attempts together end long after
             # the caller's deadline; the caller must get its answer at the deadline.
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 lease = await self._leases.lease((1 + DISPATCH_SHARE) * validity)
                 outcome = await self._claim_or_abandon(
                     record, lease, dispatch_before=started + DISPATCH_SHARE * validity
                 )
         except (TimeoutError, StoreError):
-            return ClaimUnavailable(may_stand=self._pending.is_abandoned(record.token))
+            return ClaimUnavailable(may_exist=self._pending.is_abandoned(record.token))
         if isinstance(outcome, Claimed) and self._now() > lease.bind_before:
             # The VM was paused between selecting the lease and the reply: the lease may expire
             # within the claim's validity, and a retry would then be dispatched a second time.
             self._abandon(record)
-            return ClaimUnavailable(may_stand=True)
+            return ClaimUnavailable(may_exist=True)
         return outcome
 
-    async def settle(self, claim: Claim, outcome: DispatchOutcome) -> SettleState:
+    async def store_outcome(self, claim: Claim, outcome: DispatchOutcome) -> OutcomeWriteState:
         """Store the outcome of a dispatched claim; keep it pending if the store is unavailable."""
         finished = attrs.evolve(claim.record, state=ClaimState.FINISHED, outcome=outcome)
         return await self._pending.store_outcome(claim, finished)
@@ -182,7 +182,7 @@
         """Return the record of a key, or None if there is none.
 
         A record can lag behind the store. Absence is confirmed by a compare-and-swap, since a
-        lagging read could miss the claim of a request that has run. Raises StoreAway.
+        lagging read could miss the claim of a request that has run. Raises StoreUnavailable.
         """
         path = claim_path(service, key)
         finished = self._pending.outcome_of(path)
@@ -203,8 +203,8 @@
             await self._store.compare_and_swap(path, None, expect=0)
         except StoreConflict as conflict:
             return conflict.current
-        except StoreUnsure as error:
-            raise StoreAway(str(error)) from error
+        except StoreOutcomeUnknown as error:
+            raise StoreUnavailable(str(error)) from error
         return None
 
     async def _claim_or_abandon(
@@ -226,16 +226,16 @@
         for _ in range(self._options.tries):
             try:
                 entry = await self._entry_after_write(record, expect, lease)
-            except StoreUnsure:
+            except StoreOutcomeUnknown:
                 maybe_written = True
                 continue
-            except StoreAway:
+            except StoreUnavailable:
                 break
-            except StoreLeaseGone:
+            except StoreLeaseNotFound:
                 # Entries bound to the lease were deleted with it, including one written by an
                 # earlier attempt.
                 self._leases.discard(lease)
-                return ClaimUnavailable(may_stand=False)
+                return ClaimUnavailable(may_exist=False)
             if entry is None:
                 # The abandoned claim to take over has been released in the meantime.
                 expect = 0
@@ -248,7 +248,7 @@
             expect = entry.revision
         if maybe_written:
             self._abandon(record)
-        return ClaimUnavailable(may_stand=maybe_written)
+        return ClaimUnavailable(may_exist=maybe_written)
 
     async def _entry_after_write(
         self, record: ClaimRecord, expect: int, lease: SharedLease
--- a/libs/store/berylspindle_store/http_store.py
+++ b/libs/store/berylspindle_store/http_store.py
@@ -20,12 +20,12 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_wire.http import HttpRequest, HttpResponse
@@ -61,26 +61,31 @@
         response = await self._read(routes.entry_path(key), {}, self._options.read_timeout)
         # A 404 without the header comes from an intermediary, such as a load balancer, and does
         # not mean that there is no entry.
-        if response.status == routes.STATUS_NO_ENTRY and routes.REVISION_HEADER in response.headers:
+        if (
+            response.status == routes.STATUS_NOT_FOUND
+            and routes.REVISION_HEADER in response.headers
+        ):
             return None
-        _require_ok(response, StoreAway)
-        return StoredValue(key=key, value=response.body, revision=_revision(response, StoreAway))
+        _require_ok(response, StoreUnavailable)
+        return StoredValue(
+            key=key, value=response.body, revision=_revision(response, StoreUnavailable)
+        )
 
     async def list(self, prefix: str) -> ListResult:
         """Return all entries under a prefix; see `Store`."""
         query = {routes.PREFIX_PARAMETER: prefix}
         response = await self._read(routes.KV_PATH, query, self._options.read_timeout)
-        _require_ok(response, StoreAway)
-        document = _decode(response, routes.ListDocument, StoreAway)
+        _require_ok(response, StoreUnavailable)
+        document = _decode(response, routes.ListDocument, StoreUnavailable)
         return ListResult(revision=document.revision, entries=_stored_values(document))
 
     async def compare_and_swap(
         self, key: str, value: bytes | None, *, expect: int, lease: str | None = None
     ) -> StoredValue:
         """Write or delete an entry that has the expected revision; see `Store`."""
-        if value is not None and len(value) > routes.VALUE_BYTES:
+        if value is not None and len(value) > routes.MAX_VALUE_BYTES:
             raise ValueError(
-                f"{len(value)} bytes for {key} exceed the maximum of {routes.VALUE_BYTES}"
+                f"{len(value)} bytes for {key} exceed the maximum of {routes.MAX_VALUE_BYTES}"
             )
         query = {routes.EXPECT_PARAMETER: str(expect)}
         if lease is not None:
@@ -88,12 +93,12 @@
         method = "DELETE" if value is None else "PUT"
         response = await self._write(method, routes.entry_path(key), query, value or b"")
         if response.status == routes.STATUS_CONFLICT:
-            conflict = _decode(response, routes.ConflictDocument, StoreUnsure)
+            conflict = _decode(response, routes.ConflictDocument, StoreOutcomeUnknown)
             raise StoreConflict(
                 None if conflict.current is None else _stored_value(conflict.current)
             )
-        _require_ok(response, StoreUnsure)
-        return StoredValue(key=key, value=value, revision=_revision(response, StoreUnsure))
+        _require_ok(response, StoreOutcomeUnknown)
+        return StoredValue(key=key, value=value, revision=_revision(response, StoreOutcomeUnknown))
 
     async def watch(self, prefix: str, *, after: int, wait: float) -> WatchResult:
         """Wait for changes under a prefix; see `Store`."""
@@ -105,8 +110,8 @@
         timeout = wait + self._options.watch_slack
         response = await self._read(routes.WATCH_PATH, query, timeout)
         if response.status != routes.STATUS_GONE:
-            _require_ok(response, StoreAway)
-        document = _decode(response, routes.ListDocument, StoreAway)
+            _require_ok(response, StoreUnavailable)
+        document = _decode(response, routes.ListDocument, StoreUnavailable)
         return WatchResult(
             revision=document.revision,
             entries=_stored_values(document),
@@ -125,14 +130,14 @@
     async def revoke(self, lease: str) -> None:
         """End a lease; see `Store`."""
         response = await self._write("DELETE", routes.lease_path(lease), {}, b"")
-        _require_ok(response, StoreUnsure)
+        _require_ok(response, StoreOutcomeUnknown)
 
     async def _read(self, path: str, query: dict[str, str], timeout: float) -> HttpResponse:
         request = HttpRequest(method="GET", path=path, query=query)
         try:
             return await self._send(request, timeout)
         except HttpFailure as failure:
-            raise StoreAway(str(failure)) from failure
+            raise StoreUnavailable(str(failure)) from failure
 
     async def _write(
         self, method: str, path: str, query: dict[str, str], body: bytes
@@ -143,10 +148,12 @@
         except HttpFailure as failure:
             # The call had no effect only if no byte was sent: if the connection breaks later, the
             # store may have received the write, and the reply may have been lost.
-            error_type = StoreAway if failure.phase is FailurePhase.NOT_SENT else StoreUnsure
+            error_type = (
+                StoreUnavailable if failure.phase is FailurePhase.NOT_SENT else StoreOutcomeUnknown
+            )
             raise error_type(str(failure)) from failure
         if response.status == routes.STATUS_GONE:
-            raise StoreLeaseGone(path)
+            raise StoreLeaseNotFound(path)
         return response
 
     async def _send(self, request: HttpRequest, timeout: float) -> HttpResponse:
@@ -161,11 +168,11 @@
 
 
 def _require_ok(response: HttpResponse, error_type: type[StoreError]) -> None:
-    """Raise StoreAway for a refusal and `error_type` for any other status except success."""
+    """Raise StoreUnavailable for a refusal and `error_type` for any other status except success."""
     if response.status == routes.STATUS_OK:
         return
     if response.status in _REFUSALS:
-        raise StoreAway(f"status {response.status}")
+        raise StoreUnavailable(f"status {response.status}")
     raise error_type(f"status {response.status}")
 
 
@@ -173,7 +180,7 @@
 _REFUSALS: Final = frozenset(
     {
         routes.STATUS_BAD_REQUEST,
-        routes.STATUS_NO_ENTRY,
+        routes.STATUS_NOT_FOUND,
         routes.STATUS_TOO_LARGE,
         routes.STATUS_UNAVAILABLE,
     }
@@ -195,8 +202,8 @@
 
 
 def _lease(response: HttpResponse) -> Lease:
-    _require_ok(response, StoreUnsure)
-    document = _decode(response, routes.LeaseDocument, StoreUnsure)
+    _require_ok(response, StoreOutcomeUnknown)
+    document = _decode(response, routes.LeaseDocument, StoreOutcomeUnknown)
     return Lease(id=document.id, ttl=document.ttl_ms / 1000)
 
 
--- a/libs/store/berylspindle_store/pending_claims.py
+++ b/libs/store/berylspindle_store/pending_claims.py
@@ -20,19 +20,19 @@
 from berylspindle_store.claim_records import (
     Claim,
     ClaimRecord,
-    SettleState,
+    OutcomeWriteState,
     claim_path,
     decode_record,
     encode_record,
 )
 from berylspindle_store.store import (
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 
 # If a token is evicted, its key merely stays unusable until the lease expires.
@@ -92,7 +92,7 @@
         while len(self._abandoned) > MAX_ABANDONED_TOKENS:
             self._abandoned.popitem(last=False)
 
-    async def store_outcome(self, claim: Claim, finished: ClaimRecord) -> SettleState:
+    async def store_outcome(self, claim: Claim, finished: ClaimRecord) -> OutcomeWriteState:
         """Store a finished record, or keep it pending."""
         # The outcome is kept in memory before it is written, so that this VM can answer a retry
         # throughout an outage of the store.
@@ -109,13 +109,13 @@
         item = self._abandoned[token]
         try:
             await self._release(item)
-        except (StoreAway, StoreUnsure):
+        except (StoreUnavailable, StoreOutcomeUnknown):
             return
 
     async def retry(self) -> None:
         """Try each pending item once; stop as soon as the store proves to be unavailable."""
         for path, pending in tuple(self._outcomes.items()):
-            if await self._try_store_outcome(path, pending) is SettleState.PENDING:
+            if await self._try_store_outcome(path, pending) is OutcomeWriteState.PENDING:
                 return
         for token, item in tuple(self._abandoned.items()):
             if item.keep_until <= self._now():
@@ -126,13 +126,13 @@
                 except StoreError:
                     return
 
-    async def _try_store_outcome(self, path: str, pending: _PendingOutcome) -> SettleState:
+    async def _try_store_outcome(self, path: str, pending: _PendingOutcome) -> OutcomeWriteState:
         state = await self._write_outcome(path, pending)
-        if state is not SettleState.PENDING and self._outcomes.get(path) is pending:
+        if state is not OutcomeWriteState.PENDING and self._outcomes.get(path) is pending:
             del self._outcomes[path]
         return state
 
-    async def _write_outcome(self, path: str, pending: _PendingOutcome) -> SettleState:
+    async def _write_outcome(self, path: str, pending: _PendingOutcome) -> OutcomeWriteState:
         claim, finished = pending.claim, pending.finished
         data = encode_record(finished, self._max_bytes)
         for _ in range(_OUTCOME_WRITE_ATTEMPTS):
@@ -140,19 +140,19 @@
                 await self._store.compare_and_swap(
                     path, data, expect=claim.revision, lease=claim.lease
                 )
-            except StoreUnsure:
+            except StoreOutcomeUnknown:
                 continue
-            except StoreAway:
-                return SettleState.PENDING
-            except StoreLeaseGone:
-                return SettleState.LAPSED
+            except StoreUnavailable:
+                return OutcomeWriteState.PENDING
+            except StoreLeaseNotFound:
+                return OutcomeWriteState.LAPSED
             except StoreConflict as conflict:
                 # This VM's token at another revision: an earlier attempt succeeded and its reply
                 # was lost.
                 own = conflict.current is not None and _token(conflict.current) == finished.token
-                return SettleState.STORED if own else SettleState.LAPSED
-            return SettleState.STORED
-        return SettleState.PENDING
+                return OutcomeWriteState.STORED if own else OutcomeWriteState.LAPSED
+            return OutcomeWriteState.STORED
+        return OutcomeWriteState.PENDING
 
     async def _release(self, item: _AbandonedClaim) -> None:
         record = item.record
@@ -179,5 +179,5 @@
 def _token(entry: StoredValue) -> str:
     try:
         return decode_record(entry).token
-    except StoreAway:
+    except StoreUnavailable:
         return ""
--- a/libs/store/berylspindle_store/routes.py
+++ b/libs/store/berylspindle_store/routes.py
@@ -33,11 +33,11 @@
 # Revision of the store when the response was made.
 STORE_REVISION_HEADER: Final = "x-store-revision"
 
-VALUE_BYTES: Final = 1024 * 1024
+MAX_VALUE_BYTES: Final = 1024 * 1024
 
 STATUS_OK: Final = 200
 STATUS_BAD_REQUEST: Final = 400
-STATUS_NO_ENTRY: Final = 404
+STATUS_NOT_FOUND: Final = 404
 STATUS_CONFLICT: Final = 409
 STATUS_GONE: Final = 410
 STATUS_TOO_LARGE: Final = 413
--- a/libs/store/berylspindle_store/store.py
+++ b/libs/store/berylspindle_store/store.py
@@ -7,8 +7,8 @@
                     0 expects no entry
   lease             a time to live that the store counts; it deletes entries bound to an expired
                     lease
-  away              the call failed and had no effect
-  unsure            the reply was lost, and the call may have taken effect
+  unavailable       the call failed and had no effect
+  outcome unknown   the reply was lost, and the call may have taken effect
 
 Flow: callers use a `Store`; `http_store` implements it by the platform's protocol. Reads can lag
 behind writes, and watch events can be late or duplicated, so a caller must never go back to a lower
@@ -38,15 +38,15 @@
         self.current: Final = current
 
 
-class StoreAway(StoreError):  # noqa: N818
+class StoreUnavailable(StoreError):  # noqa: N818
     """The store was not reached or refused the call; the call had no effect."""
 
 
-class StoreUnsure(StoreError):  # noqa: N818
+class StoreOutcomeUnknown(StoreError):  # noqa: N818
     """The call was sent and got no reply; it may have taken effect, or may do so later."""
 
 
-class StoreLeaseGone(StoreError):  # noqa: N818
+class StoreLeaseNotFound(StoreError):  # noqa: N818
     """The lease has expired or was revoked; the call had no effect."""
 
 
@@ -99,7 +99,7 @@
 
 
 class Store(ABC):
-    """The configuration store. Every method can raise StoreAway; times are in seconds."""
+    """The configuration store. Every method can raise StoreUnavailable; times are in seconds."""
 
     @abstractmethod
     async def get(self, key: str) -> StoredValue | None:
@@ -123,8 +123,9 @@
         """Write `value`, or delete the entry if None, provided that it has revision `expect`.
 
         The write binds the entry to `lease`, or to no lease if None. Deleting with `expect` 0
-        changes nothing and confirms that there is no entry. Raises StoreConflict, StoreUnsure,
-        StoreLeaseGone, and ValueError if the value exceeds the store's maximum size.
+        changes nothing and confirms that there is no entry. Raises StoreConflict,
+        StoreOutcomeUnknown, StoreLeaseNotFound, and ValueError if the value exceeds the store's
+        maximum size.
         """
 
     @abstractmethod
@@ -133,12 +134,14 @@
 
     @abstractmethod
     async def grant_lease(self, ttl: float) -> Lease:
-        """Return a new lease. Raises StoreUnsure; a lease whose reply is lost expires unused."""
+        """Return a new lease. Raises StoreOutcomeUnknown; a lease whose reply is lost expires
+        unused."""
 
     @abstractmethod
     async def keep_alive(self, lease: str) -> Lease:
-        """Restart the TTL of a lease. Raises StoreUnsure, StoreLeaseGone."""
+        """Restart the TTL of a lease. Raises StoreOutcomeUnknown, StoreLeaseNotFound."""
 
     @abstractmethod
     async def revoke(self, lease: str) -> None:
-        """End a lease and delete the entries bound to it. Raises StoreUnsure, StoreLeaseGone."""
+        """End a lease and delete the entries bound to it. Raises StoreOutcomeUnknown,
+        StoreLeaseNotFound."""
--- a/libs/store/berylspindle_store/vm_list.py
+++ b/libs/store/berylspindle_store/vm_list.py
@@ -19,7 +19,7 @@
 from berylspindle_model import codec
 from berylspindle_store import routes
 from berylspindle_store.connections import StoreOptions, platform_pool
-from berylspindle_store.store import StoreAway
+from berylspindle_store.store import StoreUnavailable
 from berylspindle_wire.http import HttpRequest
 from berylspindle_wire.http_client import HttpFailure
 
@@ -55,7 +55,7 @@
 
     @abstractmethod
     async def fetch(self) -> tuple[ListedVm, ...]:
-        """Return the list. Raises StoreAway if the platform does not provide it."""
+        """Return the list. Raises StoreUnavailable if the platform does not provide it."""
 
 
 class HttpVmList(VmList):
@@ -81,10 +81,10 @@
         try:
             response = await self._pool.request(request, timeout=self._timeout)
             if response.status != routes.STATUS_OK:
-                raise StoreAway(f"status {response.status}")
+                raise StoreUnavailable(f"status {response.status}")
             document = codec.from_json(response.body, routes.VmListDocument)
         except (HttpFailure, codec.MalformedError) as error:
-            raise StoreAway(str(error)) from error
+            raise StoreUnavailable(str(error)) from error
         listed = (_decode_vm(vm) for vm in document.vms)
         return tuple(vm for vm in listed if vm is not None)
 
--- a/libs/telemetry/berylspindle_telemetry/logs.py
+++ b/libs/telemetry/berylspindle_telemetry/logs.py
@@ -4,11 +4,11 @@
   channel   the component that a line comes from, such as `daemon` or `timeline`
   level     the lowest severity that is written: debug, info, notice, warning, error or critical
 
-Flow: `logs_to` installs one logbook handler for the whole process, which also receives the records
-of libraries that use the standard `logging`. A daemon passes a `LineWriter`, which does not block
-on the reader of the log; lines for which it has no room are counted by channel, and the next line
-that is written is preceded by one with the number of dropped lines. JSON lines contain a stamp of
-the hybrid logical clock, so that lines of several VMs can be sorted.
+Flow: `log_context` installs one logbook handler for the whole process, which also receives the
+records of libraries that use the standard `logging`. A daemon passes a `LineWriter`, which does not
+block on the reader of the log; lines for which it has no room are counted by channel, and the next
+line that is written is preceded by one with the number of dropped lines. JSON lines contain a stamp
+of the hybrid logical clock, so that lines of several VMs can be sorted.
 
 Guard: the error message of a library may quote a header and thus a token. The secrets of the
 settings are masked in each line before it is written.
@@ -124,10 +124,10 @@
     return "".join(traceback.format_exception(*record.exc_info)).splitlines()
 
 
-def logs_to(
+def log_context(
     *,
     level: str = "info",
-    form: str = "text",
+    log_format: str = "text",
     vm: str = "-",
     secrets: Sequence[Secret] = (),
     metrics: Metrics | None = None,
@@ -141,12 +141,12 @@
 
     Raises ValueError for a level or format that is not in `LEVELS` or `FORMATS`.
     """
-    if level not in LEVELS or form not in FORMATS:
-        raise ValueError(f"unknown log level or format: {level}, {form}")
+    if level not in LEVELS or log_format not in FORMATS:
+        raise ValueError(f"unknown log level or format: {level}, {log_format}")
     handler = LineHandler(
         stream if stream is not None else sys.stderr,
         level=level,
-        as_json=form == "json",
+        as_json=log_format == "json",
         vm=vm,
         secrets=secrets,
         metrics=metrics,
--- a/libs/telemetry/berylspindle_telemetry/metrics.py
+++ b/libs/telemetry/berylspindle_telemetry/metrics.py
@@ -219,7 +219,7 @@
         """Read a gauge from a function whenever metrics are rendered."""
         self._get_gauge(metric, labels).read = read
 
-    def forget(self, metric: Metric, **labels: str) -> None:
+    def remove(self, metric: Metric, **labels: str) -> None:
         """Remove a series, such as the gauge of a backend server that this VM no longer owns."""
         key = _series_key(metric, labels)
         self._counters_by_call.clear()
--- a/libs/telemetry/berylspindle_telemetry/process.py
+++ b/libs/telemetry/berylspindle_telemetry/process.py
@@ -1,7 +1,7 @@
 """Measure the process: processor time, memory, and the lag of its event loop.
 
-Flow: the daemon calls `watch_process` once and runs `watch_loop` as a task. Event loop lag is the
-first symptom of a daemon that is saturating its core, before queues grow.
+Flow: the daemon calls `register_process_metrics` once and runs `measure_loop_lag` as a task. Event
+loop lag is the first symptom of a daemon that is saturating its core, before queues grow.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 _MAXRSS_UNIT_BYTES: Final = 1024
 
 
-def watch_process(metrics: Metrics) -> None:
+def register_process_metrics(metrics: Metrics) -> None:
     """Register gauges of processor time and peak resident memory."""
     metrics.gauge_function(names.CPU_SECONDS, time.process_time)
     metrics.gauge_function(names.RESIDENT_BYTES, _resident_bytes)
 
 
-async def watch_loop(metrics: Metrics, interval_s: float = LOOP_INTERVAL_S) -> None:
+async def measure_loop_lag(metrics: Metrics, interval_s: float = LOOP_INTERVAL_S) -> None:
     """Record the lag of the event loop every `interval_s` seconds; does not return."""
     lag = metrics.summary(names.LOOP_LAG)
     loop = asyncio.get_running_loop()
--- a/libs/telemetry/berylspindle_telemetry/stamping.py
+++ b/libs/telemetry/berylspindle_telemetry/stamping.py
@@ -29,11 +29,11 @@
     def __init__(self, clock: HybridClock) -> None:
         self._clock = clock
 
-    def seal(self, data: bytes) -> bytes:
+    def add_stamp(self, data: bytes) -> bytes:
         """Return the message with a new stamp as its prefix."""
         return _STAMP_STRUCT.pack(self._clock.tick().pack()) + data
 
-    def open(self, data: bytes) -> bytes:
+    def strip_stamp(self, data: bytes) -> bytes:
         """Merge the stamp of a message into the clock, and return the message without it.
 
         Raises ValueError if the message is too short for a stamp.
@@ -43,10 +43,10 @@
         self._clock.merge(Stamp.unpack(_STAMP_STRUCT.unpack_from(data)[0]))
         return data[STAMP_BYTES:]
 
-    def sealing(self, method: Method) -> Method:
+    def wrap_method(self, method: Method) -> Method:
         """Return a method that removes the stamp of its request and adds one to its response."""
 
         async def wrapped(request: bytes) -> bytes:
-            return self.seal(await method(self.open(request)))
+            return self.add_stamp(await method(self.strip_stamp(request)))
 
         return wrapped
--- a/libs/wire/berylspindle_wire/acceptor.py
+++ b/libs/wire/berylspindle_wire/acceptor.py
@@ -161,14 +161,14 @@
     tls: ssl.SSLContext | None = None,
     handshake_timeout: float | None = None,
     on_fault: OnFault,
-    bound: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> Acceptor:
     """Bind host and port and start accepting; raise OSError if they can't be bound.
 
-    `bound` is a socket that is already listening, used in place of host and port and owned by the
-    acceptor from then on.
+    `listening_socket` is a socket that is already listening, used in place of host and port and
+    owned by the acceptor from then on.
     """
-    sockets = [bound] if bound is not None else _bind_addresses(host, port)
+    sockets = [listening_socket] if listening_socket is not None else _bind_addresses(host, port)
     return Acceptor(
         sockets, protocol, tls=tls, handshake_timeout=handshake_timeout, on_fault=on_fault
     )
--- a/libs/wire/berylspindle_wire/exchange.py
+++ b/libs/wire/berylspindle_wire/exchange.py
@@ -5,10 +5,10 @@
   sink       receiver of the result of an exchange: exactly one call, from the event loop
   leftover   bytes received after a complete reply; they belong to no request
 
-Flow: `open_exchanges` connects; `send` writes one request and stores its sink. The sink receives
-the reply once it is complete, and the connection can be used again if `is_free`. Callbacks are used
-since a fan-out sends ten requests at a time, and a task and a future for each would cost more than
-the exchange itself.
+Flow: `open_exchange_connection` connects; `send` writes one request and stores its sink. The sink
+receives the reply once it is complete, and the connection can be used again if `is_free`. Callbacks
+are used since a fan-out sends ten requests at a time, and a task and a future for each would cost
+more than the exchange itself.
 
 A reply is delivered only if it is complete by its own framing. A connection with leftovers, with
 unwritten request bytes, or past the idle timeout announced by its peer is never used again, so that
@@ -43,7 +43,7 @@
 _KEEP_ALIVE: Final = re.compile(rb"(?:^|[,;\s])timeout\s*=\s*(\d{1,9})", re.IGNORECASE)
 
 
-class EndKind(enum.StrEnum):
+class ExchangeFailureKind(enum.StrEnum):
     """How an exchange ended without a complete reply.
 
     NOT_SENT: no byte was written to the connection. LOST: bytes were written and the connection
@@ -56,10 +56,10 @@
 
 
 @attrs.frozen
-class ExchangeEnd:
+class ExchangeFailure:
     """Why an exchange got no complete reply."""
 
-    kind: EndKind
+    kind: ExchangeFailureKind
     detail: str
 
 
@@ -88,24 +88,24 @@
 
 
 class ExchangeSink(abc.ABC):
-    """Receiver of the result of an exchange: `on_reply` or `on_end` is called exactly once."""
+    """Receiver of the result of an exchange: `on_reply` or `on_failure` is called exactly once."""
 
     @abc.abstractmethod
     def on_reply(self, reply: ExchangeReply) -> None:
         """Handle a complete reply."""
 
     @abc.abstractmethod
-    def on_end(self, end: ExchangeEnd) -> None:
+    def on_failure(self, end: ExchangeFailure) -> None:
         """Handle the end of the exchange without a complete reply."""
 
     @abc.abstractmethod
-    def on_carried(self, connection: ExchangeConnection) -> None:
+    def on_connection_assigned(self, connection: ExchangeConnection) -> None:
         """Record the connection assigned to a request that waited for one."""
 
 
 class ExchangeConnection(asyncio.Protocol):
-    """One connection, created by `open_exchanges`. `on_free` is called when it can be used again
-    or has ended."""
+    """One connection, created by `open_exchange_connection`. `on_free` is called when it can be
+    used again or has ended."""
 
     def __init__(
         self,
@@ -155,7 +155,7 @@
         """Return the seconds since the last complete reply, or since the connect before any."""
         return self._now() - self._idle_since
 
-    def peer_has_ended(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Ask the kernel whether the peer has closed the connection, even if not yet read."""
         return peer_has_closed(self._transport.get_extra_info("socket"))
 
@@ -177,7 +177,7 @@
         self._transport.abort()
         self._finish("closed locally")
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Close the connection without notifying the sink, which has abandoned the exchange."""
         self._sink = None
         self.close()
@@ -285,25 +285,29 @@
         sink, self._sink = self._sink, None
         if sink is not None:
             is_broken = self._reply_started if broken is None else broken
-            sink.on_end(ExchangeEnd(EndKind.BROKEN if is_broken else EndKind.LOST, detail))
+            sink.on_failure(
+                ExchangeFailure(
+                    ExchangeFailureKind.BROKEN if is_broken else ExchangeFailureKind.LOST, detail
+                )
+            )
         if newly_closed:
             self._on_free(self)
 
 
-async def open_exchanges(
+async def open_exchange_connection(
     host: str,
     port: int,
     *,
     timeout: float,
-    most_bytes: int,
+    max_reply_bytes: int,
     on_free: Callable[[ExchangeConnection], None],
 ) -> ExchangeConnection:
-    """Connect within `timeout` seconds; `most_bytes` limits the body of a reply. Raise OSError,
-    which includes TimeoutError."""
+    """Connect within `timeout` seconds; `max_reply_bytes` limits the body of a reply. Raise
+    OSError, which includes TimeoutError."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout):
         _, connection = await loop.create_connection(
-            lambda: ExchangeConnection(now=loop.time, most_bytes=most_bytes, on_free=on_free),
+            lambda: ExchangeConnection(now=loop.time, most_bytes=max_reply_bytes, on_free=on_free),
             host,
             port,
         )
--- a/libs/wire/berylspindle_wire/http_client.py
+++ b/libs/wire/berylspindle_wire/http_client.py
@@ -96,7 +96,7 @@
         """Return the number of requests sent on this connection."""
         return self._requests
 
-    def peer_has_ended(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Ask the kernel whether the peer has closed the connection, even if not yet read."""
         return peer_has_closed(self._transport.get_extra_info("socket"))
 
--- a/libs/wire/berylspindle_wire/http_pool.py
+++ b/libs/wire/berylspindle_wire/http_pool.py
@@ -156,7 +156,7 @@
             connection = self._idle.pop()
             if not connection.is_reusable:
                 continue
-            if connection.peer_has_ended():
+            if connection.is_closed_by_peer():
                 connection.close()
                 continue
             self._busy.add(connection)
--- a/libs/wire/berylspindle_wire/http_server.py
+++ b/libs/wire/berylspindle_wire/http_server.py
@@ -79,7 +79,7 @@
         """Replace the limits; open connections may keep parts of the previous ones."""
         self._rules.limits = limits
 
-    def ask_to_go(self, on: bool) -> None:
+    def set_connection_close(self, on: bool) -> None:
         """Send `Connection: close` with each response while on; idle connections stay open."""
         self._rules.connection_close = on
 
@@ -129,7 +129,7 @@
             tls=tls,
             handshake_timeout=None if tls is None else self._rules.limits.read_timeout,
             on_fault=self._rules.on_fault,
-            bound=bound,
+            listening_socket=bound,
         )
         self._port = self._acceptor.port
         self._stack.callback(self._acceptor.abort)
@@ -172,17 +172,18 @@
     on_fault: OnFault = _ignore,
     read: Callable[[h11.Request], HttpRequest] = read_head,
     refuse: Callable[[Refusal], HttpResponse] = refusal_response,
-    bound: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> HttpServer:
     """Listen on host and port and call `handler` for each request.
 
     `on_fault` is called with every exception of the handler that isn't a RefusalError; the caller
-    gets INTERNAL. `read` and `refuse` are as in `SessionRules`. `bound` is a socket that is already
-    listening, used in place of host and port. Raise OSError if the address can't be bound.
+    gets INTERNAL. `read` and `refuse` are as in `SessionRules`. `listening_socket` is a socket that
+    is already listening, used in place of host and port. Raise OSError if the address can't be
+    bound.
     """
     rules = SessionRules(
         handler=handler, limits=limits, on_fault=on_fault, read=read, refuse=refuse
     )
     server = HttpServer(rules)
-    await server._listen(host, port, tls, bound)
+    await server._listen(host, port, tls, listening_socket)
     return server
--- a/libs/wire/berylspindle_wire/peer_codec.py
+++ b/libs/wire/berylspindle_wire/peer_codec.py
@@ -16,7 +16,7 @@
 import attrs
 from grpclib.encoding.base import CodecBase
 
-from berylspindle_model.codec import from_pack, to_pack
+from berylspindle_model.codec import from_msgpack, to_msgpack
 from berylspindle_model.messages import AttemptBatch, AttemptReply
 
 LINK_PATH: Final = "/berylspindle.Peer/Link"
@@ -57,10 +57,10 @@
         """Return the encoded message."""
         if message_type is bytes:
             return bytes(message)
-        return to_pack(message)
+        return to_msgpack(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the decoded message; raise as `from_pack` does."""
+        """Return the decoded message; raise as `from_msgpack` does."""
         if message_type is bytes:
             return data
-        return from_pack(data, message_type)
+        return from_msgpack(data, message_type)
--- a/libs/wire/berylspindle_wire/peer_link.py
+++ b/libs/wire/berylspindle_wire/peer_link.py
@@ -91,7 +91,7 @@
             self._loop.call_soon(on_reply, reply)
 
     def cancel(self, vm: Vm, attempts: Sequence[str]) -> None:
-        """Cancel attempts: their replies are dropped, and the owner is told to stop their work."""
+        """Cancel attempts: their replies are dropped, and the owner is asked to stop their work."""
         link = self._links.get(vm.id)
         if link is not None:
             link.cancel(attempts)
--- a/tests/bench/test_experiment.py
+++ b/tests/bench/test_experiment.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from berylspindle_bench.experiment import DayError, compare, read_day
+from berylspindle_bench.experiment import ExperimentFileError, compare_policies, read_experiment
 from berylspindle_bench.main import app
 from berylspindle_bench.plots import draw_experiment
 from berylspindle_model import codec
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("path", sorted(DAYS.glob("*.toml")), ids=lambda path: path.stem)
 def test_the_days_that_come_with_the_project_can_be_read(path: Path):
-    assert read_day(path).name == path.stem
+    assert read_experiment(path).name == path.stem
 
 
 @pytest.mark.parametrize(
@@ -43,13 +43,13 @@
 ):
     path = tmp_path / "day.toml"
     path.write_text(text)
-    with pytest.raises(DayError, match=why):
-        read_day(path)
+    with pytest.raises(ExperimentFileError, match=why):
+        read_experiment(path)
 
 
 def test_policies_are_compared_on_the_same_seeds(short: Path):
-    first, off, again = compare(
-        read_day(short), ["", "refuses=off,hedge_idle_only=off", ""], (1, 2)
+    first, off, again = compare_policies(
+        read_experiment(short), ["", "refuses=off,hedge_idle_only=off", ""], (1, 2)
     )
     assert first == again
     assert first.credit > off.credit
@@ -74,5 +74,5 @@
 
 
 def test_a_picture_needs_no_display(short: Path, tmp_path: Path):
-    draw_experiment(compare(read_day(short), [""], (1,)), tmp_path / "one.png")
+    draw_experiment(compare_policies(read_experiment(short), [""], (1,)), tmp_path / "one.png")
     assert (tmp_path / "one.png").stat().st_size > 1000
--- a/tests/bench/test_page_links.py
+++ b/tests/bench/test_page_links.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from berylspindle_bench.page_links import missing
+from berylspindle_bench.page_links import missing_references
 
 
 def test_a_page_that_was_never_committed_is_found(tmp_path: Path) -> None:
@@ -16,7 +16,7 @@
         "docs/design/LARGE.md\n[up](../README.md) [gone](design/GONE.md)\ndocs/SIZE.md.\n"
     )
     (tmp_path / "README.md").write_text("[site](https://127.0.0.1/GONE.md) docs/HOME.md\n")
-    assert [str(reference) for reference in missing(tmp_path)] == [
+    assert [str(reference) for reference in missing_references(tmp_path)] == [
         "docs/HOME.md:2: no such file: design/GONE.md",
         "docs/HOME.md:3: no such file: docs/SIZE.md",
     ]
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,8 +16,8 @@
 from berylspindle_cli.settings import ENV_PREFIX
 from berylspindle_daemon.admin import AdminBackend, AdminEdge
 from berylspindle_model import caller_protocol, codec
-from berylspindle_model.checked import canonical
 from berylspindle_model.configuration import Configuration, DataCentre
+from berylspindle_model.configuration_codec import canonical
 from berylspindle_model.errors import ErrorKind, Refusal, refuse
 from berylspindle_model.events import Event, EventFilter, EventKind, EventPage
 from berylspindle_model.intents import (
--- a/tests/controlplane/conftest.py
+++ b/tests/controlplane/conftest.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from berylspindle_controlplane.plane import ControlOptions, ControlPlane
+from berylspindle_controlplane.control_plane import ControlOptions, ControlPlane
 from berylspindle_controlplane.transport import Address, Transport, TransportError
 from berylspindle_model.topology import ClusterState, Vm
 from berylspindle_standins.store_state import ConflictError, StoreState
@@ -20,10 +20,10 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
-    StoreUnsure,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_store.vm_list import ListedVm, VmList, VmRole, VmState
@@ -112,11 +112,11 @@
             asyncio.get_running_loop().call_later(
                 self._store.delay_writes, self._write_late, key, value, expect
             )
-            raise StoreUnsure("the write is delayed")
+            raise StoreOutcomeUnknown("the write is delayed")
         stored = self._store.write(key, value, expect)
         if value is not None and self._store.lose_replies > 0:
             self._store.lose_replies -= 1
-            raise StoreUnsure("the reply was lost")
+            raise StoreOutcomeUnknown("the reply was lost")
         await asyncio.sleep(0.001)
         await self.running.wait()
         return stored
@@ -152,7 +152,7 @@
 
     def _check(self) -> None:
         if self._store.down or self.cut:
-            raise StoreAway("disconnected")
+            raise StoreUnavailable("disconnected")
 
     async def _call(self) -> None:
         await self.running.wait()
@@ -201,7 +201,7 @@
             raise TransportError("unreachable")
         try:
             async with asyncio.timeout(timeout):
-                answer: Awaitable[bytes] = self._network.planes[to].methods[method](payload)
+                answer: Awaitable[bytes] = self._network.planes[to].peer_handlers[method](payload)
                 return await answer
         except TimeoutError as error:
             raise TransportError("timeout") from error
@@ -259,13 +259,13 @@
         self.stores[name] = VmStore(self.store)
         plane = PausablePlane(
             options,
-            me=vm,
+            local_vm=vm,
             store=self.stores[name],
             vm_list=MemoryVmList(self),
             seeds=list(self.network.planes),
             transport=MemoryTransport(self.network, vm),
             on_state=_ignore,
-            events=lambda kind, fields: self.events.append((name, kind, fields)),
+            on_event=lambda kind, fields: self.events.append((name, kind, fields)),
             # Seeded, since the choice of peers is part of the example: with random choices, a
             # machine would find a fault in one run and miss it in the next.
             rng=random.Random(name),
--- a/tests/controlplane/test_configuration_machine.py
+++ b/tests/controlplane/test_configuration_machine.py
@@ -26,9 +26,9 @@
 
 from berylspindle_controlplane import operations
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
-from berylspindle_decisions.propagation import Knowledge
-from berylspindle_model.checked import canonical, from_stored, to_stored
+from berylspindle_decisions.propagation import KnownState
 from berylspindle_model.configuration import Configuration, DataCentre
+from berylspindle_model.configuration_codec import canonical, from_stored, to_stored
 from berylspindle_model.errors import ErrorKind, RefusalError
 from berylspindle_model.intents import Intent, IntentKind, Plan
 from berylspindle_model.topology import Vm
@@ -273,12 +273,12 @@
     get requests again.
     """
 
-    def adopt(self: Knowledge, configuration: Configuration, delta: object = None) -> bool:
+    def adopt(self: KnownState, configuration: Configuration, delta: object = None) -> bool:
         changed = configuration.revision != self.revision
         self._configuration = configuration
         return changed
 
-    monkeypatch.setattr(Knowledge, "offer_configuration", adopt)
+    monkeypatch.setattr(KnownState, "offer_configuration", adopt)
     assert_finds(bind_machine(Operators), "went back")
 
 
--- a/tests/controlplane/test_plane.py
+++ b/tests/controlplane/test_control_plane.py
@@ -9,8 +9,8 @@
 
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_decisions.ownership import RightLevel
-from berylspindle_model.checked import to_stored
 from berylspindle_model.configuration import Configuration, DataCentre, DataCentreState
+from berylspindle_model.configuration_codec import to_stored
 from berylspindle_model.topology import Vm
 
 CONFIGURATION = Configuration(
--- a/tests/controlplane/test_membership_machine.py
+++ b/tests/controlplane/test_membership_machine.py
@@ -23,8 +23,8 @@
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_decisions.guarding import Wards
 from berylspindle_decisions.membership import Prober
-from berylspindle_model.checked import to_stored
 from berylspindle_model.configuration import Configuration, DataCentre
+from berylspindle_model.configuration_codec import to_stored
 from berylspindle_model.topology import Vm
 
 CONFIGURATION = Configuration(
--- a/tests/controlplane/test_ownership_machine.py
+++ b/tests/controlplane/test_ownership_machine.py
@@ -22,12 +22,12 @@
     run_state_machine_as_test,
 )
 
+from berylspindle_controlplane.control_plane import ControlOptions
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
-from berylspindle_controlplane.plane import ControlOptions
 from berylspindle_decisions import ownership
 from berylspindle_decisions.ownership import LeaseLimits, Ownership, RightLevel
-from berylspindle_model.checked import to_stored
 from berylspindle_model.configuration import Configuration, DataCentre
+from berylspindle_model.configuration_codec import to_stored
 from berylspindle_model.topology import Vm
 
 SERVERS = [f"server-{n}" for n in range(60)]
@@ -164,7 +164,7 @@
     def _describe(self, vm: Vm) -> str:
         rights = self.cluster.plane(vm).gossip.ownership
         left = rights.lease_until - self.loop.time()
-        return f"{vm.id}: {rights.view} lease {left:.1f} awaits {sorted(rights.awaited)}"
+        return f"{vm.id}: {rights.view} lease {left:.1f} awaits {sorted(rights.awaited_members)}"
 
     async def _end(self) -> None:
         if self.cluster is not None:
--- a/tests/controlplane/test_ticker.py
+++ b/tests/controlplane/test_ticker.py
@@ -10,8 +10,8 @@
 from berylspindle_controlplane.documents import CONFIGURATION_KEY
 from berylspindle_controlplane.gossip import Gossip
 from berylspindle_decisions.ownership import RightLevel
-from berylspindle_model.checked import to_stored
 from berylspindle_model.configuration import Configuration, DataCentre
+from berylspindle_model.configuration_codec import to_stored
 
 
 async def test_a_failed_tick_does_not_end_the_ticker(
--- a/tests/daemon/socket_helpers.py
+++ b/tests/daemon/socket_helpers.py
@@ -53,14 +53,14 @@
 
 async def open_caller(stack: AsyncExitStack, cluster: Cluster, number: int = 0) -> CallerClient:
     """Open a caller's client of one VM."""
-    address = cluster.plan.daemons[number].callers
+    address = cluster.plan.daemons[number].callers_address
     return await stack.enter_async_context(CallerClient([address], caller="test"))
 
 
 async def open_operator(stack: AsyncExitStack, cluster: Cluster, *numbers: int) -> OperatorClient:
     """Open an operator's client of these VMs, or of all VMs if none is given."""
     chosen = numbers or range(len(cluster.plan.daemons))
-    addresses = [cluster.plan.daemons[number].admin for number in chosen]
+    addresses = [cluster.plan.daemons[number].admin_address for number in chosen]
     name = f"operator-{'-'.join(map(str, numbers))}"
     opened = OperatorClient(addresses, token=Secret(cluster.token), operator=name, timeout=20.0)
     return await stack.enter_async_context(opened)
@@ -135,7 +135,9 @@
         deadline_ms: int = DEADLINE_MS,
     ) -> None:
         daemons = enumerate(cluster.plan.daemons)
-        self._daemons: Final = [one.callers for number, one in daemons if number not in excluded]
+        self._daemons: Final = [
+            one.callers_address for number, one in daemons if number not in excluded
+        ]
         self._balancer: Final = Balancer(self._daemons)
         self._workers: Final = workers
         self._pause: Final = pause
@@ -163,12 +165,12 @@
             order = self._daemons[number:] + self._daemons[:number]
             opened = CallerClient(order, caller="load")
             clients[address] = await self._stack.enter_async_context(opened)
-        checking = loop.create_task(self._balancer.check())
+        checking = loop.create_task(self._balancer.run_readiness_checks())
         self._stack.callback(checking.cancel)
 
         async def work(worker: int) -> None:
             while not self._stopping:
-                caller = clients[self._balancer.next()]
+                caller = clients[self._balancer.next_daemon()]
                 query = f"lot {worker} {len(self.outcomes)}"
                 result = await caller.search(SERVICE, query, deadline_ms=self._deadline_ms)
                 self.outcomes.append(result)
--- a/tests/daemon/test_cluster_watch.py
+++ b/tests/daemon/test_cluster_watch.py
@@ -12,11 +12,11 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
     StoreError,
-    StoreUnsure,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_telemetry import metric_names as names
@@ -94,16 +94,16 @@
     counts as an answer.
     """
     fixture = Fixture()
-    fixture.fake.error = StoreUnsure("no reply")
-    with pytest.raises(StoreUnsure):
+    fixture.fake.error = StoreOutcomeUnknown("no reply")
+    with pytest.raises(StoreOutcomeUnknown):
         await fixture.store.grant_lease(5.0)
     fixture.fake.error = StoreConflict(None)
     with pytest.raises(StoreConflict):
         await fixture.store.compare_and_swap("k", b"v", expect=1)
     assert fixture.kinds() == []
-    fixture.fake.error = StoreAway("refused")
+    fixture.fake.error = StoreUnavailable("refused")
     for _ in range(3):
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await fixture.store.get("k")
     assert fixture.kinds() == [EventKind.STORE_AWAY]
     assert fixture.unavailable_since() == fixture.now
--- a/tests/daemon/test_intents_pause.py
+++ b/tests/daemon/test_intents_pause.py
@@ -59,7 +59,7 @@
     before = await _dispatches(cluster, paused)
     assert before > 0
     last_sequence = (await _events(paused_admin))[-1].sequence
-    cluster.daemons[paused.vm].send(signal.SIGSTOP)
+    cluster.daemons[paused.vm].send_signal(signal.SIGSTOP)
     async with Load(cluster, excluded=frozenset({number}), workers=2, deadline_ms=2000) as load:
         waiting = [
             asyncio.create_task(caller.search(SERVICE, f"lot {n}", deadline_ms=LONG_MS))
@@ -67,7 +67,7 @@
         ]
         await asyncio.sleep(PAUSE_SECONDS)
         await wait_until(lambda: _are_owned(other_admins, owned), "its servers were not taken over")
-        cluster.daemons[paused.vm].send(signal.SIGCONT)
+        cluster.daemons[paused.vm].send_signal(signal.SIGCONT)
         gained: list[Event] = []
         while not gained:
             # The count is read first, so that it contains only dispatches before the events.
@@ -117,7 +117,7 @@
 
 async def _dispatches(cluster: Cluster, plan: DaemonPlan) -> float:
     headers = {protocol.TOKEN_HEADER: protocol.TOKEN_SCHEME + cluster.token}
-    async with HttpClient(plan.admin.host, plan.admin.port) as http:
+    async with HttpClient(plan.admin_address.host, plan.admin_address.port) as http:
         response = await http.request("GET", protocol.METRICS_PATH, headers=headers, timeout=10.0)
     return sum(float(count) for count in _DISPATCHES.findall(response.body))
 
--- a/tests/daemon/test_intents_race.py
+++ b/tests/daemon/test_intents_race.py
@@ -10,8 +10,8 @@
 
 from berylspindle_client.operators import OperatorClient
 from berylspindle_client.outcomes import Refused
-from berylspindle_model.checked import parse_configuration
 from berylspindle_model.configuration import Configuration, DataCentreState, ServerState
+from berylspindle_model.configuration_codec import parse_configuration
 from berylspindle_model.errors import ErrorKind, RunState
 from berylspindle_model.intents import Confirmation, IntentKind
 
--- a/tests/daemon/test_intents_vms.py
+++ b/tests/daemon/test_intents_vms.py
@@ -46,7 +46,7 @@
     cluster = await start_small_cluster(stack, tmp_path, "--mean-ms=200")
     leaving, other = cluster.plan.daemons[0], cluster.plan.daemons[1]
     callers = [
-        await stack.enter_async_context(CallerClient([one.callers], caller="test"))
+        await stack.enter_async_context(CallerClient([one.callers_address], caller="test"))
         for one in (leaving, other)
     ]
     holds = {
@@ -63,7 +63,7 @@
     ]
     await wait_until(lambda: _executes_run(cluster), "no execute was started")
     process = cluster.daemons[leaving.vm]
-    process.send(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     result = dict(zip(holds, await asyncio.gather(*holds.values()), strict=True))
     search_results = await asyncio.gather(*searches)
     assert await process.wait(30.0) == 0
--- a/tests/daemon/test_observability.py
+++ b/tests/daemon/test_observability.py
@@ -88,7 +88,7 @@
 
 async def time_lines(cluster: Cluster) -> list[Event]:
     """Return the events of all daemons in causal order."""
-    addresses = [daemon.admin for daemon in cluster.plan.daemons]
+    addresses = [daemon.admin_address for daemon in cluster.plan.daemons]
     async with OperatorClient(addresses, token=Secret(cluster.token)) as operators:
         result = await operators.timeline(EventFilter())
     assert isinstance(result, FleetTimeline), result
@@ -108,14 +108,14 @@
 async def search(cluster: Cluster, word: str, *, times: int, same: bool = False) -> None:
     """Search through all daemons in turn, with distinct queries unless `same`."""
     for number in range(times):
-        address = cluster.plan.daemons[number % len(cluster.plan.daemons)].callers
+        address = cluster.plan.daemons[number % len(cluster.plan.daemons)].callers_address
         query = word if same else f"{word} {number}"
         async with CallerClient([address], caller="test") as caller:
             await caller.search("lots", query, deadline_ms=5000)
 
 
 async def execute(cluster: Cluster, key: str) -> None:
-    async with CallerClient([cluster.plan.daemons[0].callers], caller="test") as caller:
+    async with CallerClient([cluster.plan.daemons[0].callers_address], caller="test") as caller:
         await caller.execute("lots", "0", key, {"lot": 1}, deadline_ms=5000)
 
 
@@ -203,7 +203,7 @@
 async def take_out(cluster: Cluster, data_centre: str) -> None:
     intent = Intent(kind=IntentKind.TAKE_OUT, subject=data_centre)
     async with OperatorClient(
-        [cluster.plan.daemons[-1].admin], token=Secret(cluster.token)
+        [cluster.plan.daemons[-1].admin_address], token=Secret(cluster.token)
     ) as operators:
         plan = await operators.plan(intent)
         assert isinstance(plan, Plan), plan
@@ -231,7 +231,7 @@
 async def wait_for_at(cluster: Cluster, plan: DaemonPlan, kind: EventKind) -> Event:
     """Return the first event of a kind at one daemon, which may still be starting."""
     for _ in range(MAX_POLLS):
-        async with OperatorClient([plan.admin], token=Secret(cluster.token)) as operators:
+        async with OperatorClient([plan.admin_address], token=Secret(cluster.token)) as operators:
             result = await operators.timeline(EventFilter())
         if isinstance(result, FleetTimeline):
             for event in result.events:
--- a/tests/daemon/test_options.py
+++ b/tests/daemon/test_options.py
@@ -22,7 +22,7 @@
     environment_variable,
     scale_times,
 )
-from berylspindle_telemetry.logs import logger, logs_to
+from berylspindle_telemetry.logs import log_context, logger
 
 REQUIRED_FLAGS = ["--data-centre", "quito-1", "--store-host", "127.0.0.1", "--store-port", "7400"]
 SECRET = "s3cr3t-s3cr3t-s3cr3t"
@@ -104,7 +104,7 @@
     assert not options.admin_token.matches(SECRET + "x")
     assert options.open_edges == ("peers' edge",)
     stream = io.StringIO()
-    with logs_to(stream=stream, secrets=[options.admin_token]):
+    with log_context(stream=stream, secrets=[options.admin_token]):
         logger("x").info("{} {!r} {}", options, options, SECRET)
     assert "***" in stream.getvalue()
     assert SECRET not in stream.getvalue()
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -231,7 +231,9 @@
     cluster = await start_small_cluster(stack, tmp_path)
     leaving, *others = cluster.plan.daemons
     caller = await stack.enter_async_context(
-        CallerClient([leaving.callers, *(other.callers for other in others)], caller="test")
+        CallerClient(
+            [leaving.callers_address, *(other.callers_address for other in others)], caller="test"
+        )
     )
     await search_until_complete(caller)
     process = cluster.daemons[leaving.vm]
@@ -251,7 +253,7 @@
     workers = [asyncio.create_task(search_repeatedly(n)) for n in range(SHUTDOWN_CALLERS)]
     while len(result) < SHUTDOWN_CALLERS:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
-    process.send(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     await asyncio.gather(*workers)
     assert len(result) > 2 * SHUTDOWN_CALLERS
     assert await process.wait() == 0
@@ -267,7 +269,7 @@
     """
     cluster = await start_small_cluster(stack, tmp_path)
     victim, *others = cluster.plan.daemons
-    cluster.daemons[victim.vm].send(signal.SIGKILL)
+    cluster.daemons[victim.vm].send_signal(signal.SIGKILL)
     caller = await open_caller(stack, cluster, 1)
     for data_centre in {daemon.data_centre for daemon in others}:
         await cluster.change_backends(
--- a/tests/daemon/test_shutdown_holds.py
+++ b/tests/daemon/test_shutdown_holds.py
@@ -33,7 +33,9 @@
         )
         leaving, other = cluster.plan.daemons[:2]
         first, second = [
-            await stack.enter_async_context(CallerClient([daemon.callers], caller=daemon.vm))
+            await stack.enter_async_context(
+                CallerClient([daemon.callers_address], caller=daemon.vm)
+            )
             for daemon in (leaving, other)
         ]
         # The servers of the VM's own data centre drain, so that all executes run in the other one,
@@ -53,7 +55,7 @@
         while started < len(SHARDS) and not any(hold.done() for hold in holds):
             counts = await cluster.backend_counts()
             started = sum(one.counts.executes_started for one in counts.values())
-        cluster.daemons[leaving.vm].send(signal.SIGTERM)
+        cluster.daemons[leaving.vm].send_signal(signal.SIGTERM)
         results = []
         while not all(hold.done() for hold in holds):
             results += [await second.execute("lots", s, f"hold-{s}", {}) for s in SHARDS]
--- a/tests/daemon/test_stamped_transport.py
+++ b/tests/daemon/test_stamped_transport.py
@@ -64,7 +64,7 @@
     ahead, behind_vm = Side("a", lambda: 1000.0), Side("b", lambda: 1000.0 - behind)
     for one, other in ((ahead, behind_vm), (behind_vm, ahead)):
         one.wire.on_datagram = other.on_datagram
-        one.wire.method = other.stamper.sealing(other.answer)
+        one.wire.method = other.stamper.wrap_method(other.answer)
     return ahead, behind_vm
 
 
--- a/tests/daemon/test_store_silent.py
+++ b/tests/daemon/test_store_silent.py
@@ -34,7 +34,7 @@
 
     The store accepts the claim and does not answer before the deadline of the caller.
     """
-    async with CallerClient([cluster.plan.daemons[0].callers], caller="test") as caller:
+    async with CallerClient([cluster.plan.daemons[0].callers_address], caller="test") as caller:
         # The VM has its lease for claims from an earlier execute.
         assert isinstance(await caller.execute("lots", "0", "hold-0", {}), ExecuteAnswer)
         await cluster.change_platform(SILENT)
@@ -49,7 +49,7 @@
     The store stops answering between the claim and the outcome, while the backend server works.
     """
     await cluster.change_backends(FaultChange(set={"delay_ms": 400.0}))
-    async with CallerClient([cluster.plan.daemons[0].callers], caller="test") as caller:
+    async with CallerClient([cluster.plan.daemons[0].callers_address], caller="test") as caller:
         work = asyncio.create_task(
             caller.execute("lots", "0", "hold-2", {}, deadline_ms=DEADLINE_MS)
         )
--- a/tests/daemon/test_vm_loss.py
+++ b/tests/daemon/test_vm_loss.py
@@ -31,7 +31,7 @@
         for n in range(4)
     ]
     await asyncio.sleep(0.1)
-    cluster.daemons[cluster.plan.daemons[0].vm].send(signal.SIGKILL)
+    cluster.daemons[cluster.plan.daemons[0].vm].send_signal(signal.SIGKILL)
     result = await asyncio.gather(*searches)
     missing = [one.coverage.missing for one in result if isinstance(one, SearchAnswer)]
     assert missing == [()] * 4
--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -9,8 +9,8 @@
 
 from berylspindle_dataplane.backend import Backend, BackendReport
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.worker_tools import WorkerTools
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_dataplane.worker_context import WorkerContext
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.fair_queue import FairQueueOptions
 from berylspindle_decisions.ownership import DispatchRights, RightLevel
@@ -56,11 +56,11 @@
 
 
 @pytest.fixture
-def endless_worker() -> Callable[[Trust | None], ServerWorker]:
+def endless_worker() -> Callable[[WarmUpState | None], ServerWorker]:
     """Return a factory of workers; the test must close each of them."""
 
-    def make(trust: Trust | None) -> ServerWorker:
-        context = WorkerTools(
+    def make(trust: WarmUpState | None) -> ServerWorker:
+        context = WorkerContext(
             rights=HeldRights(),
             metrics=Metrics(),
             timeline=Timeline("vm"),
--- a/tests/dataplane/fanout_fakes.py
+++ b/tests/dataplane/fanout_fakes.py
@@ -8,7 +8,7 @@
 from berylspindle_dataplane.router import Target
 from berylspindle_dataplane.search_fanout import SearchFanout
 from berylspindle_decisions.hedging import HedgeVerdict
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask
 from berylspindle_model.configuration import Policy, Preference, Server, Service
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.messages import AttemptReply, Hit, SearchAnswer, SearchRequest
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.hedge = HedgeVerdict.GO
         self.retries = True
-        self.decision: Reask | KeepOne | Refusal = KeepOne(kept=None, missing=())
+        self.decision: Reask | KeepSnapshot | Refusal = KeepSnapshot(kept=None, missing=())
         self.usable = {f"{shard}-{number}" for shard in SHARDS for number in (0, 1)}
         self.ids = 0
 
@@ -54,7 +54,7 @@
         refused: frozenset[str],
         rounds: int,
         left_ms: float,
-    ) -> Reask | KeepOne | Refusal:
+    ) -> Reask | KeepSnapshot | Refusal:
         return self.decision
 
     def observe(self, target: Target, reply: AttemptReply, *, is_first: bool) -> None:
--- a/tests/dataplane/test_cancelled_slots.py
+++ b/tests/dataplane/test_cancelled_slots.py
@@ -9,8 +9,8 @@
 
 from berylspindle_dataplane.http_backend import BackendOptions, open_http_backend
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.worker_tools import Queued, WorkerTools
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_dataplane.worker_context import QueuedAttempt, WorkerContext
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.fair_queue import FairQueueOptions
 from berylspindle_decisions.ownership import DispatchRights, RightLevel
@@ -34,7 +34,7 @@
 
 
 def make_worker(server: Server) -> ServerWorker:
-    context = WorkerTools(
+    context = WorkerContext(
         rights=HeldRights(),
         metrics=Metrics(),
         timeline=Timeline("vm"),
@@ -43,7 +43,7 @@
         queue=FairQueueOptions(max_entries=64),
     )
     backend = open_http_backend(server, BackendOptions(spare=server.slots + 1), lambda event: None)
-    return ServerWorker(server, backend, context, Trust(cap=server.slots, shown_ms=4.0))
+    return ServerWorker(server, backend, context, WarmUpState(cap=server.slots, baseline_ms=4.0))
 
 
 @contextlib.contextmanager
@@ -68,7 +68,7 @@
             attempt = Attempt(
                 id=name, request_id=name, server=server.id, service="lots", shard="0", limit=3
             )
-            worker.submit(Queued(attempt, "c", now + 60.0, replies.append, now, "", False))
+            worker.submit(QueuedAttempt(attempt, "c", now + 60.0, replies.append, now, "", False))
         await asyncio.sleep(0.004)
         for name in names:
             worker.cancel(name)
--- a/tests/dataplane/test_entry.py
+++ b/tests/dataplane/test_entry.py
@@ -7,11 +7,11 @@
 import attrs
 
 from berylspindle_dataplane.entry import Entry, fingerprint_of
-from berylspindle_dataplane.entry_tools import EntryTools
+from berylspindle_dataplane.entry_context import EntryContext
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
 from berylspindle_dataplane.owner_table import OwnerTable
 from berylspindle_dataplane.router import OnReply, Router
-from berylspindle_dataplane.shedding import Shedding
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
+from berylspindle_dataplane.shedding_events import SheddingEvents
 from berylspindle_decisions.admission import AdmissionOptions
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.quarantine import RunMode
@@ -59,7 +59,7 @@
         self.sent: list[tuple[AttemptBatch, Attempt, OnReply]] = []
         self.cancelled: list[str] = []
 
-    def submit_own(self, batch: AttemptBatch, on_reply: OnReply) -> None:
+    def submit_local(self, batch: AttemptBatch, on_reply: OnReply) -> None:
         self.sent.extend((batch, attempt, on_reply) for attempt in batch.attempts)
 
     def submit(self, vm: Vm, batch: AttemptBatch, on_reply: OnReply) -> None:
@@ -79,19 +79,19 @@
     def __init__(self) -> None:
         self.owners = FakeOwners()
         self.table = OwnerTable()
-        self.router = Router(me=ME, owners=self.table, own=self.owners, links=self.owners)
+        self.router = Router(me=ME, owners=self.table, local=self.owners, links=self.owners)
         timeline = Timeline("vm")
         ids = iter(range(1000))
-        self.context = EntryTools(
+        self.context = EntryContext(
             metrics=Metrics(),
             timeline=timeline,
             now=asyncio.get_running_loop().time,
             random=lambda: 0.5,
             new_id=lambda: f"a{next(ids)}",
             deadlines=Deadlines(),
-            quarantine=WatchedQuarantine(timeline),
+            quarantine=EntryQuarantine(timeline),
             admission=AdmissionOptions(),
-            shedding=Shedding(timeline),
+            shedding=SheddingEvents(timeline),
         )
         self.entry = Entry(self.router, self.context)
         self.adopt(WITH_SERVICE)
@@ -132,7 +132,7 @@
     """
     harness = EntryHarness()
     fingerprint = fingerprint_of("lots", "lot")
-    harness.context.quarantine.on_lost(harness.context.now(), fingerprint, "t")
+    harness.context.quarantine.on_connection_lost(harness.context.now(), fingerprint, "t")
     search = await harness.begin()
     assert harness.owners.sent[-1][0].is_canary
     search.cancel()
--- a/tests/dataplane/test_meters.py
+++ b/tests/dataplane/test_meters.py
@@ -4,7 +4,7 @@
 
 from berylspindle_dataplane.server_meters import ServerMeters
 from berylspindle_dataplane.service_meters import ServiceMeters
-from berylspindle_dataplane.shedding import QUIET_SECONDS, Shedding
+from berylspindle_dataplane.shedding_events import QUIET_SECONDS, SheddingEvents
 from berylspindle_decisions.ejection import EjectionOptions, Ejector
 from berylspindle_decisions.ownership import RightLevel
 from berylspindle_model.configuration import Server
@@ -117,7 +117,7 @@
 def test_shedding_records_two_events_for_any_number_of_refusals() -> None:
     """Guards against flooding the timeline when refusals and admissions alternate."""
     timeline = Timeline("vm")
-    shedding = Shedding(timeline)
+    shedding = SheddingEvents(timeline)
     for number in range(100):
         shedding.on_refused(number * 0.01, "overloaded")
         shedding.on_admitted(number * 0.01 + 0.005)
--- a/tests/dataplane/test_suspect_share.py
+++ b/tests/dataplane/test_quarantine_gossip.py
@@ -9,9 +9,9 @@
 import attrs
 import pytest
 
-from berylspindle_dataplane.suspect_share import MAX_BROADCAST_VMS, QuarantineGossip
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
-from berylspindle_decisions.quarantine import Level, Quarantine
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
+from berylspindle_dataplane.quarantine_gossip import MAX_BROADCAST_VMS, QuarantineGossip
+from berylspindle_decisions.quarantine import Quarantine, QuarantineLevel
 from berylspindle_model.errors import ErrorKind, RefusalError, RunState
 from berylspindle_model.events import EventKind
 from berylspindle_model.messages import AttemptReply
@@ -41,7 +41,7 @@
         ]
         view = View(data_centre="a", epoch=1, members=tuple(vms))
         self.timelines = [Timeline(vm.id) for vm in vms]
-        self.quarantines = [WatchedQuarantine(timeline) for timeline in self.timelines]
+        self.quarantines = [EntryQuarantine(timeline) for timeline in self.timelines]
         self.owners = [Quarantine() for _ in vms]
         self.gossips = {
             vm.id: QuarantineGossip(
@@ -63,7 +63,7 @@
         self.sent += 1
         await self.gossips[vm.id].receive(payload)
 
-    def levels(self) -> list[Level]:
+    def levels(self) -> list[QuarantineLevel]:
         return [quarantine.level(self.now, BAD) for quarantine in self.quarantines]
 
     async def wait_until_quiet(self) -> None:
@@ -103,12 +103,12 @@
     cluster = make(size)
     cluster.quarantines[0].record_reply(cluster.now, BAD, LOST)
     await cluster.wait_until_quiet()
-    assert cluster.levels() == [Level.SUSPECT] * size
+    assert cluster.levels() == [QuarantineLevel.SUSPECT] * size
     cluster.now += 0.5
     again = attrs.evolve(LOST, server="t")
     cluster.quarantines[1].record_reply(cluster.now, BAD, again)
     await cluster.wait_until_quiet()
-    assert cluster.levels() == [Level.QUARANTINED] * size
+    assert cluster.levels() == [QuarantineLevel.QUARANTINED] * size
     events = [event.kind for event in cluster.timelines[0].select().events]
     assert events == [EventKind.QUARANTINED]
 
@@ -130,16 +130,16 @@
     since. When the search has run without harm elsewhere, the owner must receive the clearing.
     """
     cluster = make(3)
-    cluster.owners[2].on_lost(cluster.now, BAD, "s")
+    cluster.owners[2].on_connection_lost(cluster.now, BAD, "s")
     cluster.quarantines[0].record_reply(cluster.now, BAD, LOST)
     await cluster.wait_until_quiet()
-    assert cluster.owners[2].allows(cluster.now, BAD, canary=False) is not None
+    assert cluster.owners[2].check_attempt(cluster.now, BAD, canary=False) is not None
     cluster.quarantines[1].record_reply(
         cluster.now, BAD, AttemptReply(attempt="b", server="t", shard="0")
     )
     await cluster.wait_until_quiet()
-    assert cluster.levels() == [Level.CLEARED] * 3
-    assert cluster.owners[2].allows(cluster.now, BAD, canary=False) is None
+    assert cluster.levels() == [QuarantineLevel.CLEARED] * 3
+    assert cluster.owners[2].check_attempt(cluster.now, BAD, canary=False) is None
 
 
 async def test_a_quarantine_that_ends_by_time_is_recorded(make: MakeCluster) -> None:
@@ -162,7 +162,7 @@
     """
     cluster = make(1)
     cluster.quarantines[0].record_reply(cluster.now, BAD, attrs.evolve(LOST, lost_together=0))
-    assert cluster.levels() == [Level.CLEARED]
+    assert cluster.levels() == [QuarantineLevel.CLEARED]
 
 
 async def test_a_malformed_payload_is_refused(make: MakeCluster) -> None:
--- a/tests/dataplane/test_server_worker.py
+++ b/tests/dataplane/test_server_worker.py
@@ -9,10 +9,10 @@
 import pytest
 
 from berylspindle_dataplane.backend import Backend, BackendReport
+from berylspindle_dataplane.entry_quarantine import EntryQuarantine
 from berylspindle_dataplane.server_worker import RECHECK_SECONDS, ServerWorker
-from berylspindle_dataplane.watched_quarantine import WatchedQuarantine
-from berylspindle_dataplane.worker_tools import Queued, WorkerTools
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_dataplane.worker_context import QueuedAttempt, WorkerContext
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.fair_queue import FairQueueOptions
 from berylspindle_decisions.ownership import DispatchRights, RightLevel
@@ -34,7 +34,7 @@
     slots=3,
     connections=30,
 )
-WARM = Trust(cap=3, shown_ms=4.0)
+WARM = WarmUpState(cap=3, baseline_ms=4.0)
 
 
 class FakeBackend(Backend):
@@ -87,11 +87,11 @@
 class WorkerHarness:
     """Worker with its fakes."""
 
-    def __init__(self, trust: Trust | None, backend: FakeBackend, rights: FakeRights) -> None:
+    def __init__(self, trust: WarmUpState | None, backend: FakeBackend, rights: FakeRights) -> None:
         self.backend = backend
         self.rights = rights
         self.replies: dict[str, AttemptReply] = {}
-        context = WorkerTools(
+        context = WorkerContext(
             rights=rights,
             metrics=Metrics(),
             timeline=Timeline("vm"),
@@ -127,7 +127,7 @@
             self.replies[attempt_id] = reply
 
         self.worker.submit(
-            Queued(attempt, "c", now + seconds, on_reply, now, fingerprint, is_canary)
+            QueuedAttempt(attempt, "c", now + seconds, on_reply, now, fingerprint, is_canary)
         )
 
     def kinds(self) -> dict[str, ErrorKind | None]:
@@ -147,7 +147,7 @@
 async def make() -> AsyncIterator[MakeHarness]:
     harnesses: list[WorkerHarness] = []
 
-    def make_harness(trust: Trust | None = WARM) -> WorkerHarness:
+    def make_harness(trust: WarmUpState | None = WARM) -> WorkerHarness:
         harness = WorkerHarness(trust, FakeBackend(), FakeRights())
         harnesses.append(harness)
         return harness
@@ -337,7 +337,7 @@
         harness.backend.end(name, error=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
         await run_loop()
     assert [harness.replies[name].lost_together for name in ("one", "two")] == [2, 2]
-    entry = WatchedQuarantine(Timeline("entry"))
+    entry = EntryQuarantine(Timeline("entry"))
     for fingerprint, name in (("lot 1", "one"), ("lot 2", "two")):
         entry.record_reply(1.0, fingerprint, harness.replies[name])
         assert entry.decide(2.0, fingerprint) is RunMode.CANARY
--- a/tests/dataplane/test_worker_cancel.py
+++ b/tests/dataplane/test_worker_cancel.py
@@ -8,13 +8,13 @@
 import pytest
 
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.worker_tools import Queued
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_dataplane.worker_context import QueuedAttempt
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_model.messages import Attempt
 
-MakeWorker = Callable[[Trust | None], ServerWorker]
+MakeWorker = Callable[[WarmUpState | None], ServerWorker]
 
-WARM = Trust(cap=3, shown_ms=4.0)
+WARM = WarmUpState(cap=3, baseline_ms=4.0)
 # Loop iterations that a started attempt needs to reach its backend server and return.
 LOOP_ITERATIONS = 4
 
@@ -31,7 +31,7 @@
     loop = asyncio.get_running_loop()
     worker = endless_worker(WARM)
     attempt = Attempt(id="1", request_id="r", server="s", service="lots", shard="0")
-    worker.submit(Queued(attempt, "c", loop.time() + 60.0, lambda reply: None, loop.time()))
+    worker.submit(QueuedAttempt(attempt, "c", loop.time() + 60.0, lambda reply: None, loop.time()))
     for _ in range(iterations):
         await asyncio.sleep(0)
     assert worker.cancel("1")
--- a/tests/dataplane/test_worker_expiry.py
+++ b/tests/dataplane/test_worker_expiry.py
@@ -8,12 +8,12 @@
 import pytest
 
 from berylspindle_dataplane.server_worker import ServerWorker
-from berylspindle_dataplane.worker_tools import Queued
-from berylspindle_decisions.concurrency import Trust
+from berylspindle_dataplane.worker_context import QueuedAttempt
+from berylspindle_decisions.concurrency import WarmUpState
 from berylspindle_model.errors import ErrorKind, RunState
 from berylspindle_model.messages import Attempt, AttemptReply
 
-MakeWorker = Callable[[Trust | None], ServerWorker]
+MakeWorker = Callable[[WarmUpState | None], ServerWorker]
 
 
 @pytest.mark.parametrize("seconds", [0.101, 0.107, 0.113, 0.119])
@@ -33,12 +33,12 @@
         for name in ("hold-1", "hold-2")
     )
     now = loop.time()
-    worker.submit(Queued(first, "c", now + 60.0, lambda reply: None, now))
+    worker.submit(QueuedAttempt(first, "c", now + 60.0, lambda reply: None, now))
 
     def on_reply(reply: AttemptReply) -> None:
         order.append((reply.error, reply.run))
 
-    worker.submit(Queued(second, "c", now + seconds, on_reply, now))
+    worker.submit(QueuedAttempt(second, "c", now + seconds, on_reply, now))
     timed_out = asyncio.Event()
 
     def on_timeout() -> None:
--- a/tests/decisions/test_control_rendezvous.py
+++ b/tests/decisions/test_control_rendezvous.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from berylspindle_decisions.rendezvous import first_of, owner_of
+from berylspindle_decisions.rendezvous import owner_of, top_members
 from berylspindle_model.topology import Vm
 
 MEMBERS = [Vm(id=f"vm{n}", data_centre="a", host="127.0.0.1", peer_port=n) for n in range(1, 17)]
@@ -39,5 +39,5 @@
 
 
 def test_first_of_starts_with_the_owner() -> None:
-    assert first_of("s", MEMBERS, 3)[0] == owner_of("s", MEMBERS)
-    assert len(first_of("s", MEMBERS[:2], 3)) == 2
+    assert top_members("s", MEMBERS, 3)[0] == owner_of("s", MEMBERS)
+    assert len(top_members("s", MEMBERS[:2], 3)) == 2
--- a/tests/decisions/test_load_admission.py
+++ b/tests/decisions/test_load_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from berylspindle_decisions.admission import Admission, AdmissionOptions, Admitted
-from berylspindle_decisions.drain import DrainRate
+from berylspindle_decisions.drain_rate import DrainRate
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 
 
@@ -104,7 +104,7 @@
     for _ in range(64):
         offer(admission, 0.0, f"c{admission.work}")
     for n in range(64):
-        admission.on_done(n * 0.2, f"c{n}", pressed=True)
+        admission.on_done(n * 0.2, f"c{n}", overloaded=True)
     lowered_limit = admission.limit
     assert lowered_limit == 4
     for n in range(200):
--- a/tests/decisions/test_load_answers.py
+++ b/tests/decisions/test_load_answers.py
@@ -11,7 +11,7 @@
 from berylspindle_decisions.coverage import AnswerVerdict, CoverageCount, decide_answer
 from berylspindle_decisions.deadlines import Deadlines
 from berylspindle_decisions.merge import merge_hits, shard_limit
-from berylspindle_decisions.snapshot_choice import KeepOne, Reask, SnapshotTracker
+from berylspindle_decisions.snapshot_choice import KeepSnapshot, Reask, SnapshotTracker
 from berylspindle_model.configuration import Policy, Preference
 from berylspindle_model.errors import ErrorKind, Refusal, RunState
 from berylspindle_model.messages import Coverage, Hit
@@ -94,9 +94,9 @@
     known: dict[str, object],
 ) -> None:
     observed = tracker(s0a=(V1, V2), s1a=(V2,))
-    assert reask(observed, **known) == KeepOne(kept=V1, missing=("1",))
+    assert reask(observed, **known) == KeepSnapshot(kept=V1, missing=("1",))
     mixed = reask(observed, answered={"0": V1, "1": V2}, refused=[], **known)
-    assert mixed == KeepOne(kept=V2, missing=("0",))
+    assert mixed == KeepSnapshot(kept=V2, missing=("0",))
 
 
 def test_a_page_token_allows_no_other_snapshot() -> None:
--- a/tests/decisions/test_load_extra.py
+++ b/tests/decisions/test_load_extra.py
@@ -23,7 +23,7 @@
     """Return a policy that has observed answers of 4 to 6 ms, and some of 100 ms."""
     policy = HedgePolicy()
     for n in range(1200):
-        policy.on_first()
+        policy.on_first_attempt()
         slow = slow_share > 0 and n % int(1 / slow_share) == 0
         policy.observe(n * 0.01, 100.0 if slow else 4.0 + n % 20 / 10, queued_ms=queued_ms)
     return policy
@@ -75,7 +75,7 @@
     Ignoring it lets the delay follow the fast attempts down, so that ever more hedges start.
     """
     policy = HedgePolicy()
-    policy.on_first(200)
+    policy.on_first_attempt(200)
     for n in range(1000):
         if n % 50 == 0:
             policy.observe_cancelled(n * 0.01, 30.0)
@@ -101,7 +101,7 @@
 
 def test_without_observations_no_hedge_starts_before_the_cold_delay() -> None:
     policy = HedgePolicy(HedgeOptions(cold_delay_ms=50.0))
-    policy.on_first(200)
+    policy.on_first_attempt(200)
     assert ask(policy, 49.0) is HedgeVerdict.TOO_EARLY
     assert policy.decide(elapsed_ms=60, left_ms=1, repeatable=True) is HedgeVerdict.TOO_LATE
 
@@ -113,7 +113,7 @@
     taken = 0
     for is_first in steps:
         if is_first:
-            budget.on_first()
+            budget.on_first_attempt()
         else:
             taken += budget.take()
         assert budget.spent == taken <= 3 + share * budget.first_attempts + 1e-9
@@ -128,7 +128,7 @@
     policy = RetryPolicy(budget)
     allowed = 0
     for _ in range(1000):
-        budget.on_first()
+        budget.on_first_attempt()
         allowed += decide(policy, RequestRetries(), ErrorKind.SERVER_SHED) is RetryClass.BUDGETED
     assert allowed == budget.spent <= 110
 
--- a/tests/decisions/test_load_fair_queue.py
+++ b/tests/decisions/test_load_fair_queue.py
@@ -50,7 +50,7 @@
     queue = FairQueue[str](FairQueueOptions(max_entries=4))
     for n in range(4):
         queue.push(0.0, f"a{n}", caller="a", deadline=9.0)
-    assert queue.push(0.0, "b0", caller="b", deadline=9.0) == Pushed(victims=("a3",))
+    assert queue.push(0.0, "b0", caller="b", deadline=9.0) == Pushed(evicted=("a3",))
     refused = queue.push(0.0, "a4", caller="a", deadline=9.0)
     assert isinstance(refused, Refusal)
     assert (refused.kind, refused.run_state) == (ErrorKind.CALLER_OVER_SHARE, RunState.NOT_RUN)
@@ -183,12 +183,12 @@
             is_fair = deadline <= self.now or (was_full and own_cost + cost > heaviest - 6)
             assert is_fair, "refused, though another caller has far more queued"
             return
-        for victim in result.victims:
+        for victim in result.evicted:
             name = self.queued[victim][0]
             assert name != caller
             assert self.queued_cost(name) > own_cost
             assert victim == max(n for n, entry in self.queued.items() if entry[0] == name)
-        self.remove_all(result.victims)
+        self.remove_all(result.evicted)
         self.queued[self.number] = (caller, deadline, cost)
 
     @rule(long_running=st.integers(0, 3), slots=st.integers(1, 3))
--- a/tests/decisions/test_load_hedged_request.py
+++ b/tests/decisions/test_load_hedged_request.py
@@ -12,12 +12,12 @@
 
 from berylspindle_decisions import hedged_request
 from berylspindle_decisions.hedged_request import (
-    AttemptEnd,
+    AttemptOutcome,
     AttemptPolicy,
     AttemptRecord,
     GiveUp,
+    GiveUpReason,
     HedgedRequest,
-    LossReason,
     RequestState,
     SendTo,
     WaitUntil,
@@ -40,24 +40,24 @@
         self.extras = extras
         self.taken = 0
 
-    def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
+    def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         return next((name for name in REPLICAS if name in self.usable - tried), None)
 
-    def may_take_extra(self, service: str, *, hedge: bool) -> bool:
+    def acquire_extra(self, service: str, *, hedge: bool) -> bool:
         if self.taken >= self.extras:
             return False
         self.taken += 1
         return True
 
-    def hedge_after(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         return HEDGE_S
 
 
 def new_request(**changes) -> HedgedRequest:
     fields = {
         "repeatable": True,
-        "most_runs": 2,
-        "wait_until": 0.2,
+        "max_runs": 2,
+        "no_replica_deadline": 0.2,
         "deadline": 1.0,
     }
     return HedgedRequest("s", **{**fields, **changes})
@@ -67,7 +67,7 @@
     step = request.step(now, policy)
     assert isinstance(step, SendTo), step
     assert step.reason == reason
-    return request.sent(now, step.replica, policy)
+    return request.on_sent(now, step.replica, policy)
 
 
 def test_a_late_attempt_is_hedged_once_and_the_first_answer_wins() -> None:
@@ -77,8 +77,8 @@
     assert request.step(0.01, policy) == WaitUntil(HEDGE_S)
     hedge = send(request, 0.06, policy, "hedge")
     assert request.step(0.5, policy) == WaitUntil(1.0)
-    request.answered(hedge)
-    assert request.state is RequestState.WON
+    request.on_answer(hedge)
+    assert request.state is RequestState.ANSWERED
     assert policy.taken == 1
 
 
@@ -87,19 +87,19 @@
     policy, request = ScriptedPolicy(), new_request(repeatable=False)
     attempt = send(request, 0.0, policy, "first")
     assert request.step(0.5, policy) == WaitUntil(1.0)
-    request.ended(0.5, attempt, AttemptEnd.MAY_HAVE_RUN, refused=False)
+    request.on_failure(0.5, attempt, AttemptOutcome.MAY_HAVE_RUN, refused=False)
     assert isinstance(request.step(0.5, policy), GiveUp)
     assert request.may_have_run
 
 
-@pytest.mark.parametrize("end", [AttemptEnd.NOT_RUN, AttemptEnd.NOT_SENT])
-def test_an_attempt_that_has_not_run_is_retried_at_the_next_replica(end: AttemptEnd) -> None:
+@pytest.mark.parametrize("end", [AttemptOutcome.NOT_RUN, AttemptOutcome.NOT_SENT])
+def test_an_attempt_that_has_not_run_is_retried_at_the_next_replica(end: AttemptOutcome) -> None:
     policy, request = ScriptedPolicy(), new_request(repeatable=False)
     attempt = send(request, 0.0, policy, "first")
-    request.ended(0.01, attempt, end, refused=end is AttemptEnd.NOT_RUN)
+    request.on_failure(0.01, attempt, end, refused=end is AttemptOutcome.NOT_RUN)
     # An attempt that was never sent is no arrival, so the next one is still the first.
-    send(request, 0.01, policy, "first" if end is AttemptEnd.NOT_SENT else "retry")
-    assert policy.taken == (end is AttemptEnd.NOT_RUN)
+    send(request, 0.01, policy, "first" if end is AttemptOutcome.NOT_SENT else "retry")
+    assert policy.taken == (end is AttemptOutcome.NOT_RUN)
 
 
 def test_the_backoff_grows_while_all_replicas_refuse_connections() -> None:
@@ -117,9 +117,9 @@
             continue
         assert isinstance(step, SendTo)
         connects.append(now)
-        attempt = request.sent(now, step.replica, policy)
+        attempt = request.on_sent(now, step.replica, policy)
         now += 0.001
-        request.ended(now, attempt, AttemptEnd.NOT_SENT, refused=False)
+        request.on_failure(now, attempt, AttemptOutcome.NOT_SENT, refused=False)
     assert connects[2] < 0.01, "each replica must be tried at once"
     assert len([t for t in connects if t < 0.25]) <= 10
     assert len(connects) <= 25
@@ -128,15 +128,15 @@
 
 def test_the_backoff_grows_while_all_replicas_refuse_requests() -> None:
     """Three replicas that shed load get thousands of arrivals per second from retries."""
-    policy, request = ScriptedPolicy(), new_request(most_runs=4, deadline=2.0)
+    policy, request = ScriptedPolicy(), new_request(max_runs=4, deadline=2.0)
     now, arrivals = 0.0, 0
     while now < 2.0:
         step = request.step(now, policy)
         if isinstance(step, SendTo):
             arrivals += 1
-            attempt = request.sent(now, step.replica, policy)
+            attempt = request.on_sent(now, step.replica, policy)
             now += 0.001
-            request.ended(now, attempt, AttemptEnd.NOT_RUN, refused=True)
+            request.on_failure(now, attempt, AttemptOutcome.NOT_RUN, refused=True)
         elif isinstance(step, WaitUntil):
             now = max(step.time, now + 1e-6)
         else:
@@ -153,14 +153,14 @@
     failing = new_request()
     policy.usable.clear()
     failing.step(0.0, policy)
-    assert failing.step(0.3, policy) == GiveUp(LossReason.NO_REPLICA)
+    assert failing.step(0.3, policy) == GiveUp(GiveUpReason.NO_REPLICA)
     assert not failing.may_have_run
 
 
 def test_without_retry_budget_a_failed_attempt_waits_and_never_overspends() -> None:
     policy, request = ScriptedPolicy(extras=0), new_request()
     attempt = send(request, 0.0, policy, "first")
-    request.ended(0.01, attempt, AttemptEnd.RAN, refused=False)
+    request.on_failure(0.01, attempt, AttemptOutcome.RAN, refused=False)
     step = request.step(0.01, policy)
     assert isinstance(step, WaitUntil)
     policy.extras = 1
@@ -174,7 +174,7 @@
     """
     policy, request = ScriptedPolicy(extras=0), new_request()
     attempt = send(request, 0.0, policy, "first")
-    request.ended(0.01, attempt, AttemptEnd.NOT_RUN, refused=True)
+    request.on_failure(0.01, attempt, AttemptOutcome.NOT_RUN, refused=True)
     now = 0.01
     while isinstance(step := request.step(now, policy), WaitUntil):
         now = step.time
@@ -207,7 +207,7 @@
         step = self.request.step(self.now, self.policy)
         if isinstance(step, SendTo):
             assert step.replica in self.policy.usable
-            self.in_flight.append(self.request.sent(self.now, step.replica, self.policy))
+            self.in_flight.append(self.request.on_sent(self.now, step.replica, self.policy))
             self.arrivals += 1
         elif isinstance(step, WaitUntil):
             assert step.time > self.now
@@ -219,22 +219,22 @@
         self.now += seconds
 
     @precondition(_has_in_flight)
-    @rule(data=st.data(), end=st.sampled_from(AttemptEnd), refused=st.booleans())
-    def end(self, data: st.DataObject, end: AttemptEnd, refused: bool) -> None:
+    @rule(data=st.data(), end=st.sampled_from(AttemptOutcome), refused=st.booleans())
+    def end(self, data: st.DataObject, end: AttemptOutcome, refused: bool) -> None:
         attempt = self.in_flight.pop(data.draw(st.integers(0, len(self.in_flight) - 1)))
-        if end is AttemptEnd.NOT_SENT:
+        if end is AttemptOutcome.NOT_SENT:
             self.arrivals -= 1
-        if end in (AttemptEnd.MAY_HAVE_RUN, AttemptEnd.RAN):
+        if end in (AttemptOutcome.MAY_HAVE_RUN, AttemptOutcome.RAN):
             self.ran.append(attempt.replica)
-        not_run = end is AttemptEnd.NOT_RUN
-        self.request.ended(self.now, attempt, end, refused=refused and not_run)
+        not_run = end is AttemptOutcome.NOT_RUN
+        self.request.on_failure(self.now, attempt, end, refused=refused and not_run)
 
     @precondition(_has_in_flight)
     @rule()
     def answer(self) -> None:
         attempt = self.in_flight.pop()
         self.ran.append(attempt.replica)
-        self.request.answered(attempt)
+        self.request.on_answer(attempt)
 
     @rule(name=st.sampled_from(REPLICAS))
     def toggle(self, name: str) -> None:
@@ -271,7 +271,9 @@
 def test_the_state_machine_detects_a_lost_connection_counted_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    not_run_outcomes = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN, AttemptEnd.MAY_HAVE_RUN})
+    not_run_outcomes = frozenset(
+        {AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_RUN, AttemptOutcome.MAY_HAVE_RUN}
+    )
     monkeypatch.setattr(hedged_request, "_NOT_RUN_OUTCOMES", not_run_outcomes)
     with pytest.raises(AssertionError):
         run_machine(NotIdempotentMachine, settings=PLANTED)
--- a/tests/decisions/test_load_limiter.py
+++ b/tests/decisions/test_load_limiter.py
@@ -12,7 +12,7 @@
     LimiterOptions,
     ReportState,
     ServerLimiter,
-    Trust,
+    WarmUpState,
 )
 from berylspindle_decisions.warmup import WarmUp, WarmUpOptions
 
@@ -56,7 +56,7 @@
         while limiter.limit(now) == COLD:
             now = serve(limiter, now, 1)
         rounds.append(round((now - start) / 0.02))
-        limiter.on_lost(now, FailureKind.RESET)
+        limiter.on_connection_failure(now, FailureKind.RESET)
     assert rounds == [30, 60, 120]
 
 
@@ -86,7 +86,7 @@
     Sent its full slots it would fail again, so the first broken connection resets the limit.
     """
     limiter, now = warm_limiter()
-    limiter.on_lost(now, kind)
+    limiter.on_connection_failure(now, kind)
     assert limiter.limit(now) == COLD
 
 
@@ -176,12 +176,12 @@
 
 def test_a_new_owner_starts_cold_unless_warm_up_state_was_handed_over() -> None:
     limiter, now = warm_limiter()
-    trust = limiter.trust
+    trust = limiter.warm_up_state
     limiter.on_takeover(now)
     assert limiter.limit(now) == COLD
     limiter.on_takeover(now, trust)
     assert limiter.limit(now) == SLOTS
-    limiter.on_takeover(now, Trust(cap=99, shown_ms=1.0))
+    limiter.on_takeover(now, WarmUpState(cap=99, baseline_ms=1.0))
     assert limiter.limit(now) == SLOTS
 
 
@@ -236,10 +236,10 @@
     @rule(retry_after=st.sampled_from([None, 50.0]))
     def shed(self, retry_after: float | None) -> None:
         if self.in_flight:
-            before = self.limiter.trust.cap
+            before = self.limiter.warm_up_state.cap
             self.limiter.on_shed(self.now, retry_after)
             self.in_flight -= 1
-            assert self.limiter.trust.cap <= max(COLD, before - 1)
+            assert self.limiter.warm_up_state.cap <= max(COLD, before - 1)
 
     @rule(kind=st.sampled_from(list(FailureKind)))
     def fail(self, kind: FailureKind) -> None:
@@ -257,13 +257,13 @@
 
     @rule(state=st.sampled_from(list(ReportState)), reported=st.integers(0, 9))
     def report(self, state: ReportState, reported: int) -> None:
-        before = self.limiter.trust.cap
+        before = self.limiter.warm_up_state.cap
         self.limiter.on_report(self.now, state, reported)
-        assert self.limiter.trust.cap <= before, "a report raised the cap"
+        assert self.limiter.warm_up_state.cap <= before, "a report raised the cap"
 
     @rule(cap=st.none() | st.integers(0, 9))
     def take_over(self, cap: int | None) -> None:
-        trust = Trust(cap=cap, shown_ms=5.0) if cap is not None else None
+        trust = WarmUpState(cap=cap, baseline_ms=5.0) if cap is not None else None
         self.limiter.on_takeover(self.now, trust)
         if trust is None:
             self.expect_cold()
--- a/tests/decisions/test_load_loss_reports.py
+++ b/tests/decisions/test_load_loss_reports.py
@@ -30,7 +30,7 @@
         candidates = [name for name in REPLICAS if not vm.is_lossy(now, name)]
         replica = rng.choice(candidates or REPLICAS)
         if replica in LOSSY and rng.random() < 0.4:
-            vm.lost(now, replica)
+            vm.on_loss(now, replica)
             lost += 1
     return lost
 
@@ -45,7 +45,7 @@
 def test_a_loss_expires_and_is_reported_with_its_age() -> None:
     """Guards against a healthy replica that is avoided for ever, as VMs echo reports of a loss."""
     one, peer = LossReports(), LossReports()
-    one.lost(10.0, "i-1")
+    one.on_loss(10.0, "i-1")
     assert one.is_lossy(10.0, "i-1")
     assert one.report(13.0) == {"i-1": 3000}
     peer.merge(50.0, one.report(13.0))
@@ -61,7 +61,7 @@
     """Guards against messages that grow with the replicas of a failed data centre."""
     reports = LossReports()
     for number in range(3 * MAX_REPORTED):
-        reports.lost(10.0 + number / 1000, f"i-{number}")
+        reports.on_loss(10.0 + number / 1000, f"i-{number}")
     latest = reports.report(10.5)
     assert len(latest) == MAX_REPORTED
     assert f"i-{3 * MAX_REPORTED - 1}" in latest
--- a/tests/decisions/test_load_quarantine.py
+++ b/tests/decisions/test_load_quarantine.py
@@ -5,9 +5,9 @@
 import pytest
 
 from berylspindle_decisions.quarantine import (
-    FirstSeen,
-    Level,
+    FirstSeenPolicy,
     Quarantine,
+    QuarantineLevel,
     QuarantineOptions,
     RunMode,
 )
@@ -20,7 +20,7 @@
     """Return a quarantine after BAD crashed ten servers in its first scatter-gather."""
     quarantine = Quarantine()
     for n in range(10):
-        quarantine.on_lost(now, BAD, f"s{n}", elapsed_ms=5)
+        quarantine.on_connection_lost(now, BAD, f"s{n}", elapsed_ms=5)
     return quarantine
 
 
@@ -38,11 +38,11 @@
     """
     quarantine = quarantine_after_strikes()
     assert quarantine.decide(3.0, BAD) is RunMode.CANARY
-    quarantine.on_lost(3.01, BAD, "t0", elapsed_ms=5)
+    quarantine.on_connection_lost(3.01, BAD, "t0", elapsed_ms=5)
     refusal(quarantine.decide(3.1, BAD))
     refusal(quarantine.decide(62.9, BAD))
     assert quarantine.decide(63.1, BAD) is RunMode.CANARY
-    quarantine.on_lost(63.2, BAD, "t1", elapsed_ms=5)
+    quarantine.on_connection_lost(63.2, BAD, "t1", elapsed_ms=5)
     refusal(quarantine.decide(180.0, BAD))
     assert quarantine.decide(184.0, BAD) is RunMode.CANARY
 
@@ -52,7 +52,7 @@
     quarantine = quarantine_after_strikes()
     assert quarantine.decide(3.0, BAD) is RunMode.CANARY
     assert refusal(quarantine.decide(3.5, BAD)).retry_after == 1500
-    quarantine.on_unsettled(BAD)
+    quarantine.on_inconclusive(BAD)
     assert quarantine.decide(3.6, BAD) is RunMode.CANARY
     assert (
         quarantine.decide(5.7, BAD) is RunMode.CANARY
@@ -66,44 +66,44 @@
     """
     quarantine = quarantine_after_strikes()
     for n in range(10):
-        quarantine.on_lost(0.0, GOOD, f"s{n}", elapsed_ms=5, in_flight=2)
+        quarantine.on_connection_lost(0.0, GOOD, f"s{n}", elapsed_ms=5, in_flight=2)
     assert quarantine.decide(1.0, GOOD) is RunMode.CANARY
     quarantine.on_success(1.1, GOOD)
     assert quarantine.decide(1.2, GOOD) is RunMode.PLAIN
-    assert quarantine.level(1.2, BAD) is Level.SUSPECT
+    assert quarantine.level(1.2, BAD) is QuarantineLevel.SUSPECT
 
 
 def test_strikes_count_less_the_more_was_in_flight() -> None:
     quarantine = quarantine_after_strikes()
-    quarantine.on_lost(3.0, BAD, "t0", elapsed_ms=5, in_flight=3)
-    assert quarantine.level(3.0, BAD) is Level.SUSPECT
-    quarantine.on_lost(4.0, BAD, "t1", elapsed_ms=5, in_flight=3)
-    assert quarantine.level(4.0, BAD) is Level.QUARANTINED
+    quarantine.on_connection_lost(3.0, BAD, "t0", elapsed_ms=5, in_flight=3)
+    assert quarantine.level(3.0, BAD) is QuarantineLevel.SUSPECT
+    quarantine.on_connection_lost(4.0, BAD, "t1", elapsed_ms=5, in_flight=3)
+    assert quarantine.level(4.0, BAD) is QuarantineLevel.QUARANTINED
 
 
 def test_strikes_at_two_vms_before_their_exchange_are_combined() -> None:
     """Guards against a retry that reaches another VM before the first VM's record does."""
     quarantine, peer = quarantine_after_strikes(), Quarantine()
-    peer.on_lost(0.05, BAD, "t0", elapsed_ms=5)
+    peer.on_connection_lost(0.05, BAD, "t0", elapsed_ms=5)
     quarantine.merge(peer.export(0.1), 0.1)
-    assert quarantine.level(0.1, BAD) is Level.QUARANTINED
+    assert quarantine.level(0.1, BAD) is QuarantineLevel.QUARANTINED
     together = quarantine_after_strikes()
     together.merge(quarantine_after_strikes().export(0.1), 0.1)
-    assert together.level(0.1, BAD) is Level.SUSPECT
+    assert together.level(0.1, BAD) is QuarantineLevel.SUSPECT
 
 
 def test_repeated_crashes_of_one_server_do_not_quarantine_its_requests() -> None:
     quarantine = Quarantine()
     for n in range(5):
-        quarantine.on_lost(n * 3.0, GOOD, "s0", elapsed_ms=5)
-    assert quarantine.level(15.0, GOOD) is Level.SUSPECT
+        quarantine.on_connection_lost(n * 3.0, GOOD, "s0", elapsed_ms=5)
+    assert quarantine.level(15.0, GOOD) is QuarantineLevel.SUSPECT
 
 
 def test_first_seen_requests_run_as_canaries_during_an_alert_only() -> None:
     quarantine = Quarantine()
     quarantine.on_success(0.0, "known")
     assert quarantine.decide(0.0, "new") is RunMode.PLAIN
-    quarantine.on_lost(1.0, BAD, "s0", elapsed_ms=5)
+    quarantine.on_connection_lost(1.0, BAD, "s0", elapsed_ms=5)
     assert quarantine.decide(2.0, "new") is RunMode.CANARY
     assert quarantine.decide(2.0, "known") is RunMode.PLAIN
     assert quarantine.decide(31.1, "new") is RunMode.PLAIN
@@ -111,9 +111,11 @@
 
 @pytest.mark.parametrize(
     ("mode", "expected"),
-    [(FirstSeen.NEVER, RunMode.PLAIN), (FirstSeen.ALWAYS, RunMode.CANARY)],
+    [(FirstSeenPolicy.NEVER, RunMode.PLAIN), (FirstSeenPolicy.ALWAYS, RunMode.CANARY)],
 )
-def test_the_canary_of_first_seen_requests_is_a_setting(mode: FirstSeen, expected: RunMode) -> None:
+def test_the_canary_of_first_seen_requests_is_a_setting(
+    mode: FirstSeenPolicy, expected: RunMode
+) -> None:
     assert Quarantine(QuarantineOptions(first_seen=mode)).decide(0.0, "new") is expected
 
 
@@ -123,7 +125,7 @@
     assert peer.merge(quarantine.export(0.1), 0.1)
     assert not peer.merge(quarantine.export(0.2), 0.2), "known records must not be passed on again"
     assert peer.decide(0.3, BAD) is RunMode.CANARY
-    peer.on_lost(3.0, BAD, "t0", elapsed_ms=5)
+    peer.on_connection_lost(3.0, BAD, "t0", elapsed_ms=5)
     assert quarantine.merge(peer.export(3.1), 3.1)
     refusal(quarantine.decide(3.2, BAD))
     assert not peer.merge(
@@ -136,7 +138,7 @@
     peer.merge(quarantine.export(0.1), 0.1)
     peer.on_success(1.0, BAD)
     quarantine.merge(peer.export(1.1), 1.1)
-    assert quarantine.level(1.2, BAD) is Level.CLEARED
+    assert quarantine.level(1.2, BAD) is QuarantineLevel.CLEARED
 
 
 def test_records_that_are_exchanged_repeatedly_still_expire() -> None:
@@ -145,14 +147,14 @@
     for n in range(299):
         peer.merge(quarantine.export(float(n)), n + 0.4)
         quarantine.merge(peer.export(n + 0.5), n + 0.9)
-    assert quarantine.level(301.0, BAD) is Level.CLEARED
+    assert quarantine.level(301.0, BAD) is QuarantineLevel.CLEARED
     assert peer.export(301.0) == ()
 
 
 def test_the_number_of_records_is_bounded() -> None:
     quarantine = Quarantine(QuarantineOptions(max_records=10, max_known_good=10))
     for n in range(100):
-        quarantine.on_lost(0.0, f"bad-{n}", "s", elapsed_ms=5)
+        quarantine.on_connection_lost(0.0, f"bad-{n}", "s", elapsed_ms=5)
         quarantine.on_success(0.0, f"good-{n}")
     assert len(quarantine.export(0.0, limit=1000)) == 10
     assert quarantine.decide(0.0, "good-99") is RunMode.PLAIN
@@ -166,15 +168,15 @@
     """
     owner, entry = quarantine_after_strikes(), Quarantine()
     assert entry.decide(0.2, BAD) is RunMode.PLAIN
-    refused = owner.allows(0.2, BAD, canary=False)
+    refused = owner.check_attempt(0.2, BAD, canary=False)
     assert refused is not None
     assert refusal(refused).run_state is RunState.NOT_RUN
     entry.on_suspected(0.2, BAD)
     assert entry.decide(0.3, BAD) is RunMode.CANARY
-    assert owner.allows(0.3, BAD, canary=True) is None
-    owner.on_lost(0.4, BAD, "t0", elapsed_ms=5)
-    assert owner.allows(0.5, BAD, canary=True) is not None
-    assert owner.allows(0.5, GOOD, canary=False) is None
+    assert owner.check_attempt(0.3, BAD, canary=True) is None
+    owner.on_connection_lost(0.4, BAD, "t0", elapsed_ms=5)
+    assert owner.check_attempt(0.5, BAD, canary=True) is not None
+    assert owner.check_attempt(0.5, GOOD, canary=False) is None
 
 
 def test_a_refused_suspect_is_not_quarantined_by_the_record_of_its_one_strike() -> None:
@@ -186,4 +188,4 @@
     peer, entry = quarantine_after_strikes(), Quarantine()
     entry.on_suspected(0.5, BAD)
     entry.merge(peer.export(0.6), 0.6)
-    assert entry.level(0.6, BAD) is Level.SUSPECT
+    assert entry.level(0.6, BAD) is QuarantineLevel.SUSPECT
--- a/tests/decisions/test_load_relay.py
+++ b/tests/decisions/test_load_relay.py
@@ -10,9 +10,9 @@
     REFUSAL_BACKOFF_S,
     RelayChoice,
     RelayVm,
-    bears_of,
-    count_alike,
-    least_merger,
+    min_merger_capacity,
+    share_divisor,
+    vm_capacity,
 )
 
 LARGE = (RelayVm("big-1", 2.15), RelayVm("big-2", 2.15))
@@ -20,7 +20,7 @@
 
 
 def pick(choice: RelayChoice, now: float = 0.0, in_flight: int = 1, u: float = 0.5) -> str | None:
-    return choice.pick(now, (*LARGE, SMALL), in_flight=in_flight, u=u)
+    return choice.pick_merger(now, (*LARGE, SMALL), in_flight=in_flight, uniform=u)
 
 
 def test_a_small_vm_relays_its_searches_to_large_ones_and_a_large_one_keeps_its_own() -> None:
@@ -30,7 +30,10 @@
     counts = Counter(pick(choice, u=rng.random()) for _ in range(100))
     assert set(counts) <= {"big-1", "big-2"}
     assert pick(RelayChoice(2.15)) is None
-    assert RelayChoice(1.0).pick(0.0, (SMALL, RelayVm("same", 1.5)), in_flight=1, u=0.5) is None
+    assert (
+        RelayChoice(1.0).pick_merger(0.0, (SMALL, RelayVm("same", 1.5)), in_flight=1, uniform=0.5)
+        is None
+    )
 
 
 def test_searches_spread_by_load_and_stay_on_the_vm_while_large_ones_are_busy() -> None:
@@ -38,11 +41,11 @@
     choice = RelayChoice(0.516)
     first = pick(choice)
     assert first is not None
-    choice.sent(first)
+    choice.on_sent(first)
     second = pick(choice)
     assert second not in (None, first)
     for merger in LARGE:
-        choice.reported(0.0, merger.name, 9)
+        choice.on_report(0.0, merger.name, 9)
     assert pick(choice, now=0.1) is None
     assert pick(choice, now=0.1, in_flight=6) is not None
     # An outdated load report is ignored.
@@ -51,8 +54,8 @@
 
 def test_a_merger_that_failed_is_avoided_during_its_back_off() -> None:
     choice = RelayChoice(0.516)
-    choice.doubt(0.0, "big-1", long=True)
-    choice.doubt(0.0, "big-2", long=False)
+    choice.back_off(0.0, "big-1", long=True)
+    choice.back_off(0.0, "big-2", long=False)
     assert pick(choice, now=REFUSAL_BACKOFF_S - 0.01) is None
     assert pick(choice, now=REFUSAL_BACKOFF_S + 0.01) == "big-2"
     assert pick(choice, now=FAILURE_BACKOFF_S + 0.01, u=0.0) in ("big-1", "big-2")
@@ -68,37 +71,46 @@
     parts = []
     for index, own in enumerate(fleet):
         others = Counter(fleet[:index] + fleet[index + 1 :])
-        parts.append(1 / count_alike(own, others))
+        parts.append(1 / share_divisor(own, others))
     assert abs(sum(parts) - 1.0) < 1e-9
     assert parts[0] == 1 / 16
-    assert count_alike(1.07, {1.07: 7}) == 8
-    assert count_alike(1.0, {}) == 1
+    assert share_divisor(1.07, {1.07: 7}) == 8
+    assert share_divisor(1.0, {}) == 1
 
 
 def test_searches_of_a_data_centre_without_replicas_are_merged_near_them() -> None:
     """Guards against 42 messages over the links between data centres for one response."""
-    near, far = RelayVm("near", 2.15), RelayVm("far", 2.15, missing=1.0)
+    near, far = RelayVm("near", 2.15), RelayVm("far", 2.15, missing_share=1.0)
     for own in (0.516, 2.15):
         choice = RelayChoice(own)
-        assert choice.pick(0.0, (near, far), in_flight=1, u=0.5, missing=1.0) == "near"
+        assert (
+            choice.pick_merger(0.0, (near, far), in_flight=1, uniform=0.5, missing_share=1.0)
+            == "near"
+        )
     # A smaller VM is no candidate, and a data centre that lacks a few shards keeps its requests.
-    assert RelayChoice(2.15).pick(0.0, (SMALL,), in_flight=1, u=0.5, missing=1.0) is None
-    assert RelayChoice(2.15).pick(0.0, (near,), in_flight=1, u=0.5, missing=0.3) is None
+    assert (
+        RelayChoice(2.15).pick_merger(0.0, (SMALL,), in_flight=1, uniform=0.5, missing_share=1.0)
+        is None
+    )
+    assert (
+        RelayChoice(2.15).pick_merger(0.0, (near,), in_flight=1, uniform=0.5, missing_share=0.3)
+        is None
+    )
 
 
 def test_searches_stay_in_their_data_centre_while_mergers_near_the_replicas_are_busy() -> None:
     """Guards against callers that wait for three VMs of one data centre while others are idle."""
     choice = RelayChoice(0.516)
-    mergers = (RelayVm("near", 2.15), RelayVm("here", 2.15, missing=1.0))
-    choice.reported(0.0, "near", 30)
-    assert choice.pick(0.1, mergers, in_flight=1, u=0.5, missing=1.0) == "here"
+    mergers = (RelayVm("near", 2.15), RelayVm("here", 2.15, missing_share=1.0))
+    choice.on_report(0.0, "near", 30)
+    assert choice.pick_merger(0.1, mergers, in_flight=1, uniform=0.5, missing_share=1.0) == "here"
 
 
 def test_mergers_are_the_larger_vms_or_all_of_equal_capacity() -> None:
-    assert least_merger([0.516, 0.516, 2.15]) == 2 * 0.516
-    assert least_merger([1.07, 1.07]) == 1.07
+    assert min_merger_capacity([0.516, 0.516, 2.15]) == 2 * 0.516
+    assert min_merger_capacity([1.07, 1.07]) == 1.07
 
 
 def test_a_slow_link_limits_the_capacity_of_a_vm() -> None:
-    assert bears_of(cores=2.0, link_mbps=1000.0) == 2.0
-    assert bears_of(cores=2.0, link_mbps=8.0) == 0.5
+    assert vm_capacity(cores=2.0, link_mbps=1000.0) == 2.0
+    assert vm_capacity(cores=2.0, link_mbps=8.0) == 0.5
--- a/tests/decisions/test_load_replicas.py
+++ b/tests/decisions/test_load_replicas.py
@@ -17,7 +17,7 @@
 
 def first_choices(*views: ReplicaView, owners: tuple[str, ...] = ()) -> Counter[str]:
     """Count the first choices over evenly spread random numbers."""
-    return Counter(choose(views, now=10.0, u=u, owners=owners)[0].server for u in UNIFORM)
+    return Counter(choose(views, now=10.0, uniform=u, owners=owners)[0].server for u in UNIFORM)
 
 
 def test_a_slow_replica_is_avoided_and_the_others_share_the_work() -> None:
@@ -54,9 +54,9 @@
         view("stale", holds_snapshot=False, latency_ms=0.1),
         view("good", latency_ms=90.0),
     )
-    order = [v.server for v in choose(views, now=10.0, u=0.9)]
+    order = [v.server for v in choose(views, now=10.0, uniform=0.9)]
     assert order == ["good", "stale", "shed", "ejected"]
-    assert choose(views[:1], now=10.0, u=0.0) == ()
+    assert choose(views[:1], now=10.0, uniform=0.0) == ()
 
 
 def test_a_hedge_goes_to_another_data_centre_and_to_no_last_resort() -> None:
@@ -83,7 +83,7 @@
 
 
 def ejected_servers(ejector: Ejector, now: float, servers: list[str]) -> list[str]:
-    return [s for s in servers if ejector.status(now, s) is not EjectionStatus.IN]
+    return [s for s in servers if ejector.status(now, s) is not EjectionStatus.ACTIVE]
 
 
 def test_an_outlier_is_ejected_and_returns_after_trials() -> None:
--- a/tests/decisions/test_load_rollout.py
+++ b/tests/decisions/test_load_rollout.py
@@ -6,17 +6,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from berylspindle_bench.rollout_trials import Fault, Service, Version, judge_whole, play
+from berylspindle_bench.rollout_trials import (
+    Fault,
+    Service,
+    Version,
+    judge_without_routes,
+    simulate_rollout,
+)
 from berylspindle_decisions.rollout_plan import (
     MAX_TRIAL_SHARE,
     SLACK_DELAY_S,
     ExposureBounds,
     Stage,
-    may_try,
+    allows_trial_request,
     next_stage,
     trial_share,
 )
-from berylspindle_decisions.version_judge import LENIENT, Verdict, judge
+from berylspindle_decisions.version_analysis import LENIENT, Verdict, analyse
 from berylspindle_model.rollout import AnswerCounts
 
 SEEDS = range(25)
@@ -26,20 +32,20 @@
 @pytest.mark.parametrize("kind", ["start", "later", "one route", "load"])
 def test_a_bad_version_is_rolled_back_within_its_exposure(kind: str) -> None:
     """Guards against completing a version that fails later, on one route or under load."""
-    runs = [play(Version(kind=kind, share=0.4), BUSY, seed=seed) for seed in SEEDS]
+    runs = [simulate_rollout(Version(kind=kind, share=0.4), BUSY, seed=seed) for seed in SEEDS]
     assert all(run.stage is Stage.ROLLED_BACK for run in runs)
     assert all(run.exposed <= run.allowed for run in runs)
 
 
 def test_a_sound_version_is_completed_in_time() -> None:
-    runs = [play(Version(), BUSY, seed=seed) for seed in SEEDS]
+    runs = [simulate_rollout(Version(), BUSY, seed=seed) for seed in SEEDS]
     assert sum(run.stage is Stage.COMPLETED for run in runs) >= 20
-    assert all(run.ended < BUSY.term for run in runs)
+    assert all(run.ended < BUSY.term_s for run in runs)
 
 
 def test_a_sound_version_of_a_service_with_few_requests_is_completed() -> None:
-    low_rate = Service(rate=2.0, bad=0.01)
-    runs = [play(Version(), low_rate, seed=seed) for seed in SEEDS]
+    low_rate = Service(rate=2.0, old_bad_share=0.01)
+    runs = [simulate_rollout(Version(), low_rate, seed=seed) for seed in SEEDS]
     assert sum(run.stage is Stage.COMPLETED for run in runs) >= 15
 
 
@@ -49,18 +55,18 @@
         "whole": AnswerCounts(70, 5, {"a": (700, 50)}),
         "quick": AnswerCounts(12, 8, {"a": (120, 6)}),
     }
-    assert judge(routes) is Verdict.BAD
-    assert judge_whole(routes, LENIENT) is not Verdict.SOUND
+    assert analyse(routes) is Verdict.BAD
+    assert judge_without_routes(routes, LENIENT) is not Verdict.SOUND
 
 
 def test_trouble_of_both_versions_does_not_count_against_the_new_one() -> None:
-    assert judge({"r": AnswerCounts(60, 15, {"a": (600, 150)})}) is not Verdict.BAD
-    assert judge({"r": AnswerCounts(60, 30, {"a": (600, 150)})}) is Verdict.BAD
+    assert analyse({"r": AnswerCounts(60, 15, {"a": (600, 150)})}) is not Verdict.BAD
+    assert analyse({"r": AnswerCounts(60, 30, {"a": (600, 150)})}) is Verdict.BAD
 
 
 def test_no_version_is_found_sound_without_responses() -> None:
-    assert judge({}) is Verdict.UNSURE
-    assert judge({"r": AnswerCounts(old={"a": (500, 0)})}, LENIENT) is Verdict.UNSURE
+    assert analyse({}) is Verdict.INCONCLUSIVE
+    assert analyse({"r": AnswerCounts(old={"a": (500, 0)})}, LENIENT) is Verdict.INCONCLUSIVE
 
 
 TIMES = st.floats(min_value=0.0, max_value=100.0)
@@ -76,7 +82,7 @@
 def test_stages_never_go_back_and_a_bad_version_never_advances(
     stage: Stage, verdict: Verdict, elapsed: float, in_stage: float, term: float
 ) -> None:
-    following = next_stage(stage, verdict, elapsed=elapsed, in_stage=in_stage, term=term)
+    following = next_stage(stage, verdict, elapsed=elapsed, stage_elapsed=in_stage, term=term)
     if stage.is_final:
         assert following is stage
     elif verdict is Verdict.BAD:
@@ -115,12 +121,12 @@
     for total in range(1, 600):
         vm = rng.randrange(vms)
         requests[vm] += 1
-        tried[vm] += may_try(
+        tried[vm] += allows_trial_request(
             bounds,
             elapsed=SLACK_DELAY_S * total / (3 * lag),
             requests=requests[vm],
-            tried=tried[vm],
-            of_all=max(0, total - lag),
+            trial_requests=tried[vm],
+            total_requests=max(0, total - lag),
             dither=dithers[vm],
         )
         assert sum(tried) <= bounds.share * total + bounds.slack + vms
@@ -128,17 +134,17 @@
 
 def test_a_trial_stays_within_the_exposure_in_a_burst() -> None:
     """Guards against a share computed for the usual rate that exceeds the slack in a burst."""
-    runs = [play(Version(), BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
+    runs = [simulate_rollout(Version(), BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
     assert all(run.exposed <= run.allowed for run in runs if run.stage is Stage.ROLLED_BACK)
     bad = Version(kind="start", share=0.1)
-    bad_runs = [play(bad, BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
+    bad_runs = [simulate_rollout(bad, BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
     assert sum(run.exposed > run.allowed for run in bad_runs) <= 2
 
 
 def test_a_slow_old_replica_does_not_hide_a_bad_version() -> None:
     """Guards against a shift to a bad version while an old replica is slow."""
     bad = Version(kind="later", share=0.3)
-    runs = [play(bad, BUSY, seed=seed, fault=Fault.OLD_SLOW) for seed in SEEDS]
+    runs = [simulate_rollout(bad, BUSY, seed=seed, fault=Fault.OLD_SLOW) for seed in SEEDS]
     assert sum(run.stage is Stage.ROLLED_BACK for run in runs) >= 23
     counts = AnswerCounts(60, 15, {"a": (200, 10), "b": (200, 8), "slow": (200, 120)})
-    assert judge({"r": counts}) is Verdict.BAD
+    assert analyse({"r": counts}) is Verdict.BAD
--- a/tests/decisions/test_log_rate_limiter.py
+++ b/tests/decisions/test_log_rate_limiter.py
@@ -13,9 +13,9 @@
     written: Counter[LineKind] = Counter()
     for millisecond in range(60_000):
         now = millisecond / 1000
-        if limiter.may_write(now, LineKind.REFUSED):
+        if limiter.allow(now, LineKind.REFUSED):
             written[LineKind.REFUSED] += 1
-        if millisecond % 500 == 0 and limiter.may_write(now, LineKind.LATE):
+        if millisecond % 500 == 0 and limiter.allow(now, LineKind.LATE):
             written[LineKind.LATE] += 1
     rate = RATES[LineKind.REFUSED]
     assert written[LineKind.REFUSED] <= 60 * rate.per_second + rate.burst
@@ -26,9 +26,9 @@
 def test_the_number_of_suppressed_lines_is_returned_once() -> None:
     limiter = LogRateLimiter()
     attempts = int(RATES[LineKind.SAMPLE].burst) + 7
-    assert sum(limiter.may_write(1.0, LineKind.SAMPLE) for _ in range(attempts)) == attempts - 7
-    assert limiter.left_out(LineKind.SAMPLE) == 7
-    assert limiter.left_out(LineKind.SAMPLE) == 0
+    assert sum(limiter.allow(1.0, LineKind.SAMPLE) for _ in range(attempts)) == attempts - 7
+    assert limiter.take_suppressed_count(LineKind.SAMPLE) == 7
+    assert limiter.take_suppressed_count(LineKind.SAMPLE) == 0
 
 
 def test_all_kinds_together_stay_within_the_documented_rate() -> None:
--- a/tests/decisions/test_watchers.py
+++ b/tests/decisions/test_watchers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from berylspindle_decisions.watchers import watchers_of
+from berylspindle_decisions.watchers import select_watchers
 
 
 @pytest.mark.parametrize(
@@ -12,9 +12,9 @@
 )
 def test_watchers_grow_more_slowly_than_the_data_centre(vms: int, watchers: int) -> None:
     names = [f"vm-{number}" for number in range(vms)]
-    selected = watchers_of(dict.fromkeys(names, 1.0), data_centre="a")
+    selected = select_watchers(dict.fromkeys(names, 1.0), data_centre="a")
     assert len(selected) == watchers
-    assert selected == watchers_of(dict.fromkeys(reversed(names), 1.0), data_centre="a")
+    assert selected == select_watchers(dict.fromkeys(reversed(names), 1.0), data_centre="a")
 
 
 def test_the_removal_of_a_vm_changes_no_other_watcher() -> None:
@@ -22,7 +22,7 @@
     names = [f"vm-{number}" for number in range(20)]
 
     def without(removed: str) -> tuple[str, ...]:
-        return watchers_of({n: 1.0 for n in names if n != removed}, data_centre="a")
+        return select_watchers({n: 1.0 for n in names if n != removed}, data_centre="a")
 
     before = without("")
     follower = next(name for name in names if name not in before)
@@ -32,4 +32,4 @@
 
 def test_the_larger_vms_are_the_watchers() -> None:
     vms = {f"small-{number}": 0.5 for number in range(18)} | {"big-1": 2.1, "big-2": 2.1}
-    assert set(watchers_of(vms, data_centre="a")) == {"big-1", "big-2"}
+    assert set(select_watchers(vms, data_centre="a")) == {"big-1", "big-2"}
--- a/tests/forwarding/forward_site.py
+++ b/tests/forwarding/forward_site.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from berylspindle_forwarding.catalogue import OutChange, ReplicaChange, TableChange
+from berylspindle_forwarding.catalogue import DataCentreExclusionChange, ReplicaChange, TableChange
 from berylspindle_forwarding.dialect import Dialect
 from berylspindle_forwarding.forward_options import ForwardOptions
 from berylspindle_forwarding.forwarder import Forwarder
@@ -134,7 +134,7 @@
 
     def take_out(self, data_centre: str, *, out: bool = True) -> None:
         """Take a data centre out of service, or return it."""
-        self.forwarder.on_change(OutChange(data_centre, out))
+        self.forwarder.on_change(DataCentreExclusionChange(data_centre, out))
 
     async def ask(
         self,
--- a/tests/forwarding/test_crash_watch.py
+++ b/tests/forwarding/test_crash_watch.py
@@ -12,8 +12,8 @@
 from berylspindle_forwarding.catalogue import SuspectChange
 from berylspindle_forwarding.crash_watch import MAX_WRITES
 from berylspindle_model import codec
-from berylspindle_standins.forward_replica import Spoil
-from berylspindle_store.store import Lease, StoreAway, StoreConflict, StoredValue
+from berylspindle_standins.forward_replica import ReplyFault
+from berylspindle_store.store import Lease, StoreConflict, StoredValue, StoreUnavailable
 
 SHARDS = ("s0", "s1", "s2", "s3")
 REPLICAS = 3
@@ -31,7 +31,7 @@
 
     async def grant_lease(self, ttl: float) -> Lease:
         if self.is_unavailable:
-            raise StoreAway("unavailable")
+            raise StoreUnavailable("unavailable")
         return Lease(id="1", ttl=ttl)
 
     async def compare_and_swap(self, key, value, *, expect, lease=None) -> StoredValue:
@@ -57,7 +57,7 @@
         for service in (*SHARDS, "booking"):
             for number in range(REPLICAS):
                 replica = await first.replica(f"{service}-{number}", service)
-                replica.behaviour.crash = POISON
+                replica.behaviour.crash_marker = POISON
                 for site in others:
                     site.announce(replica)
         for site in store.sites:
@@ -74,7 +74,7 @@
     while site.forwarder._crashes._tasks:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
     for replica in sites[0].replicas.values():
-        await replica.revive()
+        await replica.restart()
 
 
 async def test_request_sent_through_eight_vms_is_refused_after_three_attempts() -> None:
@@ -98,7 +98,10 @@
     """Guards against a request refused for a minute after healthy replicas lost its responses."""
     async with open_fleet(2) as (store, sites):
         for replica in sites[0].replicas.values():
-            replica.behaviour.spoil, replica.behaviour.spoiled = Spoil.LOST, 1
+            replica.behaviour.reply_fault, replica.behaviour.faulty_replies = (
+                ReplyFault.CONNECTION_RESET,
+                1,
+            )
         await sites[0].ask("/lots/1", left_ms=1500)
         await asyncio.sleep(0.3)
         assert store.writes == 0
--- a/tests/forwarding/test_cut_off.py
+++ b/tests/forwarding/test_cut_off.py
@@ -8,7 +8,7 @@
 
 from forward_site import Site, merged_route, open_site, plain_route
 
-from berylspindle_forwarding.outside import CHECK_INTERVAL_S
+from berylspindle_forwarding.isolation_monitor import CHECK_INTERVAL_S
 from berylspindle_model.errors import ErrorKind
 
 SHARDS = ("s0", "s1", "s2")
@@ -47,7 +47,7 @@
         async with open_site() as site:
             await open_cut_site(site, stack, local=("s0",))
             site.route(merged_route(SHARDS, least=0.9), plain_route("s0"))
-            outside = asyncio.create_task(site.forwarder._outside.run())
+            monitor = asyncio.create_task(site.forwarder._isolation_monitor.run())
             site.forwarder.on_listed()
             assert site.forwarder.unready() is None
             await asyncio.gather(*(site.ask(f"/lots/{n}", left_ms=700) for n in range(3)))
@@ -64,7 +64,7 @@
             assert sum(site.runs().values()) == runs_before
             # A request whose replica is local is still answered.
             assert (await site.ask("/booking/1")).status == 200
-            outside.cancel()
+            monitor.cancel()
 
 
 async def test_cut_off_vm_with_all_shards_local_stays_ready() -> None:
@@ -74,12 +74,12 @@
             await site.replica("far", "booking", data_centre="b")
             site.announce(site.replicas["far"], data_centre="b", port=Blackhole(stack).port)
             site.route(merged_route(SHARDS, least=0.9))
-            outside = asyncio.create_task(site.forwarder._outside.run())
+            monitor = asyncio.create_task(site.forwarder._isolation_monitor.run())
             site.forwarder.on_listed()
             for _ in range(8):
-                site.forwarder._reach.tried(asyncio.get_running_loop().time(), "b")
+                site.forwarder._reach.on_attempt(asyncio.get_running_loop().time(), "b")
                 await asyncio.sleep(0.1)
-            assert site.forwarder._reach.is_cut_off(asyncio.get_running_loop().time())
+            assert site.forwarder._reach.is_isolated(asyncio.get_running_loop().time())
             assert site.forwarder.unready() is None
             assert (await site.ask("/lots/1")).status == 200
-            outside.cancel()
+            monitor.cancel()
--- a/tests/forwarding/test_merged.py
+++ b/tests/forwarding/test_merged.py
@@ -8,9 +8,9 @@
 import pytest
 from forward_site import DIALECT, Site, merged_route, open_site
 
-from berylspindle_decisions.record_merge import greatest
+from berylspindle_decisions.record_merge import top_records
 from berylspindle_forwarding.scatter_gather import ScatterGather
-from berylspindle_standins.forward_replica import Spoil, answer_body, signature_of
+from berylspindle_standins.forward_replica import ReplyFault, answer_body, signature_of
 from berylspindle_wire.http import HttpResponse
 
 SHARDS = ("s0", "s1", "s2", "s3")
@@ -34,7 +34,7 @@
     bodies = {shard: answer_body(shard, path) for shard in SHARDS if shard not in absent}
     assert parts_of(response) == {signature_of(s, request_id, body) for s, body in bodies.items()}
     assert response.headers[DIALECT.absent.decode()] == str(len(absent))
-    assert response.body == greatest(bodies.values(), 5)
+    assert response.body == top_records(bodies.values(), 5)
 
 
 async def test_answer_has_the_greatest_records_of_all_shards_and_names_them():
@@ -47,13 +47,13 @@
         assert sum(site.runs().values()) == 5 * len(SHARDS)
 
 
-@pytest.mark.parametrize("spoil", [s for s in Spoil if s is not Spoil.EARLY])
-async def test_malformed_part_is_omitted_or_retried_and_never_merged(spoil: Spoil):
+@pytest.mark.parametrize("reply_fault", [s for s in ReplyFault if s is not ReplyFault.EARLY])
+async def test_malformed_part_is_omitted_or_retried_and_never_merged(reply_fault: ReplyFault):
     """Guard against merging parts of another search, and against hiding missing parts."""
     async with open_site() as site:
         await open_shards(site)
         bad = site.replicas["s0-0"]
-        bad.behaviour.spoil, bad.behaviour.spoiled = spoil, -1
+        bad.behaviour.reply_fault, bad.behaviour.faulty_replies = reply_fault, -1
         site.route(merged_route(SHARDS))
         for number in range(10):
             path = f"/lots/{number}"
@@ -67,9 +67,9 @@
     async with open_site() as site:
         await open_shards(site, per_shard=1)
         site.route(merged_route(SHARDS))
-        site.replicas["s1-0"].go_down()
+        site.replicas["s1-0"].crash()
         check(await site.ask("/lots/1", request_id="id-1"), "/lots/1", "id-1", absent=("s1",))
-        site.replicas["s2-0"].go_down()
+        site.replicas["s2-0"].crash()
         response = await site.ask("/lots/2")
         assert response.status in (502, 503, 504)
         assert response.body != b""
@@ -114,7 +114,7 @@
         for shard in ("t0", "t1"):
             await site.replica(f"{shard}-0", shard)
         for replica in site.replicas.values():
-            replica.behaviour.work = 0.05
+            replica.behaviour.service_time_s = 0.05
         site.route(merged_route(SHARDS))
         before = asyncio.create_task(site.ask("/lots/1", request_id="id-1"))
         await asyncio.sleep(0.02)
@@ -130,7 +130,7 @@
     async with open_site() as site:
         await open_shards(site, per_shard=4)
         for replica in site.replicas.values():
-            replica.behaviour.fail = -1
+            replica.behaviour.failed_requests = -1
         site.route(merged_route(SHARDS))
         await asyncio.gather(*(site.ask(f"/lots/{n}", request_id=f"id-{n}") for n in range(10)))
         for shard in SHARDS:
--- a/tests/forwarding/test_mirror.py
+++ b/tests/forwarding/test_mirror.py
@@ -12,7 +12,7 @@
 
 from berylspindle_forwarding.mirror import MAX_CHANGES, Mirror, MirrorStore
 from berylspindle_forwarding.upstream_selector import MirrorAddress, UpstreamSelector
-from berylspindle_store.store import StoreAway, StoredValue
+from berylspindle_store.store import StoredValue, StoreUnavailable
 from berylspindle_wire.http_server import serve
 
 
@@ -23,7 +23,7 @@
 @asynccontextmanager
 async def open_mirror() -> AsyncIterator[tuple[Mirror, MirrorStore]]:
     mirror = Mirror(asyncio.get_running_loop().time)
-    async with await serve(mirror.answer, host="127.0.0.1", port=0) as server:
+    async with await serve(mirror.handle, host="127.0.0.1", port=0) as server:
         store = MirrorStore("127.0.0.1", server.port)
         try:
             yield mirror, store
@@ -33,7 +33,7 @@
 
 async def test_mirror_is_listed_and_watched_like_the_store() -> None:
     async with open_mirror() as (mirror, store):
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await store.list("a/")
         mirror.replace_entries([entry("a/1", 5), entry("b/1", 6)], 7)
         listed = await store.list("a/")
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -17,7 +17,7 @@
     for shard in SHARDS:
         for number in range(2):
             replica = await site.replica(f"{shard}-{number}", shard, slots=1)
-            replica.behaviour.work = WORK_S
+            replica.behaviour.service_time_s = WORK_S
     sweep = merged_route(SHARDS, least=1.0, name="sweep", priority=1, aim_ms=200)
     check = merged_route(
         SHARDS, least=0.5, name="check", priority=2, aim_ms=200, prefix="/check/", max_replicas=2
@@ -86,12 +86,12 @@
     """
     async with open_site(expected_vms=12) as site:
         replica = await site.replica("b-0", "booking", slots=3)
-        replica.behaviour.work = WORK_S
+        replica.behaviour.service_time_s = WORK_S
         site.route(plain_route(aim_ms=400))
         responses = await asyncio.gather(*(site.ask(f"/booking/{n}") for n in range(45)))
         assert {answer.status for answer in responses} == {200}
         for number in range(40):
             await site.ask(f"/booking/later-{number}")
         (unqueued,) = site.forwarder._context.unqueued_profiles.values()
-        assert unqueued.known
+        assert unqueued.has_enough_samples
         assert unqueued.quantile(0.75) < 5 * WORK_S * 1000
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -9,7 +9,7 @@
 
 from berylspindle_forwarding.vm_probe import Prober
 from berylspindle_model.routing import ServiceRules, WeightedService
-from berylspindle_standins.forward_replica import Spoil, answer_body, signature_of
+from berylspindle_standins.forward_replica import ReplyFault, answer_body, signature_of
 from berylspindle_wire.http_server import serve
 
 NOT_RUN = {429, 503}
@@ -80,7 +80,7 @@
         await site.ask("/booking/1", left_ms=800)
         await site.ask("/booking/2", left_ms=90_000)
         await site.ask("/booking/3", left_ms=None)
-        short, bounded, unsaid = first.counts.times_left
+        short, bounded, unsaid = first.counts.remaining_ms
         assert 700 < short <= 800
         assert 2900 < bounded <= 3000
         assert 2900 < unsaid <= 3000
@@ -102,15 +102,15 @@
         assert runs["r1"] + runs["r2"] == 40
 
 
-@pytest.mark.parametrize("spoil", [s for s in Spoil if s is not Spoil.EARLY])
-async def test_malformed_reply_never_reaches_a_caller_as_a_success(spoil: Spoil):
+@pytest.mark.parametrize("reply_fault", [s for s in ReplyFault if s is not ReplyFault.EARLY])
+async def test_malformed_reply_never_reaches_a_caller_as_a_success(reply_fault: ReplyFault):
     """Guard against a caller that gets another caller's answer, or a truncated one, as a success.
 
     The replica breaks the framing of its replies so that the tail of one can be taken for the next.
     """
     async with open_site() as site:
         bad = await site.replica("bad", "booking")
-        bad.behaviour.spoil, bad.behaviour.spoiled = spoil, -1
+        bad.behaviour.reply_fault, bad.behaviour.faulty_replies = reply_fault, -1
         site.route(plain_route())
         for number in range(12):
             if number == 6:
@@ -127,8 +127,18 @@
         assert site.runs()["bad"] > 0
 
 
-@pytest.mark.parametrize("spoil", [Spoil.LOST, Spoil.CUT, Spoil.GARBAGE, Spoil.FOREIGN])
-async def test_non_repeatable_request_runs_once_and_is_never_reported_as_not_run(spoil: Spoil):
+@pytest.mark.parametrize(
+    "reply_fault",
+    [
+        ReplyFault.CONNECTION_RESET,
+        ReplyFault.TRUNCATED,
+        ReplyFault.GARBAGE,
+        ReplyFault.WRONG_REQUEST_ID,
+    ],
+)
+async def test_non_repeatable_request_runs_once_and_is_never_reported_as_not_run(
+    reply_fault: ReplyFault,
+):
     """Guard against a booking that runs twice, or that has run but is reported as not run.
 
     The replica runs the booking, and its reply is lost or malformed.
@@ -136,7 +146,7 @@
     async with open_site() as site:
         for name in ("r1", "r2", "r3"):
             replica = await site.replica(name, "booking")
-            replica.behaviour.spoil, replica.behaviour.spoiled = spoil, -1
+            replica.behaviour.reply_fault, replica.behaviour.faulty_replies = reply_fault, -1
         site.route(plain_route(repeatable=False))
         for number in range(6):
             response = await site.ask(f"/booking/{number}", method="POST", body=b"{}")
@@ -148,9 +158,9 @@
 async def test_request_that_was_not_run_is_retried_on_another_replica():
     async with open_site() as site:
         full = await site.replica("full", "booking")
-        full.behaviour.refuse = -1
+        full.behaviour.refused_requests = -1
         gone = await site.replica("gone", "booking")
-        gone.go_down()
+        gone.crash()
         await site.replica("good", "booking")
         site.route(plain_route(repeatable=False))
         for number in range(10):
@@ -163,7 +173,7 @@
     async with open_site() as site:
         for name in ("r1", "r2"):
             replica = await site.replica(name, "booking")
-            replica.behaviour.refuse = -1
+            replica.behaviour.refused_requests = -1
         site.route(plain_route(repeatable=False))
         response = await site.ask("/booking/1", method="POST", body=b"{}", left_ms=300)
         assert response.status == 503
@@ -174,7 +184,7 @@
 async def test_failure_of_a_replica_is_forwarded_if_no_other_succeeds():
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
-        replica.behaviour.fail = -1
+        replica.behaviour.failed_requests = -1
         site.route(plain_route())
         response = await site.ask("/booking/1")
         assert response.status == 500
@@ -185,13 +195,13 @@
     """Guard against running a request at the wrong service after an address is reused."""
     async with open_site() as site:
         other = await site.replica("r1", "booking")
-        other.behaviour.misplaced = True
+        other.behaviour.misdirected = True
         await site.replica("r2", "booking")
         site.route(plain_route())
         for number in range(8):
             assert (await site.ask(f"/booking/{number}")).status == 200
         assert other.counts.arrivals <= 1
-        other.behaviour.misplaced = False
+        other.behaviour.misdirected = False
         site.withdraw(site.replicas["r2"])
         site.announce(other)
         assert (await site.ask("/booking/9")).status == 200
@@ -201,7 +211,7 @@
     """Guard against replica slots held by requests whose callers have disconnected."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
-        replica.behaviour.work = 5.0
+        replica.behaviour.service_time_s = 5.0
         site.route(plain_route())
         _, writer = await asyncio.open_connection("127.0.0.1", site.server.port)
         writer.write(f"GET /booking/1 HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode())
@@ -209,7 +219,7 @@
             await asyncio.sleep(0.005)
         writer.close()
         async with asyncio.timeout(2):
-            while not replica.counts.ended_early:  # noqa: ASYNC110
+            while not replica.counts.cancelled:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
 
 
@@ -217,7 +227,7 @@
     """Guard against a request read as the tail of a long one that was answered before its end."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
-        replica.behaviour.spoil, replica.behaviour.spoiled = Spoil.EARLY, 1
+        replica.behaviour.reply_fault, replica.behaviour.faulty_replies = ReplyFault.EARLY, 1
         site.route(plain_route())
         response = await site.ask("/booking/1", method="POST", body=b"x" * 200_000)
         assert response.body == answer_body("booking", "/booking/1")
@@ -247,7 +257,7 @@
     """Guard against a booking written to a connection that the replica is closing."""
     async with open_site() as site:
         replica = await site.replica("r1", "booking")
-        replica.behaviour.idle = 1.0
+        replica.behaviour.idle_timeout_s = 1.0
         site.route(plain_route(repeatable=False))
         assert (await site.ask("/booking/1", method="POST", body=b"{}")).status == 200
         await asyncio.sleep(0.85)
@@ -265,13 +275,13 @@
         slow = await site.replica("slow", "booking")
         rules = ServiceRules(name="booking", max_connections=1)
         site.route(plain_route(aim_ms=200), booking=rules)
-        slow.behaviour.work = 0.6
+        slow.behaviour.service_time_s = 0.6
         first = asyncio.create_task(site.ask("/booking/first"))
         await asyncio.sleep(0.05)
         await site.replica("quick", "booking", data_centre="b")
         # Marked as slow, so that the first attempt of the second request goes to the other replica.
         health = site.forwarder.registry.get("quick").health
-        health._pace, health._pace_at = 9.0, asyncio.get_running_loop().time()
+        health._slowdown, health._slowdown_at = 9.0, asyncio.get_running_loop().time()
         response = await site.ask("/booking/second", left_ms=3000)
         assert response.status == 200
         assert (await first).status == 200
@@ -283,27 +293,30 @@
     async with open_site() as site:
         only = await site.replica("only", "booking")
         site.route(plain_route(), booking=ServiceRules(name="booking", max_connections=1))
-        only.behaviour.work = 1.0
+        only.behaviour.service_time_s = 1.0
         first = asyncio.create_task(site.ask("/booking/first"))
         await asyncio.sleep(0.05)
         assert (await site.ask("/booking/second", left_ms=2000)).status == 200
         assert (await first).status == 200
-        assert only.counts.times_left[-1] <= 1500
+        assert only.counts.remaining_ms[-1] <= 1500
 
 
 async def test_non_repeatable_request_avoids_a_replica_with_losses_at_another_vm() -> None:
     """Guard against one lost booking per VM for each replica that loses replies."""
     async with open_site() as site, open_site(vm="vm-2") as other:
         lossy = await site.replica("lossy", "booking")
-        lossy.behaviour.spoil, lossy.behaviour.spoiled = Spoil.LOST, 100
+        lossy.behaviour.reply_fault, lossy.behaviour.faulty_replies = (
+            ReplyFault.CONNECTION_RESET,
+            100,
+        )
         for one in (site, other):
             one.route(plain_route())
         assert (await site.ask("/booking/1", method="POST")).status == 502
         other.announce(lossy)
         other.announce(await site.replica("sound", "booking"))
-        mirror = await serve(site.forwarder.mirror.answer, host="127.0.0.1", port=0)
+        mirror = await serve(site.forwarder.mirror.handle, host="127.0.0.1", port=0)
         prober = Prober(other.forwarder._upstream_report, other.forwarder._on_losses)
-        assert await prober.answers("127.0.0.1", mirror.port, timeout=1.0)
+        assert await prober.is_responding("127.0.0.1", mirror.port, timeout=1.0)
         responses = [await other.ask(f"/booking/{n}", method="POST") for n in range(20)]
         assert {one.status for one in responses} == {200}
         await prober.close()
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -10,7 +10,7 @@
 import pytest
 from forward_site import DIALECT, Site, merged_route, open_site, plain_route
 
-from berylspindle_decisions.record_merge import greatest
+from berylspindle_decisions.record_merge import top_records
 from berylspindle_forwarding.catalogue import VmChange, VmEntry
 from berylspindle_standins.forward_replica import answer_body
 from berylspindle_wire.http_client import HttpFailure
@@ -49,7 +49,7 @@
 
 
 def full_answer(path: str) -> bytes:
-    return greatest([answer_body(shard, path) for shard in SHARDS], 5)
+    return top_records([answer_body(shard, path) for shard in SHARDS], 5)
 
 
 async def test_search_is_merged_by_the_large_vm_and_booking_is_not_relayed() -> None:
@@ -105,7 +105,7 @@
         assert (await far.ask("/lots/1")).body == full_answer("/lots/1")
         assert services_with_sub_requests(far) == 0
         far.take_out("a")
-        assert far.forwarder.registry.missing(SHARDS) == {}
+        assert far.forwarder.registry.missing_shares(SHARDS) == {}
 
 
 @asynccontextmanager
@@ -132,7 +132,7 @@
     async with open_halves() as (here, there):
         path = "/lots/1"
         response = await here.ask(path)
-        assert response.body == greatest([answer_body(shard, path) for shard in TWELVE], 5)
+        assert response.body == top_records([answer_body(shard, path) for shard in TWELVE], 5)
         assert len(response.headers[DIALECT.parts.decode()].split(", ")) == 12
         assert response.headers[DIALECT.absent.decode()] == "0"
         assert set(here.forwarder._context.retry_budgets) == set(TWELVE[::2])
@@ -176,7 +176,7 @@
         here.forwarder.on_change(VmChange("there", far))
         path = "/lots/1"
         response = await here.ask(path)
-        assert response.body == greatest([answer_body(shard, path) for shard in TWELVE], 5)
+        assert response.body == top_records([answer_body(shard, path) for shard in TWELVE], 5)
         signed = response.headers[DIALECT.parts.decode()].split(", ")
         assert len({signature.partition(".")[0] for signature in signed}) == 12
         server.close()
@@ -186,11 +186,11 @@
     """Guard against an answer that claims parts which the merger did not receive."""
     async with open_halves() as (here, there):
         for shard in (TWELVE[1], TWELVE[3]):
-            there.replicas[f"{shard}-0"].behaviour.fail = 10
+            there.replicas[f"{shard}-0"].behaviour.failed_requests = 10
         response = await here.ask("/lots/1", left_ms=1500)
         assert response.status in (502, 504)
-        there.replicas[f"{TWELVE[3]}-0"].behaviour.fail = 0
-        there.replicas[f"{TWELVE[1]}-0"].behaviour.fail = 10
+        there.replicas[f"{TWELVE[3]}-0"].behaviour.failed_requests = 0
+        there.replicas[f"{TWELVE[1]}-0"].behaviour.failed_requests = 10
         here.version = there.version = 7
         for site in (here, there):
             site.route(merged_route(TWELVE, least=0.8))
@@ -219,7 +219,7 @@
 async def test_late_merger_that_answers_a_probe_is_waited_for() -> None:
     """Guard against failing a search while its merger waits for a slow shard."""
     async with open_pair() as (small, big):
-        mirror = await serve(big.forwarder.mirror.answer, host="127.0.0.1", port=0)
+        mirror = await serve(big.forwarder.mirror.handle, host="127.0.0.1", port=0)
         entry = VmEntry(
             host="127.0.0.1",
             port=mirror.port,
@@ -233,7 +233,7 @@
         for site in (small, big):
             site.route(merged_route(SHARDS, aim_ms=100, least=0.9))
         for replica in big.replicas.values():
-            replica.behaviour.work = 0.5
+            replica.behaviour.service_time_s = 0.5
         assert (await small.ask("/lots/1", left_ms=4000)).body == full_answer("/lots/1")
         assert services_with_sub_requests(small) == 0
         await mirror.close(0.0)
@@ -261,7 +261,7 @@
 async def test_caller_disconnect_stops_the_work_at_the_replicas_of_the_merger() -> None:
     async with open_pair() as (small, big):
         for replica in big.replicas.values():
-            replica.behaviour.work = 1.0
+            replica.behaviour.service_time_s = 1.0
         asking = asyncio.create_task(small.ask("/lots/1"))
         async with asyncio.timeout(2):
             while sum(r.counts.arrivals for r in big.replicas.values()) < 3:  # noqa: ASYNC110
@@ -270,7 +270,7 @@
         with pytest.raises((asyncio.CancelledError, HttpFailure)):
             await asking
         async with asyncio.timeout(0.5):
-            while sum(r.counts.ended_early for r in big.replicas.values()) < 3:  # noqa: ASYNC110
+            while sum(r.counts.cancelled for r in big.replicas.values()) < 3:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
 
--- a/tests/forwarding/test_rollout_evidence.py
+++ b/tests/forwarding/test_rollout_evidence.py
@@ -8,9 +8,9 @@
 import pytest
 from forward_site import Site, open_site, plain_route
 
-from berylspindle_decisions.reach import Reach
+from berylspindle_decisions.reachability import Reachability
 from berylspindle_model.rollout import RolloutOrder, RolloutShift
-from berylspindle_standins.forward_replica import ForwardReplica, Spoil
+from berylspindle_standins.forward_replica import ForwardReplica, ReplyFault
 
 SERVICE = "booking"
 ORDER = RolloutOrder(service=SERVICE, version="v2", term=60.0, revision=10)
@@ -34,23 +34,31 @@
     """Send requests, and return the number of bad answers counted for the new version."""
     for _ in range(REQUESTS):
         await site.ask("/booking/1")
-    routes = site.forwarder.rollouts.answers(SERVICE, for_others=False).routes
+    routes = site.forwarder.rollouts.answers(SERVICE, include_reports=False).routes
     return routes["plain"].new_bad
 
 
 async def test_failed_response_is_evidence() -> None:
     async with open_site() as site:
         new = await open_rollout(site)
-        new.behaviour.fail = REQUESTS
+        new.behaviour.failed_requests = REQUESTS
         assert await count_bad_of_new(site) > 0
 
 
-@pytest.mark.parametrize("spoil", [Spoil.LOST, Spoil.CUT, Spoil.GARBAGE, Spoil.FOREIGN])
-async def test_lost_or_malformed_response_is_no_evidence(spoil: Spoil) -> None:
+@pytest.mark.parametrize(
+    "reply_fault",
+    [
+        ReplyFault.CONNECTION_RESET,
+        ReplyFault.TRUNCATED,
+        ReplyFault.GARBAGE,
+        ReplyFault.WRONG_REQUEST_ID,
+    ],
+)
+async def test_lost_or_malformed_response_is_no_evidence(reply_fault: ReplyFault) -> None:
     """Guards against a sound version that is rolled back because of broken connections."""
     async with open_site() as site:
         new = await open_rollout(site)
-        new.behaviour.spoil, new.behaviour.spoiled = spoil, -1
+        new.behaviour.reply_fault, new.behaviour.faulty_replies = reply_fault, -1
         assert await count_bad_of_new(site) == 0
         assert sum(new.counts.runs.values()) > 0
 
@@ -59,7 +67,7 @@
     """Guards against a sound version that is rolled back because its replicas have just started."""
     async with open_site() as site:
         new = await open_rollout(site, cold_ms=60_000)
-        new.behaviour.work = 0.05
+        new.behaviour.service_time_s = 0.05
         assert await count_bad_of_new(site) == 0
         site.announce(new, version="v2", cold_ms=0)
         assert await count_bad_of_new(site) > 0
@@ -72,21 +80,21 @@
     async with open_site() as site:
         new = await open_rollout(site, data_centre="b")
         rollouts, reach = site.forwarder.rollouts, site.forwarder._reach
-        new.behaviour.work = 5.0
-        for is_heard in (False, True):
-            monkeypatch.setattr(reach, "heard_since", mock.Mock(return_value=is_heard))
+        new.behaviour.service_time_s = 5.0
+        for had_contact in (False, True):
+            monkeypatch.setattr(reach, "had_contact_since", mock.Mock(return_value=had_contact))
             for _ in range(3):
                 await site.ask("/booking/1", left_ms=50)
-            while not reach.heard_since.called:  # noqa: ASYNC110
+            while not reach.had_contact_since.called:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-            bad = rollouts.answers(SERVICE, for_others=False).routes["plain"].new_bad
-            assert (bad > 0) == is_heard
+            bad = rollouts.answers(SERVICE, include_reports=False).routes["plain"].new_bad
+            assert (bad > 0) == had_contact
 
 
-def test_data_centre_is_heard_since_its_last_response() -> None:
-    reach = Reach("a")
-    assert reach.heard_since("a", 5.0)
-    assert not reach.heard_since("b", 5.0)
-    reach.heard(6.0, "b")
-    assert reach.heard_since("b", 5.0)
-    assert not reach.heard_since("b", 7.0)
+def test_data_centre_had_contact_since_its_last_response() -> None:
+    reach = Reachability("a")
+    assert reach.had_contact_since("a", 5.0)
+    assert not reach.had_contact_since("b", 5.0)
+    reach.on_contact(6.0, "b")
+    assert reach.had_contact_since("b", 5.0)
+    assert not reach.had_contact_since("b", 7.0)
--- a/tests/forwarding/test_rollout_machine.py
+++ b/tests/forwarding/test_rollout_machine.py
@@ -18,8 +18,13 @@
 )
 
 from berylspindle_decisions import rollout_plan
-from berylspindle_decisions.rollout_plan import SHIFT_MOST, SHIFT_S, ExposureBounds, Stage
-from berylspindle_decisions.version_judge import Verdict
+from berylspindle_decisions.rollout_plan import (
+    MAX_SHIFT_FRACTION,
+    SHIFT_DURATION_S,
+    ExposureBounds,
+    Stage,
+)
+from berylspindle_decisions.version_analysis import Verdict
 from berylspindle_forwarding.rollouts import FINAL_STAGES, Rollouts
 from berylspindle_model.rollout import RolloutOrder, RolloutShift, RolloutStatus
 from berylspindle_model.routing import Replica
@@ -85,13 +90,13 @@
     def serve(self, vm: int) -> None:
         one = self.vms[vm]
         for _ in range(REQUESTS_PER_SECOND):
-            is_tried = one.rollouts.takes_trial("s", u=self.rng.random())
-            uses_new = one.rollouts.rule("s").is_used
+            is_tried = one.rollouts.admit_to_trial("s", uniform=self.rng.random())
+            uses_new = one.rollouts.version_rule("s").is_used
             one.requests += 1
             one.tried += is_tried
             is_new = is_tried or uses_new
             ms = None if is_new and self.is_bad else 20.0
-            one.rollouts.note_answer(NEW if is_new else OLD, "r", ms)
+            one.rollouts.record_answer(NEW if is_new else OLD, "r", ms)
 
     def record(self, vm: int) -> None:
         rollouts = self.vms[vm].rollouts
@@ -108,7 +113,7 @@
             stage,
             one.rollouts.verdict("s"),
             elapsed=elapsed,
-            in_stage=one.rollouts.stage_elapsed("s"),
+            stage_elapsed=one.rollouts.stage_elapsed("s"),
             term=TERM_S,
         )
         key = "shift" if target is Stage.SHIFT else "status"
@@ -133,7 +138,10 @@
     def completes_after_the_shift_period(self) -> None:
         if self.completed_at:
             assert self.shift_at
-            assert self.completed_at - self.shift_at >= min(SHIFT_S, SHIFT_MOST * TERM_S) - 0.01
+            assert (
+                self.completed_at - self.shift_at
+                >= min(SHIFT_DURATION_S, MAX_SHIFT_FRACTION * TERM_S) - 0.01
+            )
 
     @invariant()
     def never_completes_a_failing_version(self) -> None:
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from berylspindle_decisions.rollout_plan import ExposureBounds, Stage
-from berylspindle_decisions.version_judge import Verdict
+from berylspindle_decisions.version_analysis import Verdict
 from berylspindle_forwarding.rollouts import Rollouts, VersionRule
 from berylspindle_model.codec import MalformedError
 from berylspindle_model.rollout import (
@@ -39,9 +39,9 @@
 
     def count_answers(self, *, new: int, new_bad: int, old: int = 0) -> None:
         for _ in range(old):
-            self.rollouts.note_answer(OLD, "r", 20.0)
+            self.rollouts.record_answer(OLD, "r", 20.0)
         for number in range(new):
-            self.rollouts.note_answer(NEW, "r", None if number < new_bad else 20.0)
+            self.rollouts.record_answer(NEW, "r", None if number < new_bad else 20.0)
 
 
 def vm_with_order(*, is_new: bool = True) -> Vm:
@@ -53,16 +53,16 @@
 def test_version_rule_follows_order_shift_and_status() -> None:
     vm = Vm()
     rollouts = vm.rollouts
-    assert rollouts.rule("s") is None
+    assert rollouts.version_rule("s") is None
     rollouts.apply_order("s", ORDER, is_new=True)
-    assert rollouts.rule("s") == VersionRule(version="v2", is_used=False)
+    assert rollouts.version_rule("s") == VersionRule(version="v2", is_used=False)
     rollouts.apply_shift("s", RolloutShift(order=9))
     assert rollouts.stage("s") is Stage.TRIAL
     rollouts.apply_shift("s", RolloutShift(order=10))
-    assert rollouts.rule("s") == VersionRule(version="v2", is_used=True)
+    assert rollouts.version_rule("s") == VersionRule(version="v2", is_used=True)
     status = RolloutStatus(version="v2", state=RolloutState.ROLLED_BACK, revision=20)
     rollouts.apply_status("s", status)
-    assert rollouts.rule("s") == VersionRule(version="v2", is_used=False)
+    assert rollouts.version_rule("s") == VersionRule(version="v2", is_used=False)
     assert not rollouts.active
 
 
@@ -71,7 +71,7 @@
     rollouts = Vm().rollouts
     status = RolloutStatus(version="v2", state=RolloutState.ROLLED_BACK, revision=20)
     rollouts.apply_status("s", status)
-    assert rollouts.rule("s") == VersionRule(version="v2", is_used=False)
+    assert rollouts.version_rule("s") == VersionRule(version="v2", is_used=False)
 
 
 def test_second_order_for_the_same_version_is_a_new_rollout() -> None:
@@ -87,20 +87,20 @@
     """Guards against a trial that restarts with each VM and exceeds the exposure."""
     vm = vm_with_order(is_new=False)
     vm.now += TRIAL_PULSE_S
-    assert not vm.rollouts.takes_trial("s", u=0.0)
+    assert not vm.rollouts.admit_to_trial("s", uniform=0.0)
     record = RolloutAnswers(order=10, elapsed_ms=4_700, requests=200, routes={})
     vm.rollouts.apply_record("s", "b", record)
-    assert vm.rollouts.takes_trial("s", u=0.0)
+    assert vm.rollouts.admit_to_trial("s", uniform=0.0)
     vm.now += 6.0
-    assert not vm.rollouts.takes_trial("s", u=0.0)
+    assert not vm.rollouts.admit_to_trial("s", uniform=0.0)
 
 
 def test_vm_stops_a_failing_version_on_its_own_evidence() -> None:
     vm = vm_with_order()
     vm.now += TRIAL_PULSE_S
-    assert vm.rollouts.takes_trial("s", u=0.0)
+    assert vm.rollouts.admit_to_trial("s", uniform=0.0)
     vm.count_answers(new=8, new_bad=8, old=40)
-    assert not vm.rollouts.takes_trial("s", u=0.0)
+    assert not vm.rollouts.admit_to_trial("s", uniform=0.0)
 
 
 def test_reports_are_counted_once_and_sums_are_not_added_again() -> None:
@@ -112,17 +112,17 @@
     follower.count_answers(new=4, new_bad=1, old=30)
     second.count_answers(new=2, new_bad=0, old=10)
     first.count_answers(new=1, new_bad=0)
-    second.rollouts.take_report("follower", follower.rollouts.report(for_others=False))
-    second.rollouts.take_report("follower", follower.rollouts.report(for_others=False))
-    first.rollouts.take_report("second", second.rollouts.report(for_others=True))
-    answers = first.rollouts.answers("s", for_others=True, include_sums=True)
+    second.rollouts.merge_report("follower", follower.rollouts.report(include_reports=False))
+    second.rollouts.merge_report("follower", follower.rollouts.report(include_reports=False))
+    first.rollouts.merge_report("second", second.rollouts.report(include_reports=True))
+    answers = first.rollouts.answers("s", include_reports=True, include_sums=True)
     assert answers.routes == {"r": AnswerCounts(7, 1, {"i-old": (40, 0)})}
-    second.rollouts.take_report("first", first.rollouts.report(for_others=True))
-    assert second.rollouts.answers("s", for_others=True).routes == {
+    second.rollouts.merge_report("first", first.rollouts.report(include_reports=True))
+    assert second.rollouts.answers("s", include_reports=True).routes == {
         "r": AnswerCounts(6, 1, {"i-old": (40, 0)})
     }
     second.now += 6.0
-    assert second.rollouts.answers("s", for_others=True).routes == {
+    assert second.rollouts.answers("s", include_reports=True).routes == {
         "r": AnswerCounts(2, 0, {"i-old": (10, 0)})
     }
 
@@ -132,7 +132,7 @@
     before = vm_with_order()
     before.now += 5.0
     for _ in range(300):
-        before.rollouts.takes_trial("s", u=1.0)
+        before.rollouts.admit_to_trial("s", uniform=1.0)
     before.count_answers(new=20, new_bad=12, old=200)
     record = before.rollouts.record("s", "a")
     assert (record.rate, record.requests) == (60.0, 300)
@@ -149,14 +149,14 @@
 
 def test_malformed_report_is_rejected() -> None:
     with pytest.raises(MalformedError):
-        vm_with_order().rollouts.take_report("vm", '{"services": 3}')
+        vm_with_order().rollouts.merge_report("vm", '{"services": 3}')
 
 
 def test_report_is_empty_without_a_rollout() -> None:
     vm = Vm()
-    assert vm.rollouts.report(for_others=True) == ""
-    vm.rollouts.note_answer(NEW, "r", None)
-    assert not vm.rollouts.takes_trial("s", u=0.0)
+    assert vm.rollouts.report(include_reports=True) == ""
+    vm.rollouts.record_answer(NEW, "r", None)
+    assert not vm.rollouts.admit_to_trial("s", uniform=0.0)
 
 
 def test_latency_is_compared_with_the_old_version_of_the_same_service() -> None:
@@ -164,9 +164,9 @@
     vm = vm_with_order()
     vm.count_answers(new=0, new_bad=0, old=50)
     for ms in (40.0, 60.0):
-        vm.rollouts.note_answer(NEW, "r", ms)
-    vm.rollouts.note_abandoned(NEW, "r", 10.0)
-    vm.rollouts.note_abandoned(NEW, "r", 80.0)
-    assert vm.rollouts.answers("s", for_others=False).routes == {
+        vm.rollouts.record_answer(NEW, "r", ms)
+    vm.rollouts.record_abandoned(NEW, "r", 10.0)
+    vm.rollouts.record_abandoned(NEW, "r", 80.0)
+    assert vm.rollouts.answers("s", include_reports=False).routes == {
         "r": AnswerCounts(3, 2, {"i-old": (50, 0)})
     }
--- a/tests/forwarding/test_silent_store.py
+++ b/tests/forwarding/test_silent_store.py
@@ -14,7 +14,13 @@
 from berylspindle_forwarding.forwarder import Forwarder, open_forwarder
 from berylspindle_forwarding.upstream_selector import MirrorAddress
 from berylspindle_model.routing import CallerLimits, RoutingTable
-from berylspindle_store.store import Lease, ListResult, StoredValue, StoreUnsure, WatchResult
+from berylspindle_store.store import (
+    Lease,
+    ListResult,
+    StoredValue,
+    StoreOutcomeUnknown,
+    WatchResult,
+)
 from berylspindle_telemetry.metrics import Metrics
 
 CALL_TIMEOUT_S = 0.2
@@ -24,12 +30,12 @@
     """Decode each entry as a routing table whose version is its revision."""
 
     prefix = ""
-    parts = ("",)
+    list_prefixes = ("",)
 
-    def is_vm(self, key: str) -> bool:
+    def is_vm_key(self, key: str) -> bool:
         return key.startswith("vms/")
 
-    def read(self, entry: StoredValue) -> Change:
+    def decode(self, entry: StoredValue) -> Change:
         return TableChange(RoutingTable(entry.revision, (plain_route(),), {}, CallerLimits()))
 
 
@@ -85,7 +91,7 @@
     async def _answer_unless_silent(self) -> None:
         if self._is_silent:
             await asyncio.sleep(CALL_TIMEOUT_S)
-            raise StoreUnsure("no answer")
+            raise StoreOutcomeUnknown("no answer")
 
     def _entry(self) -> StoredValue:
         return StoredValue(key="table", value=b"", revision=self.revision)
--- a/tests/forwarding/test_vm_announcer.py
+++ b/tests/forwarding/test_vm_announcer.py
@@ -16,7 +16,7 @@
 from berylspindle_forwarding.catalogue import VmEntry
 from berylspindle_forwarding.vm_announcer import VmAnnouncer
 from berylspindle_model import codec
-from berylspindle_store.store import Lease, StoreConflict, StoredValue, StoreLeaseGone
+from berylspindle_store.store import Lease, StoreConflict, StoredValue, StoreLeaseNotFound
 
 KEY = "vms/1"
 ENTRY = VmEntry(host="127.0.0.1", port=1, data_centre="a", bears=1.0)
@@ -53,7 +53,7 @@
     async def keep_alive(self, lease: str) -> Lease:
         self.calls["renew"] += 1
         if lease not in self.leases:
-            raise StoreLeaseGone(lease)
+            raise StoreLeaseNotFound(lease)
         return Lease(id=lease, ttl=15.0)
 
 
@@ -69,11 +69,11 @@
         entry=ENTRY,
         followers=followers or FollowerCount(),
         is_needed=lambda: is_needed,
-        known=lambda: store.entry,
+        stored_entry=lambda: store.entry,
         listed=listed,
         on_failure=lambda detail: None,
         is_watcher=lambda: False,
-        u=lambda: 0.0,
+        uniform=lambda: 0.0,
     )
     task = asyncio.create_task(announcer.run())
     yield
@@ -121,7 +121,7 @@
         now = asyncio.get_running_loop().time()
         assert followers.count(now) == 30
         for number in range(40):
-            followers.seen(now, f"vm-{number}", bears=0.5)
+            followers.on_read(now, f"vm-{number}", capacity=0.5)
         await asyncio.sleep(0.1)
         assert codec.from_json(store.entry.value, VmEntry).followers == 40
         assert store.calls["write"] == 1
--- a/tests/forwarding/test_watchers.py
+++ b/tests/forwarding/test_watchers.py
@@ -28,8 +28,8 @@
 from berylspindle_store.store import (
     Lease,
     ListResult,
-    StoreAway,
     StoredValue,
+    StoreUnavailable,
     WatchResult,
 )
 from berylspindle_telemetry.metrics import Metrics
@@ -43,12 +43,12 @@
     """Decode the keys `table`, `replicas/ID` and `vms/NAME`."""
 
     prefix = ""
-    parts = ("",)
+    list_prefixes = ("",)
 
-    def is_vm(self, key: str) -> bool:
+    def is_vm_key(self, key: str) -> bool:
         return key.startswith("vms/")
 
-    def read(self, entry: StoredValue) -> Change:
+    def decode(self, entry: StoredValue) -> Change:
         kind, _, name = entry.key.partition("/")
         if kind == "table":
             return TableChange(RoutingTable(entry.revision, (plain_route(),), {}, CallerLimits()))
@@ -112,7 +112,7 @@
         except TimeoutError:
             pass
         if self._shared.oldest != oldest:
-            raise StoreAway("cut")
+            raise StoreUnavailable("cut")
         self._count("answered")
         found = tuple(entry for entry in self._shared.history if entry.revision > after)
         return WatchResult(revision=self._shared.revision, entries=found)
@@ -135,7 +135,7 @@
 
     def _count(self, what: str) -> None:
         if self._vm in self._shared.rejected_vms:
-            raise StoreAway("refused")
+            raise StoreUnavailable("refused")
         self._shared.calls[what] += 1
 
 
@@ -154,7 +154,7 @@
             name = f"vm-{number}"
 
             async def answer(request, name=name):
-                return await forwarders[name].mirror.answer(request)
+                return await forwarders[name].mirror.handle(request)
 
             server = await serve(answer, host="127.0.0.1", port=0)
             stack.push_async_callback(server.close, 0.0)
@@ -174,7 +174,9 @@
                 stack=stack,
             )
         async with asyncio.timeout(20):
-            while not all(f.vms.size_here() >= VMS for f in forwarders.values()):  # noqa: ASYNC110
+            while not all(  # noqa: ASYNC110
+                f.vms.local_vm_count() >= VMS for f in forwarders.values()
+            ):
                 await asyncio.sleep(0.05)
         # Watches that are still pending from the start are answered once more.
         shared.put("table", b"")
@@ -227,7 +229,7 @@
     async with fleet(announced=2) as (shared, forwarders, _):
         entries = [key for key in shared.entries if key.startswith("vms/")]
         assert 2 <= len(entries) < VMS
-        assert all(VMS <= f.vms.alike <= VMS + 2 for f in forwarders.values())
+        assert all(VMS <= f.vms.share_divisor <= VMS + 2 for f in forwarders.values())
         # A change still reaches all VMs through the watchers.
         shared.calls.clear()
         shared.put("table", b"")
@@ -337,19 +339,22 @@
     async with fleet() as (shared, forwarders, _):
         unreachable = MirrorAddress("127.0.0.1", 1, True)
         cut = dict(sorted(forwarders.items()))
-        addresses = {name: (f._choice._watchers, f._choice._mirrors) for name, f in cut.items()}
+        addresses = {
+            name: (f._upstream_selector._watchers, f._upstream_selector._mirrors)
+            for name, f in cut.items()
+        }
         for name, forwarder in cut.items():
             shared.rejected_vms.add(name)
             known = (unreachable,) if addresses[name][0]() else ()
-            forwarder._choice._watchers = lambda known=known: known  # type: ignore[misc]
-            forwarder._choice._mirrors = lambda: (unreachable,)  # type: ignore[misc]
+            forwarder._upstream_selector._watchers = lambda known=known: known  # type: ignore[misc]
+            forwarder._upstream_selector._mirrors = lambda: (unreachable,)  # type: ignore[misc]
         # Pending watches are broken as well.
         shared.drop_history()
         for _ in range(3):
             await asyncio.sleep(3.0)
             shared.put("table", b"")
-        for name, forwarder in cut.items():
-            forwarder._choice._watchers, forwarder._choice._mirrors = addresses[name]  # type: ignore[misc]
+        for name, f in cut.items():
+            f._upstream_selector._watchers, f._upstream_selector._mirrors = addresses[name]  # type: ignore[misc]
         shared.rejected_vms.clear()
         await wait_for_version(forwarders, shared.revision, 2.2)
 
@@ -390,7 +395,7 @@
             now=lambda: clock[0],
             rng=random.Random(seed),
             watchers=lambda: (one, two),
-            vms_here=lambda: 33,
+            local_vm_count=lambda: 33,
         )
         while clock[0] < 12.0:
             upstream = selector.pick()
--- a/tests/history/test_checkers.py
+++ b/tests/history/test_checkers.py
@@ -110,7 +110,7 @@
     # The first excess call after an unannounced cold start is no violation; it crashes the server.
     log.add(102.0, CallStep.TURNED_COLD, cold=True)
     log.add(102.1, CallStep.OVERRUN, text="gone", in_flight=2, cold=True)
-    log.add(102.1, CallStep.FELL, cold=True)
+    log.add(102.1, CallStep.CRASHED, cold=True)
     log.run(103.0, "after", cold=True)
     log.add(104.0, CallStep.DRAIN, "lots-1-0")
     log.add(104.5, CallStep.REFUSED, "lots-1-0", text="late", detail="draining")
@@ -345,7 +345,7 @@
         if noise is Noise.CRASH:
             log.add(start, CallStep.TURNED_COLD, server, cold=True)
             log.add(start, CallStep.OVERRUN, server, in_flight=4, cold=True)
-            log.add(start, CallStep.FELL, server, cold=True)
+            log.add(start, CallStep.CRASHED, server, cold=True)
         elif noise is Noise.REFUSED:
             tries.append(refused(100 + number, text, start))
         elif noise is Noise.EXECUTE:
--- a/tests/model/test_codec.py
+++ b/tests/model/test_codec.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_messages_round_trip_through_both_codecs(message: object) -> None:
-    assert codec.from_pack(codec.to_pack(message), type(message)) == message
+    assert codec.from_msgpack(codec.to_msgpack(message), type(message)) == message
     assert codec.from_json(codec.to_json(message), type(message)) == message
 
 
--- a/tests/model/test_checked.py
+++ b/tests/model/test_configuration_codec.py
@@ -8,14 +8,14 @@
 import attrs
 import pytest
 
-from berylspindle_model.checked import (
-    ConfigurationFaults,
+from berylspindle_model.configuration import Configuration, DataCentre, Server, Service
+from berylspindle_model.configuration_codec import (
+    InvalidConfigurationError,
     canonical,
     from_stored,
     parse_configuration,
     to_stored,
 )
-from berylspindle_model.configuration import Configuration, DataCentre, Server, Service
 
 CONFIGURATION = Configuration(
     revision=3,
@@ -43,7 +43,7 @@
 
 
 def faults(document: Any) -> dict[str, str]:
-    with pytest.raises(ConfigurationFaults) as raised:
+    with pytest.raises(InvalidConfigurationError) as raised:
         parse_configuration(json.dumps(document).encode())
     return {fault.path: fault.text for fault in raised.value.faults}
 
@@ -60,7 +60,7 @@
     assert canonical(from_stored(to_stored(CONFIGURATION))) == canonical(CONFIGURATION)
     assert canonical(from_stored(canonical(CONFIGURATION))) == canonical(CONFIGURATION)
     for invalid in (b"", b"\x00", to_stored(CONFIGURATION)[:-9]):
-        with pytest.raises(ConfigurationFaults):
+        with pytest.raises(InvalidConfigurationError):
             from_stored(invalid)
 
 
@@ -116,5 +116,5 @@
 
 @pytest.mark.parametrize("text", [b"", b"[]", b"{", b"[" * 100_000, b"null", b'{"revision": 1}'])
 def test_invalid_documents_are_rejected(text: bytes) -> None:
-    with pytest.raises(ConfigurationFaults):
+    with pytest.raises(InvalidConfigurationError):
         parse_configuration(text)
--- a/tests/platform_adapter/test_entries.py
+++ b/tests/platform_adapter/test_entries.py
@@ -11,10 +11,10 @@
 from berylspindle_adapter.node_file import SettingsError, callers_address, read_fields
 from berylspindle_adapter.node_settings import NodeSettings, parse_settings
 from berylspindle_forwarding.catalogue import (
-    OutChange,
+    DataCentreExclusionChange,
     ReplicaChange,
     TableChange,
-    Unreadable,
+    UnreadableEntry,
     VmChange,
     VmEntry,
 )
@@ -76,7 +76,7 @@
     data = None if value is None else value if isinstance(value, bytes) else json.dumps(value)
     if isinstance(data, str):
         data = data.encode()
-    return PlatformReader().read(StoredValue(key=key, value=data, revision=9))
+    return PlatformReader().decode(StoredValue(key=key, value=data, revision=9))
 
 
 def test_configuration_entry_yields_a_routing_table():
@@ -87,7 +87,7 @@
     merged, split = table.find("lots.example", "/lots/x"), table.find("lots.example", "/lots/old/x")
     assert merged is not None
     assert merged.shard_set is not None
-    assert (merged.repeatable, merged.shard_set.top, merged.shard_set.least) == (True, 20, 2)
+    assert (merged.repeatable, merged.shard_set.top, merged.shard_set.min_shards) == (True, 20, 2)
     assert split is not None
     assert split.targets[1] == WeightedService(service="b", weight=1)
     assert (split.repeatable, split.max_replicas) == (False, 1)
@@ -136,20 +136,20 @@
 def test_malformed_announcement_is_unreadable(value: object):
     """Guard against a malformed entry that stops a VM from processing later entries."""
     change = read_change("servers/i-1", value)
-    assert isinstance(change, Unreadable)
+    assert isinstance(change, UnreadableEntry)
     assert change.key == "servers/i-1"
     assert change.reason
 
 
 def test_evacuation_vm_and_unknown_entries():
-    assert read_change("op/evacuate/north", {}) == OutChange("north", True)
-    assert read_change("op/evacuate/north", None) == OutChange("north", False)
+    assert read_change("op/evacuate/north", {}) == DataCentreExclusionChange("north", True)
+    assert read_change("op/evacuate/north", None) == DataCentreExclusionChange("north", False)
     entry = VmEntry(host="10.0.0.1", port=7740, data_centre="north")
     document = {"host": "10.0.0.1", "port": 7740, "data_centre": "north"}
     assert read_change("berylspindle/vms/vm-1", document) == VmChange("vm-1", entry)
-    assert isinstance(read_change("berylspindle/vms/vm-1", b"10.0.0.1"), Unreadable)
+    assert isinstance(read_change("berylspindle/vms/vm-1", b"10.0.0.1"), UnreadableEntry)
     assert read_change("somebody/else", {}) is None
-    assert isinstance(read_change("op/config", {"version": "7"}), Unreadable)
+    assert isinstance(read_change("op/config", {"version": "7"}), UnreadableEntry)
 
 
 SETTINGS = """
