--- a/tests/platform_adapter/test_explain.py
+++ b/tests/platform_adapter/test_explain.py
@@ -13,7 +13,7 @@
 from berylspindle_cli.log_lines import Explanation, LogLine, explain_request, read_lines
 from berylspindle_decisions.log_rate_limiter import RATES
 from berylspindle_model.causes import Cause
-from berylspindle_standins.forward_replica import Spoil
+from berylspindle_standins.forward_replica import ReplyFault
 from berylspindle_wire.http_client import HttpFailure
 
 REQUESTS = 1000
@@ -41,12 +41,12 @@
     """Inject a fault into both replicas of the service with non-idempotent requests."""
     for number in range(2):
         behaviour = platform.replicas[f"i-booking-{number}"].behaviour
-        behaviour.spoil, behaviour.spoiled = fault.spoil, FAULTY_REQUESTS * (
-            fault.spoil is not None
+        behaviour.reply_fault, behaviour.faulty_replies = fault.reply_fault, FAULTY_REQUESTS * (
+            fault.reply_fault is not None
         )
-        behaviour.fail = FAULTY_REQUESTS * (fault.name == "fail")
-        behaviour.refuse = -1 if fault.name == "refuse" else 0
-        behaviour.work = fault.work
+        behaviour.failed_requests = FAULTY_REQUESTS * (fault.name == "fail")
+        behaviour.refused_requests = -1 if fault.name == "refuse" else 0
+        behaviour.service_time_s = fault.work
 
 
 @attrs.frozen
@@ -55,15 +55,15 @@
 
     name: str
     causes: set[Cause]
-    spoil: Spoil | None = None
+    reply_fault: ReplyFault | None = None
     work: float = 0.0
 
 
 FAULTY_REQUESTS = 15
 FAULTS = (
-    Fault("lost", {Cause.ANSWER_LOST}, spoil=Spoil.LOST),
+    Fault("lost", {Cause.ANSWER_LOST}, reply_fault=ReplyFault.CONNECTION_RESET),
     Fault("fail", {Cause.REPLICA_FAILED}),
-    Fault("foreign", {Cause.BAD_REPLY}, spoil=Spoil.FOREIGN),
+    Fault("foreign", {Cause.BAD_REPLY}, reply_fault=ReplyFault.WRONG_REQUEST_ID),
     Fault("refuse", {Cause.REPLICAS_REFUSED, Cause.RETRY_BUDGET_SPENT}),
     Fault("slow", {Cause.REPLICAS_SILENT, Cause.LITTLE_TIME}, work=0.15),
 )
@@ -165,7 +165,7 @@
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         for replica in platform.replicas.values():
-            replica.behaviour.refuse = -1
+            replica.behaviour.refused_requests = -1
         started_at = time.monotonic()
         semaphore = asyncio.Semaphore(20)
 
--- a/tests/platform_adapter/test_platform_store.py
+++ b/tests/platform_adapter/test_platform_store.py
@@ -12,10 +12,10 @@
 from berylspindle_adapter.platform_store import PlatformStore
 from berylspindle_store.connections import StoreOptions
 from berylspindle_store.store import (
-    StoreAway,
     StoreConflict,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 
 OPTIONS = StoreOptions(read_timeout=0.3, write_timeout=0.3, watch_slack=0.3, connect_timeout=0.3)
@@ -99,15 +99,20 @@
 
 @pytest.mark.parametrize(
     ("outage", "write_error"),
-    [("503", StoreAway), ("429", StoreAway), ("reset", StoreUnsure), ("silent", StoreUnsure)],
+    [
+        ("503", StoreUnavailable),
+        ("429", StoreUnavailable),
+        ("reset", StoreOutcomeUnknown),
+        ("silent", StoreOutcomeUnknown),
+    ],
 )
 async def test_outage_maps_to_store_errors(outage: str, write_error: type[Exception]):
     """Guard against a claim treated as not made when the store applied it without a response."""
     async with open_store() as (kv, store):
         kv.outage = outage
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await store.get("a")
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await store.watch("a", after=kv.rev, wait=0.1)
         with pytest.raises(write_error):
             await store.compare_and_swap("a", b"1", expect=0)
@@ -116,7 +121,7 @@
 async def test_delayed_write_is_reported_as_unsure_and_then_conflicts():
     async with open_store() as (kv, store):
         kv.unanswered_writes, kv.write_delay_s = 1, 0.05
-        with pytest.raises(StoreUnsure):
+        with pytest.raises(StoreOutcomeUnknown):
             await store.compare_and_swap("a", b"mine", expect=0)
         await asyncio.sleep(0.1)
         with pytest.raises(StoreConflict) as raised:
@@ -133,7 +138,7 @@
         assert (await store.keep_alive(lease.id)).ttl == 5.0
         await store.revoke(lease.id)
         assert kv.items == {}
-        with pytest.raises(StoreLeaseGone):
+        with pytest.raises(StoreLeaseNotFound):
             await store.keep_alive(lease.id)
-        with pytest.raises(StoreLeaseGone):
+        with pytest.raises(StoreLeaseNotFound):
             await store.compare_and_swap("a", b"1", expect=0, lease=lease.id)
--- a/tests/platform_adapter/test_rollout.py
+++ b/tests/platform_adapter/test_rollout.py
@@ -52,7 +52,7 @@
     """Order a rollout to v2; return the replicas of v1 and those of v2."""
     old = [r for r in platform.replicas.values() if r.service == SERVICE]
     for replica in old:
-        replica.behaviour.work = WORK_S
+        replica.behaviour.service_time_s = WORK_S
         platform.announce(replica, version="v1")
     platform.kv.put(
         f"op/rollout/{SERVICE}",
@@ -62,8 +62,8 @@
     for number in range(2):
         replica = await start_replica(f"i-new-{number}", SERVICE, dialect=DIALECT)
         platform.stack.push_async_callback(replica.close)
-        replica.behaviour.work = WORK_S
-        replica.behaviour.fail = 10**6 if fails else 0
+        replica.behaviour.service_time_s = WORK_S
+        replica.behaviour.failed_requests = 10**6 if fails else 0
         platform.announce(replica, version="v2")
         new.append(replica)
     return old, new
--- a/tests/platform_adapter/test_whole_path.py
+++ b/tests/platform_adapter/test_whole_path.py
@@ -16,7 +16,7 @@
 from kv_standin import KvStandin, open_kv
 
 from berylspindle_adapter.wire_names import DIALECT
-from berylspindle_decisions.record_merge import greatest
+from berylspindle_decisions.record_merge import top_records
 from berylspindle_standins.forward_replica import (
     ForwardReplica,
     answer_body,
@@ -177,7 +177,7 @@
         response = await platform.request("/lots/1")
         bodies = {shard: answer_body(shard, "/lots/1") for shard in SHARDS}
         assert response.status == 200
-        assert response.body == greatest(bodies.values(), 5)
+        assert response.body == top_records(bodies.values(), 5)
         assert set(response.headers["part-stamps"].split(", ")) == {
             signature_of(shard, "id-1", body) for shard, body in bodies.items()
         }
@@ -277,7 +277,7 @@
             while not any("/vms/" in key for key in platform.kv.items):  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
         for replica in platform.replicas.values():
-            replica.behaviour.work = 30.0
+            replica.behaviour.service_time_s = 30.0
         platform.kv.outage = "silent"
         platform.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(GRACE_S):
@@ -294,7 +294,7 @@
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         for replica in platform.replicas.values():
-            replica.behaviour.work = 0.05
+            replica.behaviour.service_time_s = 0.05
         responses: list[HttpResponse] = []
         failures: list[HttpFailure] = []
 
--- a/tests/standins/test_call_log.py
+++ b/tests/standins/test_call_log.py
@@ -37,7 +37,7 @@
         (CallStep.ADMITTED, "a", True),
         (CallStep.STARTED, "a", True),
         (CallStep.OVERRUN, "b", True),
-        (CallStep.FELL, "", True),
+        (CallStep.CRASHED, "", True),
         (CallStep.FINISHED, "a", True),
     ]
 
--- a/tests/standins/test_platform_standin.py
+++ b/tests/standins/test_platform_standin.py
@@ -14,7 +14,7 @@
 from berylspindle_standins.store_state import StoreState
 from berylspindle_store.connections import StoreOptions
 from berylspindle_store.http_store import HttpStore, open_store
-from berylspindle_store.store import StoreAway, StoreUnsure
+from berylspindle_store.store import StoreOutcomeUnknown, StoreUnavailable
 from berylspindle_wire.client import HttpClient
 
 OPTIONS = StoreOptions(read_timeout=0.2, write_timeout=0.2)
@@ -41,10 +41,10 @@
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, delay_ms=HELD_MS)
-    with pytest.raises(StoreUnsure):
+    with pytest.raises(StoreOutcomeUnknown):
         await store.compare_and_swap("delayed", b"1", expect=0)
     set_faults(platform, delay_ms=0, late_reply_ms=HELD_MS)
-    with pytest.raises(StoreUnsure):
+    with pytest.raises(StoreOutcomeUnknown):
         await store.compare_and_swap("late", b"1", expect=0)
     assert [entry.key for entry in (await store.list("")).entries] == ["late"]
 
@@ -63,7 +63,7 @@
 async def _is_lost(store: HttpStore, key: str) -> bool:
     try:
         await store.compare_and_swap(key, b"1", expect=0)
-    except StoreUnsure:
+    except StoreOutcomeUnknown:
         return True
     return False
 
@@ -98,9 +98,9 @@
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, writes_per_second=0, reads_per_second=0)
-    with pytest.raises(StoreAway):
+    with pytest.raises(StoreUnavailable):
         await store.compare_and_swap("k", b"1", expect=0)
-    with pytest.raises(StoreAway):
+    with pytest.raises(StoreUnavailable):
         await store.get("k")
     set_faults(platform, writes_per_second=None, reads_per_second=None)
     assert await store.get("k") is None
@@ -118,7 +118,7 @@
                 await asyncio.sleep(0.001)
         outage = await admin.put("/faults", body=b'{"set": {"outage": "reset"}}')
         assert outage.status == 200
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await watching
         counts = codec.from_json((await admin.get("/counts")).body, dict[str, Any])
         assert counts["calls"] == {"put": 1, "watch": 1}
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -17,13 +17,13 @@
     ClaimUnavailable,
     DispatchOutcome,
     KeyReused,
-    SettleState,
+    OutcomeWriteState,
     claim_path,
 )
 from berylspindle_store.claims import ClaimOptions, Claims
 from berylspindle_store.connections import StoreOptions
 from berylspindle_store.http_store import HttpStore, open_store
-from berylspindle_store.store import StoreAway
+from berylspindle_store.store import StoreUnavailable
 
 OPTIONS = StoreOptions(read_timeout=0.3, write_timeout=0.3)
 DONE = DispatchOutcome(server="s1", run=RunState.RAN, result={"confirmed": "k"})
@@ -66,7 +66,7 @@
     for number in range(20):
         outcome = await claims.claim("lots", f"k{number}", "f", "a")
         assert isinstance(outcome, Claimed)
-        assert await claims.settle(outcome.claim, DONE) is SettleState.STORED
+        assert await claims.store_outcome(outcome.claim, DONE) is OutcomeWriteState.STORED
     assert platform.counts.calls == {"grant": 1, "put": 40}
     again = await claims.claim("lots", "k0", "f", "a2")
     assert isinstance(again, AlreadyClaimed)
@@ -92,7 +92,7 @@
     assert isinstance(found, AlreadyClaimed)
     assert found.record.state is ClaimState.CLAIMED
     assert found.record.vm == "vm1"
-    await first.settle(outcome.claim, DONE)
+    await first.store_outcome(outcome.claim, DONE)
     record = await second.find("lots", "k")
     assert record is not None
     assert record.outcome == DONE
@@ -119,7 +119,7 @@
     outcome = await claims.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
     set_faults(platform, lost_replies=1)
-    assert await claims.settle(outcome.claim, DONE) is SettleState.STORED
+    assert await claims.store_outcome(outcome.claim, DONE) is OutcomeWriteState.STORED
     assert platform.counts.lost == 2
 
 
@@ -135,7 +135,7 @@
     assert isinstance(await first.claim("lots", "warm-up", "f", "a0"), Claimed)
     assert isinstance(await second.claim("lots", "warm-up", "f", "a0"), AlreadyClaimed)
     set_faults(platform, lost_replies=-1)
-    assert await first.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_stand=True)
+    assert await first.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_exist=True)
     set_faults(platform, lost_replies=0)
     assert isinstance(await second.claim("lots", "k", "f", "a2"), AlreadyClaimed)
     taken = await asyncio.gather(*(first.claim("lots", "k", "f", f"a{n}") for n in (3, 4)))
@@ -167,8 +167,8 @@
     outcome = await first.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
     set_faults(platform, outage="refuse")
-    assert await first.settle(outcome.claim, DONE) is SettleState.PENDING
-    assert await first.claim("lots", "new", "f", "a2") == ClaimUnavailable(may_stand=False)
+    assert await first.store_outcome(outcome.claim, DONE) is OutcomeWriteState.PENDING
+    assert await first.claim("lots", "new", "f", "a2") == ClaimUnavailable(may_exist=False)
     again = await first.claim("lots", "k", "f", "a3")
     assert isinstance(again, AlreadyClaimed)
     assert again.record.outcome == DONE
@@ -220,10 +220,10 @@
         assert isinstance(await claims.claim("lots", "warm-up", "f", "a0"), Claimed)
         set_faults(platform, late_reply_ms=600_000)
         async with asyncio.timeout(10):
-            outcome = await claims.claim("lots", "k", "f", "a1", within=0.05)
-            fresh = await other.claim("lots", "k", "f", "a1", within=0.05)
-        assert outcome == ClaimUnavailable(may_stand=True)
-        assert fresh == ClaimUnavailable(may_stand=False)
+            outcome = await claims.claim("lots", "k", "f", "a1", timeout=0.05)
+            fresh = await other.claim("lots", "k", "f", "a1", timeout=0.05)
+        assert outcome == ClaimUnavailable(may_exist=True)
+        assert fresh == ClaimUnavailable(may_exist=False)
         set_faults(platform, late_reply_ms=0)
         assert await claims.retry_pending() == 0
         assert isinstance(await other.claim("lots", "k", "f", "a2"), Claimed)
@@ -232,8 +232,8 @@
 async def test_a_key_with_an_invalid_record_is_never_dispatched(store: HttpStore) -> None:
     await store.compare_and_swap(claim_path("lots", "k"), b"{}", expect=0)
     claims = claims_of(store, "vm1")
-    assert await claims.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_stand=True)
-    with pytest.raises(StoreAway):
+    assert await claims.claim("lots", "k", "f", "a1") == ClaimUnavailable(may_exist=True)
+    with pytest.raises(StoreUnavailable):
         await claims.find("lots", "k")
     await claims.retry_pending()
     assert claims.pending == 0
@@ -254,7 +254,7 @@
     claiming = asyncio.create_task(claims.claim("lots", "k", "f", "a1"))
     await asyncio.sleep(0.02)
     clock.now += 300.0
-    assert await claiming == ClaimUnavailable(may_stand=True)
+    assert await claiming == ClaimUnavailable(may_exist=True)
 
 
 async def test_find_confirms_absence_despite_lagging_reads(
@@ -275,7 +275,7 @@
     outcome = await claims.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
     large = DispatchOutcome(server="s1", run=RunState.RAN, result={"text": "x" * 100_000})
-    assert await claims.settle(outcome.claim, large) is SettleState.STORED
+    assert await claims.store_outcome(outcome.claim, large) is OutcomeWriteState.STORED
     record = await claims.find("lots", "k")
     assert record is not None
     assert record.outcome is not None
--- a/tests/store/test_claims_machine.py
+++ b/tests/store/test_claims_machine.py
@@ -35,11 +35,11 @@
     Lease,
     ListResult,
     Store,
-    StoreAway,
     StoreConflict,
     StoredValue,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
     WatchResult,
 )
 
@@ -70,7 +70,7 @@
             current = error.current
             self.fail(StoreConflict(None if current is None else _stored(current)), answer=answer)
         except UnknownLeaseError:
-            self.fail(StoreLeaseGone("lapsed"), answer=answer)
+            self.fail(StoreLeaseNotFound("lapsed"), answer=answer)
         else:
             if answer and not self.reply.done():
                 self.reply.set_result(result)
@@ -215,14 +215,14 @@
     def lose_reply(self, index: int) -> None:
         call = self.take(index)
         call.carry_out(answer=False)
-        call.fail(StoreUnsure("lost reply"))
+        call.fail(StoreOutcomeUnknown("lost reply"))
         self.step()
 
     @precondition(lambda self: self.store.calls)
     @rule(index=INDEXES)
     def time_out_and_execute_later(self, index: int) -> None:
         call = self.take(index)
-        call.fail(StoreUnsure("timeout"))
+        call.fail(StoreOutcomeUnknown("timeout"))
         self.late_calls.append(call)
         self.step()
 
@@ -234,7 +234,7 @@
     @precondition(lambda self: self.store.calls)
     @rule(index=INDEXES)
     def refuse(self, index: int) -> None:
-        self.take(index).fail(StoreAway("outage"))
+        self.take(index).fail(StoreUnavailable("outage"))
         self.step()
 
     @rule(seconds=st.sampled_from([1.0, 60.0, 130.0]))
@@ -263,10 +263,10 @@
 
     @precondition(lambda self: self.ran)
     @rule(index=INDEXES)
-    def settle(self, index: int) -> None:
+    def store_outcome(self, index: int) -> None:
         vm, claim = self.ran.pop(index % len(self.ran))
         outcome = DispatchOutcome(server="s", run=RunState.RAN, result={})
-        self.start(vm, self.vms[vm].settle(claim, outcome))
+        self.start(vm, self.vms[vm].store_outcome(claim, outcome))
 
     @rule(vm=VMS, skip=st.integers(0, 3))
     def lose_vm(self, vm: int, skip: int) -> None:
@@ -303,7 +303,7 @@
     async def _entry_after_write(self, record: Any, expect: int, lease: Any) -> Any:
         try:
             return await super()._entry_after_write(record, expect, lease)
-        except StoreUnsure:
+        except StoreOutcomeUnknown:
             return StoredValue(key="", value=codec.to_json(record), revision=0)
 
 
--- a/tests/store/test_http_store.py
+++ b/tests/store/test_http_store.py
@@ -13,10 +13,10 @@
 from berylspindle_store.http_store import HttpStore, open_store
 from berylspindle_store.routes import VmDocument
 from berylspindle_store.store import (
-    StoreAway,
     StoreConflict,
-    StoreLeaseGone,
-    StoreUnsure,
+    StoreLeaseNotFound,
+    StoreOutcomeUnknown,
+    StoreUnavailable,
 )
 from berylspindle_store.vm_list import VmRole, VmState, open_vm_list
 from berylspindle_wire.http import HttpRequest, HttpResponse
@@ -98,9 +98,9 @@
     bound = await store.compare_and_swap("l/a", b"1", expect=0, lease=lease.id)
     seen = await store.watch("l/", after=bound.revision, wait=5.0)
     assert [(entry.key, entry.value) for entry in seen.entries] == [("l/a", None)]
-    with pytest.raises(StoreLeaseGone):
+    with pytest.raises(StoreLeaseNotFound):
         await store.keep_alive(lease.id)
-    with pytest.raises(StoreLeaseGone):
+    with pytest.raises(StoreLeaseNotFound):
         await store.compare_and_swap("l/b", b"1", expect=0, lease=lease.id)
 
 
@@ -122,7 +122,7 @@
     not done, the caller would repeat it.
     """
     set_faults(platform, lost_replies=1)
-    with pytest.raises(StoreUnsure):
+    with pytest.raises(StoreOutcomeUnknown):
         await store.compare_and_swap("k", b"1", expect=0)
     entry = await store.get("k")
     assert entry is not None
@@ -134,9 +134,9 @@
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="silent")
-    with pytest.raises(StoreUnsure):
+    with pytest.raises(StoreOutcomeUnknown):
         await store.compare_and_swap("k", b"1", expect=0)
-    with pytest.raises(StoreAway):
+    with pytest.raises(StoreUnavailable):
         await store.get("k")
 
 
@@ -144,9 +144,9 @@
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="refuse")
-    with pytest.raises(StoreAway):
+    with pytest.raises(StoreUnavailable):
         await store.compare_and_swap("k", b"1", expect=0)
-    with pytest.raises(StoreAway):
+    with pytest.raises(StoreUnavailable):
         await store.get("k")
     set_faults(platform, outage="none")
     assert await store.get("k") is None
@@ -156,7 +156,7 @@
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="reset")
-    with pytest.raises((StoreAway, StoreUnsure)):
+    with pytest.raises((StoreUnavailable, StoreOutcomeUnknown)):
         await store.compare_and_swap("k", b"1", expect=0)
     set_faults(platform, outage="none")
     assert await store.get("k") is None
@@ -166,7 +166,7 @@
     async with await start_platform() as standin:
         port = standin.port
     async with open_store("127.0.0.1", port, OPTIONS) as store:
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await store.compare_and_swap("k", b"1", expect=0)
 
 
@@ -178,7 +178,7 @@
 
     server = await serve(balancer, host="127.0.0.1", port=0)
     async with server, open_store("127.0.0.1", server.port, OPTIONS) as store:
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await store.get("k")
 
 
@@ -223,5 +223,5 @@
         set_faults(platform, vm_list_lag_ms=30_000)
         assert await vms.fetch() == ()
         set_faults(platform, outage="refuse")
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailable):
             await vms.fetch()
--- a/tests/telemetry/test_clock.py
+++ b/tests/telemetry/test_clock.py
@@ -100,8 +100,8 @@
         return request.upper()
 
     cause = ahead.tick()
-    answer = sender.open(await receiver.sealing(method)(sender.seal(b"pull")))
+    answer = sender.strip_stamp(await receiver.wrap_method(method)(sender.add_stamp(b"pull")))
     assert answer == b"PULL"
     assert cause < recorded[0] < ahead.tick()
     with pytest.raises(ValueError, match="no stamp"):
-        receiver.open(b"short")
+        receiver.strip_stamp(b"short")
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -12,7 +12,7 @@
 
 from berylspindle_telemetry.clock import HybridClock
 from berylspindle_telemetry.line_writer import LineWriter
-from berylspindle_telemetry.logs import logger, logs_to
+from berylspindle_telemetry.logs import log_context, logger
 from berylspindle_telemetry.metrics import Metrics
 
 
@@ -48,7 +48,9 @@
     read_end, write_end = pipe
     metrics = Metrics()
     writer = LineWriter(write_end, capacity=100_000)
-    with logs_to(form="json", vm="vm1", metrics=metrics, writer=writer, clock=HybridClock()):
+    with log_context(
+        log_format="json", vm="vm1", metrics=metrics, writer=writer, clock=HybridClock()
+    ):
         log = logger("request")
         started = time.monotonic()
         for number in range(1000):
@@ -84,7 +86,7 @@
     read_end, write_end = pipe
     writer = LineWriter(write_end)
     os.close(read_end)
-    with logs_to(form="json", writer=writer):
+    with log_context(log_format="json", writer=writer):
         logger("request").info("one")
         await asyncio.sleep(0.15)
         assert not writer.put("two")
@@ -92,7 +94,9 @@
 
 def test_backlog_is_written_on_exit_and_stamps_increase(pipe: tuple[int, int]) -> None:
     read_end, write_end = pipe
-    with logs_to(form="json", vm="vm1", writer=LineWriter(write_end), clock=HybridClock()):
+    with log_context(
+        log_format="json", vm="vm1", writer=LineWriter(write_end), clock=HybridClock()
+    ):
         for number in range(20):
             logger("daemon").info(f"line {number}")
     lines = [json.loads(line) for line in read_all(read_end).splitlines()]
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -77,7 +77,7 @@
 def test_removed_series_is_not_rendered() -> None:
     metrics = Metrics(lambda: 0.0)
     metrics.gauge(names.SERVER_CAP, 3, server="s1")
-    metrics.forget(names.SERVER_CAP, server="s1")
+    metrics.remove(names.SERVER_CAP, server="s1")
     assert b"server_cap" not in metrics.render()
 
 
--- a/tests/telemetry/test_process.py
+++ b/tests/telemetry/test_process.py
@@ -6,13 +6,13 @@
 
 from berylspindle_telemetry import metric_names as names
 from berylspindle_telemetry.metrics import Metrics
-from berylspindle_telemetry.process import watch_loop, watch_process
+from berylspindle_telemetry.process import measure_loop_lag, register_process_metrics
 
 
 async def test_processor_time_memory_and_loop_lag_are_recorded() -> None:
     metrics = Metrics()
-    watch_process(metrics)
-    task = asyncio.create_task(watch_loop(metrics, interval_s=0.0))
+    register_process_metrics(metrics)
+    task = asyncio.create_task(measure_loop_lag(metrics, interval_s=0.0))
     for _ in range(100):
         await asyncio.sleep(0)
     task.cancel()
--- a/tests/telemetry/test_timeline.py
+++ b/tests/telemetry/test_timeline.py
@@ -9,7 +9,7 @@
 
 from berylspindle_telemetry import metric_names as names
 from berylspindle_telemetry.clock import HybridClock
-from berylspindle_telemetry.logs import logger, logs_to
+from berylspindle_telemetry.logs import log_context, logger
 from berylspindle_telemetry.metrics import Metrics
 from berylspindle_telemetry.secret import Secret
 from berylspindle_telemetry.timeline import EventFilter, EventKind, Timeline
@@ -45,7 +45,7 @@
 
 def test_event_is_logged_as_one_text_line() -> None:
     stream = io.StringIO()
-    with logs_to(stream=stream, vm="vm1"):
+    with log_context(stream=stream, vm="vm1"):
         Timeline("vm1").record(EventKind.EJECTED, server="s1", detail="too slow")
     (line,) = stream.getvalue().splitlines()
     assert "WARNING" in line
@@ -57,7 +57,7 @@
     stream = io.StringIO()
     metrics = Metrics(lambda: 0.0)
     secret = Secret("s3cr3t-token")
-    with logs_to(form="json", vm="vm1", stream=stream, secrets=[secret], metrics=metrics):
+    with log_context(log_format="json", vm="vm1", stream=stream, secrets=[secret], metrics=metrics):
         log = logger("wire")
         try:
             raise ValueError("authorization: Bearer s3cr3t-token")
--- a/tests/wire/test_peer_links.py
+++ b/tests/wire/test_peer_links.py
@@ -142,7 +142,7 @@
         assert peers.replies.outcomes["a"] == (ErrorKind.INTERNAL, RunState.MAY_HAVE_RUN)
 
 
-async def test_cancelled_attempts_get_no_reply_and_the_owner_is_told(until, pair):
+async def test_cancelled_attempts_get_no_reply_and_the_owner_is_notified(until, pair):
     async with pair() as peers:
         peers.submit("a:slow", "b:slow")
         peers.submit("c")
--- a/tests/wire/test_silent_paths.py
+++ b/tests/wire/test_silent_paths.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from berylspindle_wire.exchange import open_exchanges
+from berylspindle_wire.exchange import open_exchange_connection
 from berylspindle_wire.http_client import connect
 
 
@@ -19,8 +19,8 @@
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     client = await connect("127.0.0.1", port, timeout=5)
-    exchange = await open_exchanges(
-        "127.0.0.1", port, timeout=5, most_bytes=100, on_free=lambda connection: None
+    exchange = await open_exchange_connection(
+        "127.0.0.1", port, timeout=5, max_reply_bytes=100, on_free=lambda connection: None
     )
     for connection in (client, exchange):
         watched = connection._transport.get_extra_info("socket")
