--- a/libs/bench/berylspindle_bench/crash_trials.py
+++ b/libs/bench/berylspindle_bench/crash_trials.py
@@ -21,7 +21,7 @@
 
 from berylspindle_bench.event_clock import EventClock
 from berylspindle_decisions.quarantine import (
-    FirstSeen,
+    FirstSeenPolicy,
     Quarantine,
     QuarantineOptions,
     RunMode,
@@ -44,7 +44,7 @@
     """A protection against bad requests; `first_seen` None means no quarantine."""
 
     name: str
-    first_seen: FirstSeen | None = None
+    first_seen: FirstSeenPolicy | None = None
     retries: bool = False
     gossip_s: float = 0.1
     owners: bool = False
@@ -53,17 +53,17 @@
 PROTECTIONS: Final = (
     Protection(name="retry elsewhere", retries=True),
     Protection(name="no retry"),
-    Protection(name="quarantine", first_seen=FirstSeen.NEVER),
-    Protection(name="+ canary in alert", first_seen=FirstSeen.ALERT),
-    Protection(name="+ canary always", first_seen=FirstSeen.ALWAYS),
-    Protection(name="+ in alert, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0),
-    Protection(name="+ in alert, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9),
-    Protection(name="+ owners too", first_seen=FirstSeen.ALERT, owners=True),
+    Protection(name="quarantine", first_seen=FirstSeenPolicy.NEVER),
+    Protection(name="+ canary in alert", first_seen=FirstSeenPolicy.ALERT),
+    Protection(name="+ canary always", first_seen=FirstSeenPolicy.ALWAYS),
+    Protection(name="+ in alert, gossip 1 s", first_seen=FirstSeenPolicy.ALERT, gossip_s=1.0),
+    Protection(name="+ in alert, no gossip", first_seen=FirstSeenPolicy.ALERT, gossip_s=1e9),
+    Protection(name="+ owners too", first_seen=FirstSeenPolicy.ALERT, owners=True),
     Protection(
-        name="+ owners too, gossip 1 s", first_seen=FirstSeen.ALERT, gossip_s=1.0, owners=True
+        name="+ owners too, gossip 1 s", first_seen=FirstSeenPolicy.ALERT, gossip_s=1.0, owners=True
     ),
     Protection(
-        name="+ owners too, no gossip", first_seen=FirstSeen.ALERT, gossip_s=1e9, owners=True
+        name="+ owners too, no gossip", first_seen=FirstSeenPolicy.ALERT, gossip_s=1e9, owners=True
     ),
 )
 
@@ -116,7 +116,7 @@
         self._clock = EventClock()
         self._rng = random.Random(3)
         self._servers = [[_Server(f"{s}-{r}") for r in range(REPLICAS)] for s in range(SHARDS)]
-        options = QuarantineOptions(first_seen=protection.first_seen or FirstSeen.NEVER)
+        options = QuarantineOptions(first_seen=protection.first_seen or FirstSeenPolicy.NEVER)
         self._quarantines = [Quarantine(options) for _ in range(VMS)]
         # An owner has its own quarantine: crashes of its own servers need no gossip.
         self._owners = [Quarantine(QuarantineOptions()) for _ in range(VMS)]
@@ -175,7 +175,7 @@
         server.restart_at = self._clock.now + RESTART_S
         lost, server.running = server.running, []
         for lost_sub in lost:
-            self._owner(server).on_lost(
+            self._owner(server).on_connection_lost(
                 self._clock.now,
                 lost_sub.search.fingerprint,
                 server.name,
@@ -183,7 +183,9 @@
                 in_flight=len(lost),
             )
         for lost_sub in lost:
-            self._clock.after(ONE_WAY_S, partial(self._on_lost, lost_sub, server, len(lost)))
+            self._clock.after(
+                ONE_WAY_S, partial(self._on_connection_lost, lost_sub, server, len(lost))
+            )
 
     def _finish(self, server: _Server, sub: _SubRequest) -> None:
         if sub not in server.running:
@@ -203,9 +205,9 @@
                 if shard != sub.shard:
                     self._dispatch(_SubRequest(sub.search, shard, is_canary=False))
 
-    def _on_lost(self, sub: _SubRequest, server: _Server, in_flight: int) -> None:
+    def _on_connection_lost(self, sub: _SubRequest, server: _Server, in_flight: int) -> None:
         if self._protection.first_seen is not None:
-            self._quarantines[sub.search.vm].on_lost(
+            self._quarantines[sub.search.vm].on_connection_lost(
                 self._clock.now,
                 sub.search.fingerprint,
                 server.name,
@@ -219,7 +221,7 @@
     def _is_refused(self, server: _Server, sub: _SubRequest) -> bool:
         now, fingerprint = self._clock.now, sub.search.fingerprint
         owner, entry = self._owner(server), self._quarantines[sub.search.vm]
-        if owner.allows(now, fingerprint, canary=sub.is_canary) is None:
+        if owner.check_attempt(now, fingerprint, canary=sub.is_canary) is None:
             return False
         self.innocents += not fingerprint.startswith("bad")
         entry.on_suspected(now, fingerprint)
--- a/libs/bench/berylspindle_bench/experiment.py
+++ b/libs/bench/berylspindle_bench/experiment.py
@@ -5,8 +5,9 @@
   policy            switches in the format of the daemon's setting, such as "hedges=off"; an empty
                     text is the default policy
 
-Flow: `read_day` parses and checks an experiment file, `compare` simulates it under each policy with
-the same seeds, and the command prints a table and a JSON line and draws a plot if requested.
+Flow: `read_experiment` parses and checks an experiment file, `compare_policies` simulates it under
+each policy with the same seeds, and the command prints a table and a JSON line and draws a plot if
+requested.
 
 The spread is half the 95% confidence interval over the seeds, by Student's t-distribution.
 """
@@ -32,14 +33,14 @@
     unserved_share,
 )
 from berylspindle_bench.forward_model import Variant, run_pattern
-from berylspindle_decisions.forward_policy import read_policy
+from berylspindle_decisions.forward_policy import parse_policy
 
 # Two-sided 95% quantiles of Student's distribution for 1 to 9 degrees of freedom.
 _T_QUANTILES: Final = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
 _NORMAL_QUANTILE: Final = 1.96
 
 
-class DayError(Exception):
+class ExperimentFileError(Exception):
     """An experiment file is unreadable or invalid; the message gives the reason in one line."""
 
 
@@ -63,31 +64,31 @@
     unserved: float
 
 
-def read_day(path: Path) -> Pattern:
-    """Return the pattern of an experiment file. Raise DayError if it is invalid."""
+def read_experiment(path: Path) -> Pattern:
+    """Return the pattern of an experiment file. Raise ExperimentFileError if it is invalid."""
     try:
         fields = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise DayError(f"{path}: {error}") from error
+        raise ExperimentFileError(f"{path}: {error}") from error
     known = attrs.fields_dict(Pattern)
     if unknown := fields.keys() - known.keys():
-        raise DayError(
+        raise ExperimentFileError(
             f"{path}: unknown fields: {', '.join(sorted(unknown))}; known: {', '.join(known)}"
         )
     try:
         return _parse_pattern(fields)
     except (KeyError, TypeError, ValueError) as error:
-        raise DayError(f"{path}: {error}") from error
+        raise ExperimentFileError(f"{path}: {error}") from error
 
 
-def compare(
+def compare_policies(
     pattern: Pattern, policies: Sequence[str], seeds: Sequence[int]
 ) -> tuple[PolicyResult, ...]:
     """Simulate a pattern under each policy with the same seeds.
 
     Raise ValueError for an unknown switch.
     """
-    variants = [Variant(name=text, policy=read_policy(text)) for text in policies]
+    variants = [Variant(name=text, policy=parse_policy(text)) for text in policies]
     return tuple(
         _summarize(variant.name, pattern, [run_pattern(pattern, variant, seed) for seed in seeds])
         for variant in variants
--- a/libs/bench/berylspindle_bench/fanout_model.py
+++ b/libs/bench/berylspindle_bench/fanout_model.py
@@ -20,7 +20,7 @@
 from berylspindle_bench.event_clock import EventClock
 from berylspindle_decisions.admission import Admission
 from berylspindle_decisions.budget import RequestRetries, RetryBudget, RetryClass, RetryPolicy
-from berylspindle_decisions.concurrency import FailureKind, ServerLimiter, Trust
+from berylspindle_decisions.concurrency import FailureKind, ServerLimiter, WarmUpState
 from berylspindle_decisions.ejection import Ejector
 from berylspindle_decisions.fair_queue import FairQueue, Pushed
 from berylspindle_decisions.hedging import HedgeOptions, HedgePolicy, HedgeVerdict
@@ -92,7 +92,7 @@
     ended: float = 0.0
     admitted: bool = True
     queued_ms: float = 0.0
-    pressed: bool = False
+    overloaded: bool = False
     is_reported: bool = False
     retries: RequestRetries = attrs.field(factory=RequestRetries)
 
@@ -124,15 +124,15 @@
         self._simulation = simulation
         self._queue: FairQueue[_Attempt] = FairQueue()
         self._limiter = ServerLimiter(SLOTS, 1)
-        self._limiter.on_takeover(0.0, Trust(cap=SLOTS, shown_ms=None))
+        self._limiter.on_takeover(0.0, WarmUpState(cap=SLOTS, baseline_ms=None))
 
     def submit(self, attempt: _Attempt) -> None:
         now = self._clock.now
         deadline = attempt.sub_request.search.started + DEADLINE_S
         pushed = self._queue.push(now, attempt, caller=attempt.entry.name, deadline=deadline)
         if isinstance(pushed, Pushed):
-            for victim in pushed.victims:
-                self._refuse(victim)
+            for evicted in pushed.evicted:
+                self._refuse(evicted)
         else:
             self._refuse(attempt)
         self._start_waiting()
@@ -213,8 +213,8 @@
                 return
             self.admission.on_start("c")
             self._clock.after(DEADLINE_S, lambda: self._report_done(search))
-        self.hedges.on_first(SHARDS)
-        self.retry_budget.on_first(SHARDS)
+        self.hedges.on_first_attempt(SHARDS)
+        self.retry_budget.on_first_attempt(SHARDS)
         owners: set[str] = set()
         for shard, servers in self._simulation.shards.items():
             sub_request = _SubRequest(search, shard)
@@ -266,14 +266,16 @@
 
     def on_refused(self, attempt: _Attempt) -> None:
         self._outstanding[attempt.server.name] -= 1
-        attempt.sub_request.search.pressed = True
+        attempt.sub_request.search.overloaded = True
 
     def _report_done(self, search: Search) -> None:
         if search.is_reported or not self._simulation.variant.admits_by_load:
             return
         search.is_reported = True
-        pressed = search.pressed or search.shards_left > 0
-        self.admission.on_done(self._clock.now, "c", queued_ms=search.queued_ms, pressed=pressed)
+        overloaded = search.overloaded or search.shards_left > 0
+        self.admission.on_done(
+            self._clock.now, "c", queued_ms=search.queued_ms, overloaded=overloaded
+        )
 
     def _cancel(self, attempt: _Attempt) -> None:
         now = self._clock.now
@@ -291,7 +293,7 @@
         views = [self._view(server) for server in servers]
         if self._simulation.variant.ranks_replicas:
             grouped = owners if self._simulation.variant.groups_by_owner else ()
-            return choose(views, now=self._clock.now, u=uniform, owners=grouped)
+            return choose(views, now=self._clock.now, uniform=uniform, owners=grouped)
         first = int(uniform * len(views))
         return tuple(views[first:] + views[:first])
 
--- a/libs/bench/berylspindle_bench/forward_model.py
+++ b/libs/bench/berylspindle_bench/forward_model.py
@@ -24,20 +24,13 @@
 from berylspindle_decisions.admission_controller import (
     AdmissionController,
     AdmissionRequest,
-    added_ms_of,
-    pressure_of,
-    return_after_ms,
-)
-from berylspindle_decisions.answer_time import (
-    MARGIN_MS,
-    HedgeTimes,
-    PartsVerdict,
-    hedge_times,
-    parts_verdict,
+    min_queueing_delay_ms,
+    queueing_pressure,
+    retry_after_ms,
 )
 from berylspindle_decisions.forward_policy import ForwardPolicy
 from berylspindle_decisions.hedged_request import (
-    AttemptEnd,
+    AttemptOutcome,
     AttemptPolicy,
     AttemptRecord,
     GiveUp,
@@ -46,7 +39,14 @@
     SendTo,
 )
 from berylspindle_decisions.latency_profile import LatencyProfile
-from berylspindle_decisions.replica_health import STALLED, ReplicaHealth
+from berylspindle_decisions.replica_health import STALLED_COST, ReplicaHealth
+from berylspindle_decisions.response_timing import (
+    RESPONSE_MARGIN_MS,
+    HedgeTiming,
+    PartialResultVerdict,
+    decide_partial_result,
+    hedge_timing,
+)
 from berylspindle_decisions.shared_retry_budget import SharedBudgetOptions, SharedRetryBudget
 
 SHARDS: Final = 10
@@ -77,7 +77,7 @@
     request_run: _RequestRun
     index: int
     record: AttemptRecord
-    explained: float
+    queueing_factor: float
     work_ms: float
 
 
@@ -156,13 +156,13 @@
         self._kind: Final = request.kind
         now = simulation.clock.now
         self._deadline: Final = request.arrived_at + request.kind.deadline_ms / 1000
-        self._target_at: Final = now + (request.kind.target_ms - MARGIN_MS) / 1000
+        self._target_at: Final = now + (request.kind.target_ms - RESPONSE_MARGIN_MS) / 1000
         self._hedged_requests: Final = [
             HedgedRequest(
                 str(shard),
                 repeatable=True,
-                most_runs=2,
-                wait_until=now + NO_REPLICA_WAIT_S,
+                max_runs=2,
+                no_replica_deadline=now + NO_REPLICA_WAIT_S,
                 deadline=self._deadline,
             )
             for shard in range(SHARDS)
@@ -183,7 +183,7 @@
         self._simulation.clock.at(self._target_at, self._update_verdict)
         self._simulation.clock.at(self._deadline, self._update_verdict)
 
-    def pick(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
+    def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         """Return the replica with the lowest cost, or None if no replica is suitable."""
         now, best, best_cost = self._simulation.clock.now, None, math.inf
         policy = self._simulation.variant.policy
@@ -195,72 +195,74 @@
                 continue
             if hedge and policy.hedge_idle_only and not health.has_free_slot(now):
                 continue
-            cost = health.cost(now, u=self._simulation.rng.random())
+            cost = health.cost(now, uniform=self._simulation.rng.random())
             if cost < best_cost:
                 best, best_cost = name, cost
-        return None if hedge and best_cost >= STALLED else best
+        return None if hedge and best_cost >= STALLED_COST else best
 
-    def may_take_extra(self, service: str, *, hedge: bool) -> bool:
+    def acquire_extra(self, service: str, *, hedge: bool) -> bool:
         """Acquire an extra attempt from the retry budget of the shard."""
         budget, now = self._vm.retry_budgets[int(service)], self._simulation.clock.now
-        if not budget.may_take(now, vms=VMS, hedge=hedge):
+        if not budget.allows(now, vms=VMS, hedge=hedge):
             return False
         budget.take(now)
         return True
 
-    def hedge_after(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         """Return the hedge delay in seconds."""
-        return self._hedge_times().delay_ms / 1000
+        return self._hedge_timing().delay_ms / 1000
 
     def on_answered(self, attempt: _Attempt, running: int, waiting: int) -> None:
         """Handle an answer with the load report of the replica."""
         now, hedged_request = self._simulation.clock.now, self._hedged_requests[attempt.index]
         health = self._vm.healths[attempt.record.replica]
-        health.reported(now, running=running, waiting=waiting, slots=SLOTS)
+        health.on_report(now, running=running, waiting=waiting, slots=SLOTS)
         elapsed_ms = (now - attempt.record.sent_at) * 1000
         profile, unqueued = (
             self._vm.profiles[self._kind.name],
             self._vm.unqueued[self._kind.name],
         )
-        usual_ms = unqueued.quantile(0.5) or self._hedge_times().usual_ms
+        usual_ms = unqueued.quantile(0.5) or self._hedge_timing().usual_ms
         profile.add(elapsed_ms)
-        if attempt.explained <= 1.0 or not unqueued.known:
+        if attempt.queueing_factor <= 1.0 or not unqueued.has_enough_samples:
             unqueued.add(elapsed_ms)
-        health.answered(now, attempt, ratio=elapsed_ms / max(usual_ms * attempt.explained, 0.1))
-        if hedged_request.state is not RequestState.WON:
-            hedged_request.answered(attempt.record)
+        health.on_answer(
+            now, attempt, latency_ratio=elapsed_ms / max(usual_ms * attempt.queueing_factor, 0.1)
+        )
+        if hedged_request.state is not RequestState.ANSWERED:
+            hedged_request.on_answer(attempt.record)
             self._answered_shards.add(attempt.index)
         self._update_verdict()
 
     def on_refused(self, attempt: _Attempt) -> None:
         """Handle the refusal of a replica whose queue is full."""
         now = self._simulation.clock.now
-        self._vm.healths[attempt.record.replica].refused(now, attempt)
+        self._vm.healths[attempt.record.replica].on_refusal(now, attempt)
         hedged_request = self._hedged_requests[attempt.index]
-        hedged_request.ended(now, attempt.record, AttemptEnd.NOT_RUN, refused=True)
+        hedged_request.on_failure(now, attempt.record, AttemptOutcome.NOT_RUN, refused=True)
         if not self._done and hedged_request.state is RequestState.OPEN:
             self._advance(attempt.index)
             self._update_verdict()
 
     def _is_admitted(self, now: float) -> bool:
         unqueued = self._vm.unqueued[self._kind.name]
-        usual_ms = unqueued.quantile(0.5) if unqueued.known else 0.0
-        added = [
-            added_ms_of(map(self._vm.healths.__getitem__, names), now, usual_ms=usual_ms)
+        usual_ms = unqueued.quantile(0.5) if unqueued.has_enough_samples else 0.0
+        delays_ms = [
+            min_queueing_delay_ms(map(self._vm.healths.__getitem__, names), now, usual_ms=usual_ms)
             for names in self._simulation.names
         ]
         request = AdmissionRequest(
             group="shards",
             priority=self._kind.priority,
-            pressure=pressure_of(
-                added, least=self._kind.min_shards, aim_ms=(self._target_at - now) * 1000
+            pressure=queueing_pressure(
+                delays_ms, min_parts=self._kind.min_shards, target_ms=(self._target_at - now) * 1000
             ),
         )
-        if self._vm.admission.admits(now, request, u=self._simulation.rng.random()):
+        if self._vm.admission.admit(now, request, uniform=self._simulation.rng.random()):
             return True
         left_ms = (self._deadline - now) * 1000
-        retry_ms = return_after_ms(
-            added_ms=max(added), left_ms=left_ms, u=self._simulation.rng.random()
+        retry_ms = retry_after_ms(
+            queueing_delay_ms=max(delays_ms), left_ms=left_ms, uniform=self._simulation.rng.random()
         )
         if self._request.attempts < 2:
             self._simulation.clock.after(
@@ -288,13 +290,13 @@
 
     def _send(self, index: int, name: str) -> None:
         now, health = self._simulation.clock.now, self._vm.healths[name]
-        record = self._hedged_requests[index].sent(now, name, self)
+        record = self._hedged_requests[index].on_sent(now, name, self)
         work_ms = self._simulation.rng.lognormvariate(math.log(self._kind.work_ms), WORK_SIGMA)
         work_ms *= self._request.work_factor
-        attempt = _Attempt(self, index, record, health.explained(now), work_ms)
+        attempt = _Attempt(self, index, record, health.queueing_factor(now), work_ms)
         hedge_delay = record.hedge_at - now
-        health.sent(
-            attempt, late_at=record.hedge_at, unexplained_at=now + hedge_delay * attempt.explained
+        health.on_sent(
+            attempt, late_at=record.hedge_at, overdue_at=now + hedge_delay * attempt.queueing_factor
         )
         replica = self._simulation.replicas[name]
         self._simulation.clock.after(ONE_WAY_S, lambda: replica.enqueue(attempt))
@@ -303,23 +305,26 @@
         if self._done:
             return
         now = self._simulation.clock.now
-        verdict = parts_verdict(
-            asked=SHARDS,
-            least=self._kind.min_shards,
+        verdict = decide_partial_result(
+            requested=SHARDS,
+            min_parts=self._kind.min_shards,
             parts=len(self._answered_shards),
             lost=self._lost_parts,
-            aim_passed=now >= self._target_at and self._simulation.variant.policy.partial_at_target,
+            target_passed=now >= self._target_at
+            and self._simulation.variant.policy.partial_at_target,
         )
-        if verdict is PartsVerdict.ANSWER:
-            self._request.answered_at = now + MARGIN_MS / 2000
+        if verdict is PartialResultVerdict.ANSWER:
+            self._request.answered_at = now + RESPONSE_MARGIN_MS / 2000
             self._request.share = len(self._answered_shards) / SHARDS
-        if verdict is not PartsVerdict.WAIT or now >= self._deadline:
+        if verdict is not PartialResultVerdict.WAIT or now >= self._deadline:
             self._done = True
 
-    def _hedge_times(self) -> HedgeTimes:
+    def _hedge_timing(self) -> HedgeTiming:
         left_ms = (self._target_at - self._simulation.clock.now) * 1000
-        return hedge_times(
-            self._vm.profiles[self._kind.name], aim_left_ms=left_ms, aim_ms=self._kind.target_ms
+        return hedge_timing(
+            self._vm.profiles[self._kind.name],
+            target_left_ms=left_ms,
+            target_ms=self._kind.target_ms,
         )
 
 
--- a/libs/bench/berylspindle_bench/main.py
+++ b/libs/bench/berylspindle_bench/main.py
@@ -18,7 +18,12 @@
 from berylspindle_bench import demo as demo_module
 from berylspindle_bench.baseline import BaselinePolicy, run_baseline
 from berylspindle_bench.capacity import measure_capacity, slope_lines, write_capacity
-from berylspindle_bench.experiment import DayError, compare, experiment_table, read_day
+from berylspindle_bench.experiment import (
+    ExperimentFileError,
+    compare_policies,
+    experiment_table,
+    read_experiment,
+)
 from berylspindle_bench.measures import run_measures
 from berylspindle_bench.plots import draw_experiment, draw_measures
 from berylspindle_model import codec
@@ -139,17 +144,17 @@
 def experiment(
     day: Path, *, policy: list[str] | None = None, seeds: int = 5, plot: Path | None = None
 ) -> int:
-    """Compare forwarding policies on a workload from a day file, in a discrete-event simulation.
+    """Compare forwarding policies on an experiment file in a discrete-event simulation.
 
     Args:
-        day: day file, such as deploy/experiments/bursts.toml.
+        day: experiment file, such as deploy/experiments/bursts.toml.
         policy: switches in the format of BERYLSPINDLE_POLICY; repeat it to compare policies.
         seeds: number of seeds to run each policy with.
         plot: output path of a plot of the credit by second.
     """
     try:
-        results = compare(read_day(day), policy or [""], range(1, seeds + 1))
-    except (DayError, ValueError) as error:
+        results = compare_policies(read_experiment(day), policy or [""], range(1, seeds + 1))
+    except (ExperimentFileError, ValueError) as error:
         print(f"invalid experiment: {error}", file=sys.stderr)
         return EXIT_BAD_SETTING
     Console(width=120).print(experiment_table(results))
--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -8,9 +8,10 @@
            answers count after up to `MAX_COUNTING_DELAY_S`
   fault    a failure beside the rollout that begins at `FAULT_START_S`
 
-Flow: `play` sends requests through the production decisions (`rollout_plan`, `version_judge`).
-`python -m berylspindle_bench.rollout_trials` prints a row for each judge, request rate and share of
-bad answers of the old version; with the argument `faults` a row for each fault and version.
+Flow: `simulate_rollout` sends requests through the production decisions (`rollout_plan`,
+`version_analysis`). `python -m berylspindle_bench.rollout_trials` prints a row for each judge,
+request rate and share of bad answers of the old version; with the argument `faults` a row for each
+fault and version.
 """
 
 from __future__ import annotations
@@ -27,21 +28,21 @@
 from berylspindle_decisions.rollout_plan import (
     ExposureBounds,
     Stage,
-    caution,
-    may_try,
+    allows_trial_request,
+    evidence_limits,
     next_stage,
     trial_share,
 )
-from berylspindle_decisions.version_judge import (
-    LEAST_ANSWERS,
-    Caution,
+from berylspindle_decisions.version_analysis import (
+    MIN_ANSWERS,
+    EvidenceLimits,
     Verdict,
-    control_of,
-    judge,
+    analyse,
+    control_counts,
 )
 from berylspindle_model.rollout import AnswerCounts
 
-Judge = Callable[[Mapping[str, AnswerCounts], Caution], Verdict]
+Judge = Callable[[Mapping[str, AnswerCounts], EvidenceLimits], Verdict]
 
 DECISION_INTERVAL_S: Final = 0.4
 STAGE_DELAY_S: Final = 0.7
@@ -61,20 +62,20 @@
 class Fault(enum.StrEnum):
     """A failure beside a rollout.
 
-    KEEPER_KILLED: the VM that runs the rollout is killed, and another one takes over after two
-    seconds. STORE_AWAY: neither stages nor answer counts are stored. POWER_LOSS: all VMs restart
-    with only the stored answer counts. CUT: a quarter of the requests arrive in a partitioned data
-    centre, which new stages do not reach and whose answers do not count. BURST: a higher request
-    rate, with some late answers of both versions. OLD_SLOW, TRIAL_SLOW: one replica of the old
-    version, or the replica on trial, is slow. COLD: the answers of new replicas do not count for
-    three seconds.
+    CONTROLLER_KILLED: the VM that runs the rollout is killed, and another one takes over after two
+    seconds. STORE_UNAVAILABLE: neither stages nor answer counts are stored. POWER_LOSS: all VMs
+    restart with only the stored answer counts. PARTITION: a quarter of the requests arrive in a
+    partitioned data centre, which new stages do not reach and whose answers do not count. BURST: a
+    higher request rate, with some late answers of both versions. OLD_SLOW, TRIAL_SLOW: one replica
+    of the old version, or the replica on trial, is slow. COLD: the answers of new replicas do not
+    count for three seconds.
     """
 
     NONE = "none"
-    KEEPER_KILLED = "keeper killed"
-    STORE_AWAY = "store away"
+    CONTROLLER_KILLED = "keeper killed"
+    STORE_UNAVAILABLE = "store away"
     POWER_LOSS = "power loss"
-    CUT = "cut"
+    PARTITION = "cut"
     BURST = "burst"
     OLD_SLOW = "old replicas slow"
     TRIAL_SLOW = "trial replica slow"
@@ -83,10 +84,10 @@
 
 FAULT_DURATION_S: Final[dict[Fault, float]] = {
     Fault.NONE: 0.0,
-    Fault.KEEPER_KILLED: 2.0,
-    Fault.STORE_AWAY: 4.5,
+    Fault.CONTROLLER_KILLED: 2.0,
+    Fault.STORE_UNAVAILABLE: 4.5,
     Fault.POWER_LOSS: 1.5,
-    Fault.CUT: 5.0,
+    Fault.PARTITION: 5.0,
     Fault.BURST: 6.0,
     Fault.OLD_SLOW: 5.0,
     Fault.TRIAL_SLOW: 5.0,
@@ -148,21 +149,21 @@
     """Requests per second, share of bad answers of the old version, and term in seconds."""
 
     rate: float
-    bad: float = 0.02
-    term: float = 12.0
+    old_bad_share: float = 0.02
+    term_s: float = 12.0
 
 
-def play(
+def simulate_rollout(
     version: Version,
     service: Service,
     *,
     seed: int,
-    judge: Judge = judge,
+    judge: Judge = analyse,
     fault: Fault = Fault.NONE,
 ) -> RolloutResult:
     """Simulate one rollout and return its result."""
     simulation = _Simulation(version, service, judge, fault, random.Random(seed))
-    while simulation.now < service.term:
+    while simulation.now < service.term_s:
         simulation.request()
         simulation.decide_stage()
     allowed = simulation.bounds.share * simulation.total + simulation.bounds.slack
@@ -211,7 +212,7 @@
         if self._is_active(Fault.POWER_LOSS):
             self.now = FAULT_START_S + FAULT_DURATION_S[Fault.POWER_LOSS]
             self._reported, self._pending = _no_answers(), []
-        is_partitioned = self._is_active(Fault.CUT) and self._rng.random() < PARTITIONED_SHARE
+        is_partitioned = self._is_active(Fault.PARTITION) and self._rng.random() < PARTITIONED_SHARE
         stage = self._known_stage(FAULT_START_S if is_partitioned else self.now)
         self.total += 1
         share = self._share(stage)
@@ -242,15 +243,15 @@
         if self.now < self._next_decision_at:
             return
         self._next_decision_at += DECISION_INTERVAL_S
-        if self._is_active(Fault.KEEPER_KILLED) or self._is_active(Fault.STORE_AWAY):
+        if self._is_active(Fault.CONTROLLER_KILLED) or self._is_active(Fault.STORE_UNAVAILABLE):
             return
         self._store_counts()
         entered_at, stage = self.stages[-1]
-        term = self._service.term
-        level = caution(self.bounds, term=term, rate=self._service.rate)
-        verdict = self._judge(self._stored, level)
+        term = self._service.term_s
+        limits = evidence_limits(self.bounds, term=term, rate=self._service.rate)
+        verdict = self._judge(self._stored, limits)
         next_ = next_stage(
-            stage, verdict, elapsed=self.now, in_stage=self.now - entered_at, term=term
+            stage, verdict, elapsed=self.now, stage_elapsed=self.now - entered_at, term=term
         )
         if next_ is not stage:
             self.stages.append((self.now, next_))
@@ -264,7 +265,7 @@
                 )
         self._pending = [answer for answer in self._pending if answer.counted_at > self.now]
         for route, counts in self._stored.items():
-            counts.raise_to(self._reported[route])
+            counts.merge_max(self._reported[route])
         self._counted_answers = sum(
             counts.new + sum(answers for answers, _ in counts.old.values())
             for counts in self._stored.values()
@@ -287,20 +288,20 @@
             return 1.0
         if stage is not Stage.TRIAL:
             return 0.0
-        term = self._service.term
-        is_allowed = may_try(
+        term = self._service.term_s
+        is_allowed = allows_trial_request(
             self.bounds,
             elapsed=self.now,
             requests=self.total,
-            tried=self.exposed,
-            of_all=self._counted_answers,
+            trial_requests=self.exposed,
+            total_requests=self._counted_answers,
             dither=0.5,
         )
         share = trial_share(self.bounds, term=term, rate=self._rate, elapsed=self.now)
         return share if is_allowed else 0.0
 
     def _is_bad(self, route: str, replica: int, is_new: bool, load: float) -> bool:
-        shares = [self._service.bad]
+        shares = [self._service.old_bad_share]
         if self._is_active(self._fault) and not (self._fault is Fault.OLD_SLOW and replica):
             shares.append(FAULT_BAD_SHARE.get((self._fault, is_new), 0.0))
         if is_new and self._version.is_bad(self.now, route, load):
@@ -312,15 +313,15 @@
     return {"whole": AnswerCounts(), "quick": AnswerCounts()}
 
 
-def judge_whole(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
+def judge_without_routes(routes: Mapping[str, AnswerCounts], limits: EvidenceLimits) -> Verdict:
     """Judge the total over all routes."""
     total = AnswerCounts()
     for counts in routes.values():
-        total.join(counts)
-    return judge({"all": total}, caution)
+        total.add_all(counts)
+    return analyse({"all": total}, limits)
 
 
-def judge_by_thresholds(routes: Mapping[str, AnswerCounts], caution: Caution) -> Verdict:
+def judge_by_thresholds(routes: Mapping[str, AnswerCounts], limits: EvidenceLimits) -> Verdict:
     """Judge by fixed thresholds.
 
     A version is bad with at least three bad answers if their share is at least twice that of the
@@ -328,15 +329,15 @@
     """
     total = AnswerCounts()
     for counts in routes.values():
-        total.join(counts)
+        total.add_all(counts)
     for counts in (total, *routes.values()):
-        answers, bad = control_of(counts)
+        answers, bad = control_counts(counts)
         control = (bad + 0.5) / (answers + 10)
-        if counts.new >= LEAST_ANSWERS and counts.new_bad >= max(
+        if counts.new >= MIN_ANSWERS and counts.new_bad >= max(
             3, counts.new * (2 * control + 0.05)
         ):
             return Verdict.BAD
-    return Verdict.SOUND if total.new >= LEAST_ANSWERS else Verdict.UNSURE
+    return Verdict.SOUND if total.new >= MIN_ANSWERS else Verdict.INCONCLUSIVE
 
 
 VERSIONS: Final = (
@@ -348,8 +349,8 @@
     Version(kind="load", share=0.3),
 )
 JUDGES: Final[dict[str, Judge]] = {
-    "mixture by route": judge,
-    "mixture, all routes": judge_whole,
+    "mixture by route": analyse,
+    "mixture, all routes": judge_without_routes,
     "thresholds": judge_by_thresholds,
 }
 
@@ -361,14 +362,16 @@
     for name, judge_fn in JUDGES.items():
         for rate in (2.0, 10.0, 63.0):
             for bad in (0.01, 0.05, 0.15):
-                service = Service(rate=rate, bad=bad)
+                service = Service(rate=rate, old_bad_share=bad)
                 cells = [_cell(version, service, judge_fn) for version in VERSIONS]
                 lines.append(" | ".join([name, f"{rate:g}", f"{bad:g}", *cells]))
     return lines
 
 
 def _cell(version: Version, service: Service, judge_fn: Judge) -> str:
-    results = [play(version, service, seed=seed, judge=judge_fn) for seed in range(RUNS)]
+    results = [
+        simulate_rollout(version, service, seed=seed, judge=judge_fn) for seed in range(RUNS)
+    ]
     completed = sum(result.stage is Stage.COMPLETED for result in results) / RUNS
     over_share = sum(result.exposed > result.allowed for result in results) / RUNS
     return f"{completed:.2f}" if version.kind == "sound" else f"{completed:.2f}, {over_share:.2f}"
@@ -384,8 +387,10 @@
 
 
 def _fault_row(fault: Fault, version: Version) -> str:
-    service = Service(rate=63.0, bad=0.05)
-    results = [play(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)]
+    service = Service(rate=63.0, old_bad_share=0.05)
+    results = [
+        simulate_rollout(version, service, seed=seed, fault=fault) for seed in range(FAULT_RUNS)
+    ]
     expected = Stage.COMPLETED if version.kind == "sound" else Stage.ROLLED_BACK
     right_count = sum(result.stage is expected for result in results)
     low, high = _interval(right_count, FAULT_RUNS)
--- a/libs/bench/berylspindle_bench/warmup_trials.py
+++ b/libs/bench/berylspindle_bench/warmup_trials.py
@@ -56,7 +56,7 @@
             return SLOTS
         return min(SLOTS, 1 + int((now - self._last_failure_at) / RAMP_STEP_S))
 
-    def on_lost(self, now: float) -> None:
+    def on_connection_failure(self, now: float) -> None:
         self._last_failure_at = now
 
 
@@ -90,8 +90,8 @@
         if now < self._restart_at:
             # Work is always waiting, and each connection attempt to the crashed server is refused.
             if self._limiter is not None:
-                self._limiter.on_lost(now, FailureKind.REFUSED)
-            self._baseline.on_lost(now)
+                self._limiter.on_connection_failure(now, FailureKind.REFUSED)
+            self._baseline.on_connection_failure(now)
             return
         limit = self._limiter.limit(now) if self._limiter is not None else self._baseline.limit(now)
         while self._running < limit:
@@ -128,7 +128,7 @@
             if self._limiter is not None:
                 self._limiter.on_failure(now, FailureKind.RESET)
         self._running = 0
-        self._baseline.on_lost(now)
+        self._baseline.on_connection_failure(now)
         self._incarnation += 1
         self._completed = 0
         self._restart_at = now + DOWN_S
--- a/tests/bench/test_experiment.py
+++ b/tests/bench/test_experiment.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from berylspindle_bench.experiment import DayError, compare, read_day
+from berylspindle_bench.experiment import ExperimentFileError, compare_policies, read_experiment
 from berylspindle_bench.main import app
 from berylspindle_bench.plots import draw_experiment
 from berylspindle_model import codec
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("path", sorted(EXPERIMENTS.glob("*.toml")), ids=lambda path: path.stem)
 def test_shipped_experiment_files_are_valid(path: Path):
-    assert read_day(path).name == path.stem
+    assert read_experiment(path).name == path.stem
 
 
 @pytest.mark.parametrize(
@@ -43,13 +43,13 @@
 ):
     path = tmp_path / "experiment.toml"
     path.write_text(text)
-    with pytest.raises(DayError, match=reason):
-        read_day(path)
+    with pytest.raises(ExperimentFileError, match=reason):
+        read_experiment(path)
 
 
 def test_policies_are_compared_on_the_same_seeds(short_experiment: Path):
-    default, disabled, repeated = compare(
-        read_day(short_experiment), ["", "refuses=off,hedge_idle_only=off", ""], (1, 2)
+    default, disabled, repeated = compare_policies(
+        read_experiment(short_experiment), ["", "refuses=off,hedge_idle_only=off", ""], (1, 2)
     )
     assert default == repeated
     assert default.credit > disabled.credit
@@ -83,5 +83,7 @@
 
 
 def test_plotting_needs_no_display(short_experiment: Path, tmp_path: Path):
-    draw_experiment(compare(read_day(short_experiment), [""], (1,)), tmp_path / "one.png")
+    draw_experiment(
+        compare_policies(read_experiment(short_experiment), [""], (1,)), tmp_path / "one.png"
+    )
     assert (tmp_path / "one.png").stat().st_size > 1000
