--- a/libs/decisions/berylspindle_decisions/admission.py
+++ b/libs/decisions/berylspindle_decisions/admission.py
@@ -11,7 +11,7 @@
 
 Flow: `Admission.decide` is called before any work. `Admitted` is followed by `on_start`, and later
 by exactly one `on_done`. A `Refusal` goes to the caller at once: it is final, states that the
-request has not run, and says when a permit will be free at the drain rate.
+request has not run, and contains the time after which a permit is expected to be free.
 
 Limit: it starts at `max_work` and adapts to what the owners can serve. A request whose sub-requests
 were dropped, or were queued for more than 60 ms and more than three times their service time, cuts
--- a/libs/decisions/berylspindle_decisions/admission_controller.py
+++ b/libs/decisions/berylspindle_decisions/admission_controller.py
@@ -1,7 +1,7 @@
 """Admit or reject whole requests by the queueing delay at replicas.
 
 Load: a burst, or replicas that become slow, exceeds the capacity of a service. Without rejections
-the first-come queue of each replica grows until every answer is late. Shedding sub-requests shard
+the FIFO queue of each replica grows until every answer is late. Shedding sub-requests shard
 by shard would remove parts of many searches instead of rejecting a few.
 
 Terms:
@@ -13,8 +13,8 @@
 Flow: `AdmissionController.admit` is called once for each request, before any sub-request is sent.
 The rejected share has a proportional term, the pressure of the current request, and an integral
 term, which adjusts until queues take `TARGET_PRESSURE` of the latency target. `retry_after_ms` is
-the Retry-After of a rejected caller. Each VM decides on its own observations, without the number
-of VMs.
+the Retry-After of a rejected caller. Each VM decides by its own observations and does not need to
+know the number of VMs.
 
 Only queueing counts: rejecting callers of a replica that is slow, paused or unreachable speeds up
 no other answer. The rejected share of a lower priority in a group is at least
@@ -50,11 +50,11 @@
 LOW_PRIORITY_FACTOR: Final = 2.0
 LOW_PRIORITY_SHARE_MAX: Final = 0.75
 
-# Time for which the rejected share of a priority counts for the lower ones.
+# Time for which the rejected share of a priority counts for lower ones after its last request.
 HIGH_PRIORITY_MEMORY_S: Final = 0.1
 
 # Bounds of Retry-After, as shares of the caller's remaining time: an earlier retry meets the same
-# queues, a later one may never come.
+# queues, and before a later one the caller may have given up.
 RETRY_AFTER_MIN_SHARE: Final = 0.05
 RETRY_AFTER_MAX_SHARE: Final = 1 / 3
 
@@ -114,7 +114,7 @@
 
 
 def _low_priority_share(states: Mapping[int, _PriorityState], priority: int, now: float) -> float:
-    """Return the share to reject of a priority because higher ones are rejected."""
+    """Return the minimum rejected share of a priority, from those of the higher priorities."""
     higher = [
         state.rejected_share
         for other, state in states.items()
--- a/libs/decisions/berylspindle_decisions/concurrency.py
+++ b/libs/decisions/berylspindle_decisions/concurrency.py
@@ -13,12 +13,13 @@
 to warm is in `warmup`.
 
 Limit: it moves between the cold cap and the configured slots, on evidence only. A limit that
-searches by latency gradient is not used: between 1 and 6 it has nothing to find, probing above the
-slots is what a cold server can't bear, and it mistakes a mix of short and long requests for
-congestion. Nothing is queued inside the server: a slot is idle for one way from the owner, 0.1 ms
-within a data centre, and queued requests keep their order and deadlines and can be cancelled. A
-hold that the server asks for ends after 2 s at most, since the request may be wrong. A draining
-report holds until a report says otherwise, for 5 s without any.
+follows the latency gradient is not used: the range from 1 to 6 is too small for it, its probing
+above the slots would overload a cold server, and it mistakes a mix of short and long requests for
+congestion. Nothing is queued inside the server. So a slot is idle while the next request is on its
+way from the owner, 0.1 ms within a data centre; but requests in the owner's queue keep their order
+and deadlines and can be cancelled. A hold that the server asks for ends after 2 s at most, since
+the server may be wrong. The hold of a draining report ends with the first report of another state,
+or after 5 s without a report.
 """
 
 from __future__ import annotations
@@ -106,8 +107,8 @@
     def on_start(self, now: float) -> None:
         """Count one attempt; raise ValueError if it would exceed the limit."""
         if not self.may_start(now):
-            # A cold server must never get more than it can bear: a caller that skipped the check
-            # fails here and not at the server.
+            # A cold server must never be overloaded: code that skipped the check fails here and not
+            # at the server.
             raise ValueError(
                 f"{self._in_flight} attempts in flight, at a limit of {self.limit(now)}"
             )
--- a/libs/decisions/berylspindle_decisions/coverage.py
+++ b/libs/decisions/berylspindle_decisions/coverage.py
@@ -1,8 +1,8 @@
 """Count the shards that an answer covers, and decide when the answer is sent.
 
 Load: straggling and lost shards. Without counting against the pinned shard map, a shard that
-answers twice (a hedge and its first attempt) hides one that never did, and the stated coverage is
-wrong. Without an early end, a caller waits until its deadline for a shard that can't answer.
+answers twice (a hedge and its first attempt) hides one that did not answer, and the stated coverage
+is wrong. Without an early end, a caller waits until its deadline for a shard that can't answer.
 
 Terms:
   pinned map    the shards of the service when the request was planned
@@ -98,7 +98,7 @@
 
 
 class AnswerVerdict(enum.Enum):
-    """What an entry does with the answer that it has collected."""
+    """What an entry does after it has counted an answer or a loss."""
 
     WAIT = "wait"
     ANSWER = "answer"
@@ -122,7 +122,8 @@
 ) -> AnswerDecision:
     """Return whether the answer is sent now.
 
-    REFUSE means the error INCOMPLETE. `left_ms` is the time until the entry needs its replies.
+    REFUSE means the error INCOMPLETE. `left_ms` is the time in which the replies of shards still
+    count, see `Deadlines.for_entry`.
     """
     pending = count.waiting
     enough = count.asked == 0 or count.answered >= policy.min_coverage * count.asked
--- a/libs/decisions/berylspindle_decisions/deadlines.py
+++ b/libs/decisions/berylspindle_decisions/deadlines.py
@@ -5,7 +5,7 @@
 partial answer.
 
 Terms:
-  left        milliseconds until the caller stops waiting, counted at the hop that asks
+  left        milliseconds until the sender of a request stops waiting, from the time it sends it
   way back    time to carry a reply one hop up, including the wakeup of a busy process
 
 Flow: caller -> `for_entry` -> entry -> `for_owner` -> owner -> `for_server` -> backend server.
@@ -30,7 +30,8 @@
     """Margins, all in milliseconds.
 
     Attributes:
-        caller_ms: round trip between caller and entry, since a caller counts from its sending.
+        caller_ms: round trip between caller and entry, since the caller's timeout starts when it
+            sends the request.
         hop_ms: way back from an owner to an entry, including one wakeup of a busy process.
         server_ms: way back from a backend server to its owner.
         merge_ms_per_shard: time to decode and merge the reply of one shard.
@@ -51,9 +52,9 @@
         self._options = options or DeadlineOptions()
 
     def for_entry(self, left_ms: float, *, shards: int) -> float | None:
-        """Return the time until an entry needs its replies, or None if it is too short.
+        """Return the time in which an entry must get all replies, or None if it is too short.
 
-        `left_ms` is the caller's deadline, counted from its sending.
+        `left_ms` is the caller's timeout, which starts when the caller sends the request.
         """
         merge_ms = shards * self._options.merge_ms_per_shard
         return self._subtract_margin(left_ms, self._options.caller_ms + merge_ms)
--- a/libs/decisions/berylspindle_decisions/drain_rate.py
+++ b/libs/decisions/berylspindle_decisions/drain_rate.py
@@ -13,7 +13,7 @@
 Thresholds: the rate covers the last 32 completions, as queues hold some dozens of requests and an
 older rate doesn't apply to a server that has just become slow. The time since the last completion
 counts too, so that the rate of a stalled server falls. Reservations reach 5 s ahead at most, since
-some callers don't retry. If all refusals name the time of the next free place, a caller sends 37
+some callers don't retry. If all refusals contain the time of the next free place, a caller sends 37
 times until it is admitted; with reservations it sends twice, at the same throughput and wait.
 """
 
--- a/libs/decisions/berylspindle_decisions/ejection.py
+++ b/libs/decisions/berylspindle_decisions/ejection.py
@@ -9,9 +9,9 @@
   outlier     a server whose smoothed latency is far above the median of the others in its group
   probation   the state after an ejection: the server gets single trials until enough succeed
 
-Flow: outcomes of attempts go to `on_success` and `on_failure`, with the latency that the owner
-measures rather than the entry VM's, which includes the network and the queue. The choice of a
-replica reads `status` and `may_use`.
+Flow: outcomes of attempts go to `on_success`, `on_cancelled` and `on_failure`. The latency of a
+success is the one seen by the owner, since that seen by the entry VM includes the network and the
+queue. The choice of a replica reads `status` and `may_use`.
 
 Thresholds: a server is ejected after 5 consecutive failures, or if its smoothed latency is over 4
 times the others' median and 10 ms above it after 20 responses. The first ejection lasts 2 s, each
--- a/libs/decisions/berylspindle_decisions/fair_queue.py
+++ b/libs/decisions/berylspindle_decisions/fair_queue.py
@@ -1,13 +1,13 @@
 """Bounded request queue of one backend server, fair between callers.
 
 Load: a few callers that send most of it, long requests among short ones, and queues that outlast
-deadlines. In a first-come queue one caller's hundred requests are ahead of another's single one,
-long requests occupy all slots while short ones wait, and the server processes requests whose
-callers have gone.
+deadlines. In a FIFO queue one caller's hundred requests are ahead of another's single one, long
+requests occupy all slots while short ones wait, and the server processes requests whose callers no
+longer wait.
 
 Terms:
   cost         expected work of an entry; an ordinary search costs 1
-  served cost  work that a caller has been given; the caller with the lowest is served next
+  served cost  cost of a caller's entries served so far; the caller with the lowest is served next
   long         an entry whose cost is at least `long_cost`
   victim       a queued entry that is evicted for another, answered with CALLER_OVER_SHARE
 
@@ -185,8 +185,8 @@
         if queue is None:
             queue = self._callers[caller] = _CallerQueue(served_cost=self._served_floor)
         elif not queue.entries:
-            # An idle caller earns no credit: it starts level with the callers served now, else it
-            # could take all slots for as long as it was idle.
+            # An idle caller earns no credit: its served cost is raised to that of the callers that
+            # are served now, else it could take all slots for as long as it was idle.
             queue.served_cost = max(queue.served_cost, self._served_floor)
         number = self._next_number
         self._next_number += 1
--- a/libs/decisions/berylspindle_decisions/follower_count.py
+++ b/libs/decisions/berylspindle_decisions/follower_count.py
@@ -1,7 +1,7 @@
 """Count the VMs that follow this one without an entry of their own in the store.
 
 If 940 VMs each kept a lease and an entry, these would cause most of the calls to the store, all at
-once after a power failure. Instead the few VMs with followers announce the number of followers.
+once after a power failure. Instead the few VMs with followers write their number to the store.
 
 Terms:
   follower  a VM that reads this one's mirror and has no entry of its own
--- a/libs/decisions/berylspindle_decisions/guarding.py
+++ b/libs/decisions/berylspindle_decisions/guarding.py
@@ -5,7 +5,7 @@
   ward         a member that this VM guards
   helper       another VM that sends an indirect probe to a ward on behalf of a guardian
   silence      time since the last answer of a ward to this VM or to a helper
-  unconfirmed  a ward to which confirmations have stopped, since its removal was proposed
+  unconfirmed  a ward to which no confirmations are sent, since its removal was proposed
 
 Flow: `due` returns the probes to send with their confirmations, `unresponsive` the wards to suspect
 and `removals` those to remove; answers are recorded by `on_ack` and `on_alive`, the results of
@@ -16,8 +16,8 @@
 second once an answer is missing and asks three helpers, so a silence of 2.2 s occurs by chance less
 than once in a hundred rounds, and one of 3.2 s with helpers less than once in a hundred thousand. A
 suspicion only stops traffic; a removal moves ownership. Without helpers, a link that fails in one
-direction would remove a live VM; without `reset_silences`, a guardian that resumes after a pause
-would remove all of its wards.
+direction would lead to the removal of a live VM; without `reset_silences`, a guardian that resumes
+after a pause would propose the removal of all of its wards.
 """
 
 from __future__ import annotations
@@ -49,9 +49,11 @@
         stall: gap between two ticks that shows that this VM itself did not run.
         unhelped: silence after which no helper's result is needed: all other VMs of the data centre
             may have failed, and an isolated VM can't write a removal to the store.
-        orphan: silence after which a ward is removed that no guardian may remove by the rule of
-            epochs, if it is missing from the VM list too; see `_may_remove`.
-        helpers: number of helpers that are asked at a time.
+        orphan: silence after which an orphan may be removed: a ward that is missing from the VM
+            list, and whose acknowledged epoch is too old for a removal by the usual rule; see
+            `_may_remove`.
+        helpers: maximum number of helpers of the own data centre that are asked at a time; in total
+            one more is asked, from other data centres.
         guardians: number of guardians of each member.
     """
 
@@ -120,7 +122,11 @@
         return frozenset(name for name, ward in self._wards.items() if ward.unconfirmed)
 
     def orphans(self, now: float) -> frozenset[str]:
-        """Return the silent wards that can only be removed if the VM list doesn't name them."""
+        """Return the wards that may be removed only if they are missing from the VM list.
+
+        They have not answered for half of `ProbeLimits.orphan`, and the last epoch that they
+        acknowledged is older than the first one in which this VM is known to guard them.
+        """
         return frozenset(
             name
             for name, ward in self._wards.items()
@@ -141,7 +147,7 @@
             elif not one_step:
                 # This VM may not have been its guardian in the skipped epochs.
                 ward.guarded_since_epoch = view.epoch
-            # A proposal for the old epoch fails from now on, so confirming is safe again.
+            # The store now rejects proposals for the old epoch, so confirming is safe again.
             ward.unconfirmed = False
             ward.propose_at = -math.inf
             self._wards[vm.id] = ward
--- a/libs/decisions/berylspindle_decisions/hedged_request.py
+++ b/libs/decisions/berylspindle_decisions/hedged_request.py
@@ -37,8 +37,8 @@
 class AttemptOutcome(enum.Enum):
     """Outcome of an attempt that has ended.
 
-    NOT_SENT: no byte left this VM, so the attempt does not count as an arrival. NOT_RUN: the
-    replica refused it.
+    NOT_SENT: no byte left this VM; while all attempts end so, the next one is still the first and
+    needs no retry budget. NOT_RUN: the replica refused the request.
     """
 
     NOT_SENT = "not_sent"
@@ -98,7 +98,7 @@
     def pick_replica(self, service: str, *, tried: frozenset[str], hedge: bool) -> str | None:
         """Return a replica that is not in `tried`, or None if none is usable.
 
-        For a hedge, return only a replica that is expected to answer before a stalled one.
+        For a hedge, return only a replica that is expected to answer sooner than a stalled one.
         """
 
     @abc.abstractmethod
@@ -202,7 +202,7 @@
 
     def _step_hedge(self, now: float, policy: AttemptPolicy, runs: int) -> RequestStep:
         if now >= self._deadline:
-            # No more attempts are sent; the caller that awaits the request ends it.
+            # Send no more attempts; the code that awaits the request ends it at its deadline.
             return WaitUntil(math.inf)
         if not self._repeatable or runs >= self._max_runs:
             return WaitUntil(self._deadline)
--- a/libs/decisions/berylspindle_decisions/hedging.py
+++ b/libs/decisions/berylspindle_decisions/hedging.py
@@ -21,7 +21,7 @@
 Saturation stops all hedges on either of two signs: more than 4 times the expected share of the last
 300 attempts exceeds the current delay (with 100, a cluster of stragglers is mistaken for
 saturation), or more than 0.4 of the latency is queueing delay at owners. In the latter case, at
-130% load, hedges reduce the share of complete answers by 8 of 75 percentage points.
+130% load, hedges would reduce the share of complete answers from 75% by 8 percentage points.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/latency_profile.py
+++ b/libs/decisions/berylspindle_decisions/latency_profile.py
@@ -1,14 +1,15 @@
 """Quantiles of the latency of a route's sub-requests, over the last few hundred of them.
 
 Load: routes whose requests differ in work by a factor of ten share the same backend servers.
-Without a profile for each route, a delay that fits the long requests detects no straggler among the
-short ones, and one that fits the short requests doubles each long one.
+Without a profile for each route, a hedge delay that fits the long requests detects no straggler
+among the short ones, and one that fits the short requests hedges every long one.
 
 Terms:
   band   a range of latencies that count as one; each is `BAND_RATIO` times as wide as the last
 
 Flow: `LatencyProfile.add` records each latency; `quantile` is computed from counts per band. Counts
-are halved when there are `MAX_SAMPLES`, so that a shift shows after as many new ones.
+are halved when their sum reaches `MAX_SAMPLES`, so that a shift of the latency shows after about as
+many new ones.
 
 Limits: bands of 7% are finer than any gain from a better delay. `MAX_SAMPLES` of 512 is some
 seconds of one VM's sub-requests and includes five of the slowest hundredth. `MIN_SAMPLES` is the
--- a/libs/decisions/berylspindle_decisions/load_estimate.py
+++ b/libs/decisions/berylspindle_decisions/load_estimate.py
@@ -1,17 +1,17 @@
 """Estimate the load of other VMs at one replica from the replica's load reports.
 
 Load: many VMs send to the same replicas, each knows only its own attempts, and a replica reports
-its load with each answer. Counting only the last report misses what the VM has sent since; dropping
-reports early makes a replica look idle to a VM that seldom uses it.
+its load with each answer. The last report alone doesn't include what the VM has sent since; if
+reports expire early, a replica looks idle to a VM that seldom uses it.
 
 Terms:
   others   requests at the replica that are not this VM's own
   report   running and queued requests of all VMs, sent with an answer
   mean     moving average of the others' requests
 
-Flow: `LoadEstimate.on_report` records each report together with the VM's own attempts, `estimate`
-returns the estimate for each replica selection. It decays from the last report to the mean, and is
-zero for a replica without reports.
+Flow: `LoadEstimate.on_report` records each report together with the VM's own attempts, and
+`estimate` is called for each replica selection. The estimate decays from the last report to the
+mean, and is zero for a replica without reports.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/log_rate_limiter.py
+++ b/libs/decisions/berylspindle_decisions/log_rate_limiter.py
@@ -4,8 +4,8 @@
 lines per second take a tenth of the processor from requests that could be served.
 
 Terms:
-  kind    the subject of a line; each kind has its own token bucket, so that one can't use up
-          another's
+  kind    the subject of a line; each kind has its own token bucket, so that lines of one kind can't
+          suppress those of another
   burst   lines that may be written at once after an idle period
 
 Flow: `LogRateLimiter.allow` is called before a line is created. Suppressed lines are counted,
--- a/libs/decisions/berylspindle_decisions/membership.py
+++ b/libs/decisions/berylspindle_decisions/membership.py
@@ -37,7 +37,8 @@
 
 Address = tuple[str, int]
 
-# Answers whose send time is kept; a guardian confirms the latest answer that arrived.
+# Latest probe numbers of a sender for which the send time of this VM's answer is kept; a guardian
+# confirms the latest answer that arrived.
 _MAX_KEPT_ANSWERS: Final = 64
 # Two VMs have no helper, and neither can determine which of them is isolated.
 _TWO_VMS: Final = 2
@@ -125,11 +126,11 @@
         return (*chosen, *self._sample(far, count - len(chosen)))
 
     def set_unlisted(self, vm_ids: Iterable[str]) -> None:
-        """Set which of the orphans are missing from the VM list."""
+        """Set which of `Wards.orphans` are missing from the VM list."""
         self._unlisted = frozenset(vm_ids)
 
     def stop_guarding(self) -> list[OutgoingMessage]:
-        """Stop guarding; return the messages that announce it, as no proposal follows them."""
+        """Stop guarding, so that this VM proposes no more removals; return the announcements."""
         self._leaving = True
         return [self._ping(vm, NOT_CONFIRMED) for vm in self._wards.vms]
 
@@ -159,7 +160,8 @@
             self._ownership.on_resignation(ping.sender)
         elif ping.confirms in sent_at:
             self._ownership.on_confirmation(ping.sender, ping.epoch, sent_at[ping.confirms])
-        # The lease counts from the send time of the answer, so it is taken before sending.
+        # The lease counts from the send time of the answer, which is therefore recorded before the
+        # answer is sent.
         sent_at[ping.number] = now
         for old in [number for number in sent_at if number <= ping.number - _MAX_KEPT_ANSWERS]:
             del sent_at[old]
@@ -285,7 +287,8 @@
         local_view = self._views.get(self._me.data_centre)
         members = len(local_view.members) if local_view is not None else 0
         if local_view is not None and local_view.member(self._me.id) is None:
-            # No guardian probes a VM before it has joined; its own probes bring it the state.
+            # No guardian probes a VM before it has joined, so it gets the state of its data centre
+            # through the answers to its own probes.
             others.append(self._me.data_centre)
         count = math.ceil(len(others) / max(1, members))
         sends: list[OutgoingMessage] = []
--- a/libs/decisions/berylspindle_decisions/ownership.py
+++ b/libs/decisions/berylspindle_decisions/ownership.py
@@ -14,13 +14,13 @@
 after it was replaced. Without leases, a server in a cold start would get its cold limit from two
 VMs at once and be overloaded. Two VMs never hold the right to one server, because:
   * A guardian stops confirming before it proposes a removal, and every guardian must confirm, so a
-    removed member's lease ends within `lease` of the change of the view. A lease confirmed by the
-    store does too: it counts from the send time of a read that still found the old epoch. A VM that
-    adopts a view after an unsettled removal waits for `settle`, which exceeds `lease` by the drift
-    of two clocks.
+    removed member's lease ends within `lease` of the change of the view. So does a lease that was
+    confirmed by the store, since it counts from the send time of a read that still found the old
+    epoch. A VM that adopts a view after an unsettled removal waits for `settle`, which exceeds
+    `lease` by the drift of two clocks.
   * A member that joined takes servers from live members. It waits until each earlier member has
     acknowledged the new epoch, and for the settle time that this member reports; a member that
-    never acknowledges is removed in the end, and the rule above applies.
+    never acknowledges is removed by its guardians, and the rule above applies.
   * Other members gain servers through removals alone, since rendezvous hashing moves no others.
 Limitation: a pause between the check and the write lets the requests of one step through.
 """
@@ -42,8 +42,8 @@
 class RightLevel(enum.StrEnum):
     """How much a VM may dispatch to a backend server.
 
-    HELD: it is the only VM that dispatches. DEGRADED: it can't get this confirmed, and uses warm
-    servers only, with at most half their slots. NONE: it must not dispatch.
+    HELD: it is the only VM that may dispatch. DEGRADED: it is isolated and cannot renew its lease,
+    so it uses warm servers only, with at most half their slots. NONE: it must not dispatch.
     """
 
     HELD = "held"
@@ -69,10 +69,10 @@
 
     Attributes:
         lease: validity of a confirmation. Probes are sent once a second; at a packet loss of 20%,
-            four in a row are lost in 1.7% of cases, and the store confirms instead. A longer lease
-            leaves the servers of a crashed VM without an owner for longer.
-        settle: waiting time before taking over servers; longer than `lease` by a drift of two
-            clocks of 5% and one timer step.
+            four in a row remain without an answer in 1.7% of cases, and the store confirms instead.
+            A longer lease leaves the servers of a crashed VM without an owner for longer.
+        settle: waiting time before taking over servers; longer than `lease` by a drift of 5%
+            between two clocks and one timer step.
         ask_store: remaining lease below which the store is asked to confirm instead.
         degraded: validity of the degraded right of an isolated VM after a failed read of the store;
             longer than the time between two reads with their timeout.
@@ -103,7 +103,7 @@
         self._settle_at = _NEVER
         self._awaited: set[str] = set()
         self._released = False
-        # Whether this VM owns a server in the current epoch; computing it costs a hash per member.
+        # Cached ownership by server in the current epoch; computing it takes a hash per member.
         self._owned: dict[str, bool] = {}
         self._usable: dict[str, float] = {}
 
--- a/libs/decisions/berylspindle_decisions/plans.py
+++ b/libs/decisions/berylspindle_decisions/plans.py
@@ -3,12 +3,13 @@
 Terms:
   usable     an active backend server in a data centre that is in
   warming    a usable server that starts cold: it counts with its cold slots until it is warm
-  violation  a shard without a replica, or a capacity lower than what is taken away or in use
+  violation  a shard that would have no replica, or a service whose remaining slots would be fewer
+             than those taken away or in use
 
 Flow: `make_plan` is pure, so the VM that confirms a plan computes it again from the configuration
 in the store and accepts only an equal one. A plan that is based on an older revision is refused
-even if it is equal on the newer one: the operator decided on what the plan showed, and with two
-operators the second must see the change by the first. Planning again takes seconds.
+even if it is equal on the newer one: the operator confirmed what the plan showed, and of two
+operators the second must see the change by the first. Making a new plan takes seconds.
 
 The check of the base revision guards against two operators who each take out one of two data
 centres at the same time, each with a plan that is safe by itself: both would be accepted, and no
--- a/libs/decisions/berylspindle_decisions/propagation.py
+++ b/libs/decisions/berylspindle_decisions/propagation.py
@@ -2,7 +2,7 @@
 
 Terms:
   digest   sum and hash of the known state; see `control_messages`
-  history  the latest deltas, so that a VM that lags a little needs no whole document
+  history  the latest deltas, so that a VM that lags a little doesn't need the full state
 
 Flow: a change from the store or from a peer goes to the `offer` methods; what was adopted is passed
 on at once to a few random VMs. Every probe carries the digest, so a lost change is repaired within
--- a/libs/decisions/berylspindle_decisions/quarantine.py
+++ b/libs/decisions/berylspindle_decisions/quarantine.py
@@ -19,14 +19,15 @@
 
 Thresholds: a scatter-gather gets strikes on all shards at once, and so do all other requests in
 flight on these servers. Attempts dispatched before the first strike therefore only make a suspect;
-one dispatched after it, by any VM, counts as a second event. An event weighs 1 over the number of
-attempts lost together, and later events that add up to 0.5 lead to quarantine: one event if the
-request was alone on the server or with one other, two if with two or three. Counting strikes within
-a time window instead misses a caller that retries within the window: 21 servers were lost to one
-request. A quarantine lasts 60 s and doubles each time up to an hour. A success clears a suspect,
-since a request that crashes each server that runs it never succeeds. First-seen fingerprints run as
-canaries only in an alert of 30 s: always doing so would add a round trip to most searches, and
-never doing so would let the next bad request crash a replica of each shard again.
+one dispatched after it, by any VM, counts as a later event. A later event weighs 1 over the number
+of attempts lost together, and a total weight of 0.5 leads to quarantine: one event if the request
+was alone on the server or with one other, two if with two or three. Counting all strikes within a
+time window as one event instead misses a caller that retries within the window, and one request
+then crashes 21 servers. The first quarantine lasts 60 s, each further one twice as long, up to an
+hour. A success clears a suspect, since a request that crashes each server that runs it never
+succeeds. First-seen fingerprints run as canaries only in an alert of 30 s: always doing so would
+add a round trip to most searches, and never doing so would let the next bad request crash a replica
+of each shard again.
 """
 
 from __future__ import annotations
@@ -99,7 +100,8 @@
 class SuspectRecord:
     """The exchanged record of one fingerprint; a higher generation replaces a lower one.
 
-    `struck_ms` and `dispatched_ms` are the ages of the first strike and of the attempt in it.
+    `struck_ms` is the age of the first strike, `dispatched_ms` that of the dispatch of its attempt,
+    `left_ms` the time until the record expires.
     """
 
     fingerprint: str
@@ -170,8 +172,8 @@
     def check_attempt(self, now: float, fingerprint: str, *, canary: bool) -> Refusal | None:
         """Return an owner's refusal of an attempt, or None if it may be dispatched.
 
-        An owner has the strikes of its own servers. An entry VM without these records yet sends a
-        whole scatter-gather, and the owners refuse it without waiting for gossip.
+        An owner records the strikes of its own servers. An entry VM that has not received these
+        records by gossip sends the whole scatter-gather, and the owners refuse it.
         """
         level = self.level(now, fingerprint)
         if level is QuarantineLevel.CLEARED or (level is QuarantineLevel.SUSPECT and canary):
@@ -301,8 +303,9 @@
             return changed
         struck, dispatched = now - received.struck_ms / 1000, now - received.dispatched_ms / 1000
         if not had_strike:
-            # A suspect by an owner's refusal alone: the peer's strike is the first one. Counted as
-            # a second one it would quarantine every request of a server that crashed once.
+            # This record has no strike, only an owner's refusal, so the peer's strike is the first
+            # one. Counted as a second one, it would quarantine each request that was on a server
+            # when it crashed once.
             record.struck, record.dispatched = struck, dispatched
         elif (
             changed
--- a/libs/decisions/berylspindle_decisions/reachability.py
+++ b/libs/decisions/berylspindle_decisions/reachability.py
@@ -21,18 +21,17 @@
 reports isolation (`on_isolation_report`), this VM counts as isolated until its next contact, and
 probes the other data centres while `should_probe`.
 
-Guards: a report ends with a contact of this VM, with its expiry, or when the VM that sent it clears
-it (`clear_isolation_report`), but not through other VMs. VMs of an isolated data centre read each
-other's mirrors, some of which haven't detected the isolation yet; if these ended a report, VMs
-would alternate between ready and unready each second, and the load balancer, which needs all of
-them unready, would never divert callers. A VM without any contact since its start ignores
-unanswered
-probes: after a power failure its peers have not started either.
+Guards: a report ends at the next contact of this VM, when it expires, or when the VM that sent it
+clears it (`clear_isolation_report`). The mirrors of other VMs don't end it: some VMs of an isolated
+data centre haven't detected the isolation yet, and if their mirrors ended a report, VMs would
+alternate between ready and unready each second; the load balancer, which needs all of them unready,
+would never divert callers. A VM without any contact since its start ignores unanswered probes:
+after a power failure its peers have not started either.
 
 Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause; a data centre whose
 replicas are all ten times as slow still answers within it. `MIN_ATTEMPTS` of 3 tolerates a single
-lost packet or one crashed replica. A false detection ends with the next contact, too soon for a
-load balancer that checks every second and acts on two failed checks.
+lost packet or one crashed replica. A false detection ends at the next contact, before a load
+balancer that checks every second has seen the two failed checks on which it acts.
 """
 
 from __future__ import annotations
@@ -146,7 +145,7 @@
 
     def _has_own_evidence(self, now: float) -> bool:
         # A single unreachable data centre may itself be the isolated one, while attempts at the
-        # others are rare.
+        # others are too rare to give a recent contact.
         required = min(2, max(1, len(self._remotes)))
         since_contact = now - self._last_contact_at
         unreachable = (self.is_unreachable(now, name) for name in self._remotes)
--- a/libs/decisions/berylspindle_decisions/relay_choice.py
+++ b/libs/decisions/berylspindle_decisions/relay_choice.py
@@ -15,8 +15,9 @@
   back-off  the time in which no request goes to a merger that failed, refused or was slow
 
 Flow: `pick_merger` is called for each scatter-gather; `on_sent`, `on_finished`, `on_report` and
-`back_off` record its course. The request goes to the VM with the lowest cost: requests in progress
-over capacity, plus `MISSING_COST` times the missing share. The VM itself is one of the candidates.
+`back_off` record its progress and outcome. The request goes to the VM with the lowest cost:
+requests in progress over capacity, plus `MISSING_COST` times the missing share. This VM itself is
+one of the candidates.
 
 Thresholds: the extra hop costs about a millisecond on both VMs, so a merger needs
 `MIN_CAPACITY_RATIO` times the capacity. One of equal capacity is enough if its missing share is
@@ -38,8 +39,8 @@
 REFUSAL_BACKOFF_S: Final = 1.0
 MIN_LOCALITY_GAIN: Final = 0.5
 MISSING_COST: Final = 8.0
-"""Requests in progress per core by which a merger near the replicas may be busier than this VM; a
-request takes about 20 ms of a merger's core."""
+"""Additional requests in progress per core up to which a merger near the replicas is preferred to
+this VM; a request takes about 20 ms of a merger's core."""
 
 LOAD_REPORT_TTL_S: Final = 0.5
 """Seconds for which a merger's load report is valid; its requests take some tenths of a second."""
@@ -50,8 +51,8 @@
 
 @attrs.frozen
 class RelayVm:
-    """A candidate: `capacity` is its capacity in cores, `missing_share` the share of missing
-    shards."""
+    """A candidate: `capacity` is in cores, `missing_share` is the missing share of its data
+    centre."""
 
     name: str
     capacity: float
--- a/libs/decisions/berylspindle_decisions/replica_choice.py
+++ b/libs/decisions/berylspindle_decisions/replica_choice.py
@@ -15,10 +15,11 @@
 
 Thresholds: of two replicas drawn at random the better score wins, so that entry VMs with the same
 stale state spread over at least two replicas. The round trip to another data centre costs 1 ms, so
-a queue in the own data centre outweighs locality soon. Grouping is worth 2 ms: a search over ten
-shards needs 4.8 messages instead of 5.6, without an effect on the 99th percentile latency, which
-4 ms raises at 70% load. Retired servers and data centres that are out get nothing even if no other
-replica is left: the guarantee that they get no new work outweighs one shard.
+even a short queue in the own data centre outweighs locality. Grouping is worth 2 ms: a search over
+ten shards needs 4.8 messages instead of 5.6, without an effect on the 99th percentile latency; a
+value of 4 ms raises that latency at 70% load. Retired servers and data centres that are out get
+nothing even if no other replica is left: the guarantee that they get no new work outweighs one
+shard.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
     Attributes:
         remote_ms: round trip to another data centre.
-        grouping_ms: benefit of one message less.
+        grouping_ms: reduction of the score if `grouping` applies.
         default_latency_ms: assumed latency of a server without a response so far.
     """
 
--- a/libs/decisions/berylspindle_decisions/replica_health.py
+++ b/libs/decisions/berylspindle_decisions/replica_health.py
@@ -1,7 +1,7 @@
 """Track the health of one replica, and estimate the cost of sending it a sub-request.
 
 In a scatter-gather over many shards, one replica that is slow, paused, shedding load or down delays
-the whole request. Health keeps sub-requests away from it.
+the whole request. Its cost rises, so that other replicas get its sub-requests.
 
 Terms:
   slowdown         latency of the replica's responses over the usual latency of their routes
@@ -12,17 +12,17 @@
   spike            a response that took over `SPIKE_RATIO` times the slowdown, as during a pause
   shed rate        share of the latest attempts that the replica refused or failed
   cost             expected duration of an attempt, in usual latencies; the lowest is chosen
-  queueing factor  expected duration of an attempt over that at a free replica, for the queue that
-                   it was sent into; only latency beyond it raises the slowdown
+  queueing factor  expected duration of an attempt over that at a replica without a queue, by the
+                   load when it is sent; only latency beyond it raises the slowdown
 
 Flow: `on_sent`, `on_answer`, `on_refusal`, `on_failure` and `on_abandoned` record each attempt;
 `cost` is read for each choice of a replica. The load by other VMs comes from the replica's own
 reports (`load_estimate`).
 
 Guards: one pause makes two or three responses late, so only the first spike of a replica that was
-fast before counts, and it is clipped. A replica that refuses half of its requests leaves its
-back-off with each success; without the shed rate it would still get a third of the work. The
-slowdown decays over `SLOWDOWN_DECAY_S`, since a replica without traffic gives no new evidence.
+fast before counts, and it is clipped. Each success resets the duration of the back-off, so a
+replica that refuses half of its requests would still get a third of the work without the shed rate.
+The slowdown decays over `SLOWDOWN_DECAY_S`, since a replica without traffic gives no new evidence.
 """
 
 from __future__ import annotations
@@ -108,7 +108,8 @@
     def on_sent(self, attempt: object, *, late_at: float, overdue_at: float | None = None) -> None:
         """Record an attempt.
 
-        From `late_at` on it is late; from `overdue_at` on its queue doesn't explain the delay.
+        From `late_at` on it is late; from `overdue_at` on the queue at the replica no longer
+        explains the delay. Without `overdue_at`, both times are equal.
         """
         self._attempts[attempt] = (late_at, late_at if overdue_at is None else overdue_at)
 
@@ -159,16 +160,20 @@
         return self.expected_load(now) < self.slots
 
     def queueing_delay_ms(self, now: float, *, usual_ms: float) -> float:
-        """Return the expected wait of one more attempt, for the queue or the end of a refusal."""
+        """Return the milliseconds that one more attempt would wait: for the queue, or for the end
+        of the back-off after a refusal."""
         queue_ms = usual_ms * self.slowdown(now) * self._queued_per_slot(now)
         return max(queue_ms, (self._refused_until - now) * 1000)
 
     def queueing_factor(self, now: float) -> float:
-        """Return the expected duration of one more attempt over that at a free replica."""
+        """Return the expected duration of one more attempt over that without a queue."""
         return 1.0 + self._queued_per_slot(now)
 
     def is_healthy(self, now: float) -> bool:
-        """Return whether the replica is warm, not failing, and late only as its queue explains."""
+        """Return whether the replica is warm, not failing, and no later than its queue explains.
+
+        A refusal is no failure here: it shows that the replica is full.
+        """
         if now < self.cold_until:
             return False
         for _, unexplained_at in self._attempts.values():
--- a/libs/decisions/berylspindle_decisions/response_timing.py
+++ b/libs/decisions/berylspindle_decisions/response_timing.py
@@ -1,8 +1,8 @@
-"""Choose when a sub-request is hedged, and when an answer is sent without all of its parts.
+"""Compute the hedge delay of a sub-request, and decide when a partial result is sent.
 
-Load: replicas that pause for a tenth of a second every few seconds, independently of each other. A
-search over ten shards meets a pause in every third request. Waiting for it makes the answer late,
-and a hedge at the deadline of the whole request is late as well.
+Load: replicas that pause for a tenth of a second every few seconds, independently of each other.
+One in three searches over ten shards meets a pause. Waiting for its end makes the answer late, and
+a hedge that is sent only at the deadline of the whole request is late as well.
 
 Terms:
   aim      the latency target of a route, after which an answer has little value
@@ -13,16 +13,17 @@
 Flow: `hedge_timing` is called when a sub-request is sent, `decide_partial_result` after each change
 and at the latency target.
 
-Hedge delay: `HEDGE_SHARE` is the share of sub-requests that may exceed the delay. With extra
-attempts limited to a fifth, part of it kept for retries, 0.12 of hedges leaves room for the
-rejections of a replica that sheds load. A hedge needs `MIN_HEDGE_TIME_MEDIANS` usual latencies
-before the target; the delay is shortened to allow for that, since a hedge that answers too late
-only adds load.
-
-Margin: the caller's way there and back, 3 ms each, and 1 to 2 ms each before the request is read
-and after the answer is due, more where several answers are due at once. With 9 ms, one in sixty of
-the partial answers sent at the target is late by a millisecond. A new connection takes one more
-round trip.
+Hedge delay: `HEDGE_SHARE` is the share of sub-requests that exceed the delay and are hedged. Extra
+attempts are limited to 0.2 per request, and part of that is reserved for retries; a hedge share of
+0.12 leaves enough to retry what a replica rejects while it sheds load. A hedge that answers after
+the target only adds load, so the delay is shortened where it would leave less than
+`MIN_HEDGE_TIME_MEDIANS` usual latencies before the target.
+
+Margin: `RESPONSE_MARGIN_MS` covers the network between caller and VM, 3 ms in each direction, 1 to
+2 ms until the request is read, and 1 to 2 ms until an answer that is due is sent, more where
+several are due at once. With a margin of 9 ms, one in sixty of the partial answers sent at the
+target reaches the caller a millisecond late. `NEW_CONNECTION_MARGIN_MS` is added for the first
+request of a connection, which takes one more round trip.
 """
 
 from __future__ import annotations
@@ -81,9 +82,9 @@
     """Return whether to answer with the parts that have arrived.
 
     The value of an answer is the square of the share of its parts before the latency target, and
-    about a tenth after it: nine of ten parts in time are worth 0.81, all ten a moment later 0.1. At
-    the target, an answer with at least `min_parts` parts is therefore sent. Before the target, or
-    with fewer parts, waiting can only help, unless no more parts can arrive.
+    about 0.1 after it: nine of ten parts in time are worth 0.81, all ten a moment later 0.1. At the
+    target, an answer with at least `min_parts` parts is therefore sent. Before the target, or with
+    fewer parts, the request waits as long as more parts can arrive.
     """
     if parts == requested:
         return PartialResultVerdict.ANSWER
--- a/libs/decisions/berylspindle_decisions/rollout_plan.py
+++ b/libs/decisions/berylspindle_decisions/rollout_plan.py
@@ -6,11 +6,13 @@
 callers.
 
 Terms:
+  order     the operator's request that starts the rollout
   term      seconds from the order to the deadline
   trial     a small share of the requests goes to one replica of the new version, which gets a
             replica's usual load that way
   shift     all new requests go to the new version, and the old one finishes its requests
-  final     completed: the old replicas stop at once; rolled back: the new ones drain
+  final     a stage that ends the rollout: completed, where the old replicas stop at once, or rolled
+            back, where the new ones drain
 
 Flow: `trial_share` returns the share of a service's requests for the new version; `next_stage` is
 called about once a second with the verdict on the responses (`version_analysis`). A version that
@@ -78,8 +80,8 @@
     """Return the share of a service's requests that goes to the new version in the trial.
 
     `term` and the time since the order, `elapsed`, are in seconds; `rate` is the request rate of
-    all VMs per second, 0 if not known. Each VM sends this share of its own requests, whatever the
-    number of VMs.
+    all VMs per second, 0 if not known. Each VM sends this share of its own requests, so the result
+    doesn't depend on the number of VMs.
     """
     if elapsed >= DECISION_DEADLINE * term:
         return 0.0
--- a/libs/decisions/berylspindle_decisions/shared_retry_budget.py
+++ b/libs/decisions/berylspindle_decisions/shared_retry_budget.py
@@ -11,12 +11,12 @@
   slack     extras allowed in addition, for all VMs together
 
 Flow: `SharedRetryBudget.on_request` counts each request, `allows` is called before each extra and
-`take` counts it. The ratio applies to the VM's own requests, so that the sum over all VMs holds for
-any distribution of requests; the slack is divided by the number of VMs.
+`take` counts it. The ratio applies to the VM's own requests, so that all VMs together stay within
+the limit for any distribution of requests; the slack is divided by the number of VMs.
 
 Limits: counts are kept in steps. The oldest step counts in full for extras and not at all for
-requests, so that no window exceeds the limit. `SAFETY_FACTOR` leaves a part for VMs that others
-have not counted yet. The slack of a VM that has just started grows over one window, since its
+requests, so that no window exceeds the limit. `SAFETY_FACTOR` leaves a part for VMs that the others
+do not know yet. The slack of a VM that has just started grows over one window, since its
 previous process may have used it. Hedges may use `HEDGE_SHARE_MAX` of the budget, which leaves the
 rest for retries.
 """
@@ -63,7 +63,7 @@
         self.total += n
 
     def expire(self, now: float) -> None:
-        # A step holds values that are up to one step younger than its start.
+        # A step is expired by its start; its values are up to `_step_s` seconds younger.
         cutoff = now - self._step_s * self._max_steps
         while self._steps and self._steps[0][0] < cutoff:
             self.total -= self._steps.popleft()[1]
--- a/libs/decisions/berylspindle_decisions/suspicions.py
+++ b/libs/decisions/berylspindle_decisions/suspicions.py
@@ -25,7 +25,8 @@
 from berylspindle_model.control_messages import Suspicion
 from berylspindle_model.topology import View
 
-# Guardians renew a suspicion each second; six in a row are not lost by chance on all paths.
+# Guardians renew a suspicion each second, and it is unlikely that six renewals in a row are lost on
+# all paths.
 EXPIRY_S: Final = 8.0
 # Contacts come several times a second, and an age takes two rounds of probes to spread.
 UNREACHABLE_AFTER_S: Final = 5.0
@@ -138,7 +139,7 @@
         return frozenset(name for name in overdue if name != self._data_centre)
 
     def suspects(self, views: Iterable[View], now: float) -> frozenset[str]:
-        """Return the VMs to send nothing to: suspected ones, and those in unreachable centres."""
+        """Return the VMs to avoid: suspected ones, and all of unreachable data centres."""
         unreachable = self.unreachable_data_centres(now)
         unreachable_vms = {
             vm.id for view in views if view.data_centre in unreachable for vm in view.members
--- a/libs/decisions/berylspindle_decisions/version_analysis.py
+++ b/libs/decisions/berylspindle_decisions/version_analysis.py
@@ -43,7 +43,7 @@
 """Smallest fraction of the old version's responses in the control."""
 
 MIN_ANSWERS: Final = 5
-"""Responses of the new version below which it is not found sound."""
+"""Minimum number of responses of the new version to find it sound."""
 
 
 @attrs.frozen(kw_only=True)
@@ -56,8 +56,8 @@
 
 STRICT: Final = EvidenceLimits(overall=0.05, by_route=0.7)
 LENIENT: Final = EvidenceLimits(overall=0.5, by_route=1.5)
-"""LENIENT is for services with so few requests that a bad version can't exceed its exposure: STRICT
-would never get enough responses there."""
+"""LENIENT is for services with so few requests that a bad version can't exceed its exposure; they
+never have enough responses for STRICT."""
 
 _PRIOR_BAD: Final = 0.6
 _PRIOR_ANSWERS: Final = 20.0
--- a/libs/decisions/berylspindle_decisions/views.py
+++ b/libs/decisions/berylspindle_decisions/views.py
@@ -2,8 +2,8 @@
 
 Terms:
   view       the agreed members of one data centre, with an epoch that only grows
-  guardian   a member whose confirmations another member needs in order to dispatch; only guardians
-             may propose its removal
+  guardian   a member whose confirmations another member needs in order to dispatch; only the
+             guardians of a member may propose its removal
   unsettled  a removal of a member that had not released its rights before
 
 Flow: a proposer computes the next view with `with_joined` or `with_removed` and writes it to the
--- a/libs/decisions/berylspindle_decisions/warmup.py
+++ b/libs/decisions/berylspindle_decisions/warmup.py
@@ -1,8 +1,8 @@
 """Raise the concurrency limit of a backend server from cold to warm, and reset it on evidence.
 
 Load: a server that starts cold, or turns cold without notice, under full load. It can process only
-little; sent its full slots it fails, restarts cold and fails again. Its load report may lag or be
-wrong, so the report can't decide.
+little; if it is sent requests for all its slots, it fails, restarts cold and fails again. Its load
+report may lag or be wrong, so the limit can't rely on the report alone.
 
 Terms:
   cold cap    concurrent requests that a server can process during a cold start
@@ -15,16 +15,16 @@
 change of ownership hands over `WarmUpState`; without it the new owner starts at the cold cap.
 
 Steps: one step up takes 30 successes and 0.25 s. With 10 successes the slowest servers fail 5 times
-in two minutes, with 30 they fail 3 times, and fast ones serve the same load; a burst of answers
-from a cache proves little in less time. A reset within 2 s of a step doubles the successes of all
-later steps, up to 32 times; otherwise such servers fail 54 times. While the server reports cold, a
-step takes 300 successes: the report is mostly right, and a stuck one costs a busy server about a
-second a step.
-
-Resets: a rejection takes one step back, a second within 5 s all of them. Latency counts as evidence
-when 8 of the last 12 answers took over 3 times the baseline and over 5 ms more: a single slow
-answer is no evidence, and a mix of queries varies by less. After 60 s without work the cap is
-reset, which costs nothing at such a load.
+in two minutes, with 30 they fail 3 times, and fast ones serve the same load. The minimum time is
+needed since a burst of answers from a cache proves little. A reset within 2 s of a step doubles the
+successes of all later steps, up to 32 times; without this, servers that warm up more slowly than
+the ramp fail 54 times. While the server reports cold, a step takes 300 successes: the report is
+mostly right, and one that is stuck at cold delays each step of a busy server by about a second.
+
+Resets: a rejection lowers the cap by one, a second one within 5 s resets it to the cold cap.
+Latency counts as evidence when 8 of the last 12 answers took over 3 times the baseline and over
+5 ms more: a single slow answer is no evidence, and latencies of mixed queries vary by less. After
+60 s without work the cap is reset, which costs nothing at such a load.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
         slow_factor: multiple of the baseline latency above which an answer counts as slow.
         slow_floor_ms: milliseconds above the baseline that it must exceed as well.
         slow_window: number of latest answers considered.
-        slow_count: slow ones among them that reset the cap.
+        slow_count: number of slow answers among them that resets the cap.
         relearn_successes: successes at the cold cap after which a slow latency becomes the
             baseline.
         idle_s: seconds without an answer after which the cap is reset.
@@ -251,8 +251,8 @@
 
     def _penalize_step(self, now: float) -> None:
         if self._cap > self._cold and now - self._step_started < self._options.blame_s:
-            # The last step was more than the server could bear. A server that warms up more slowly
-            # than the ramp would fail at each one, so each such reset makes the steps longer.
+            # The last step overloaded the server. A server that warms up more slowly than the ramp
+            # would fail at each step, so each such reset makes the steps longer.
             self._step_factor = min(self._step_factor * 2, self._options.max_caution)
 
     def _relax_step_factor(self, now: float) -> None:
--- a/libs/decisions/berylspindle_decisions/watchers.py
+++ b/libs/decisions/berylspindle_decisions/watchers.py
@@ -2,7 +2,7 @@
 
 Each call to the store has a cost, a pending watch included, and the store's capacity grows more
 slowly than the fleet. If each of 81 VMs watches the store, every change causes some 81 calls, and a
-start with one idle minute 1,180; with two watchers per data centre it is 430.
+start followed by one idle minute 1,180; with two watchers per data centre, the latter causes 430.
 
 Terms:
   watcher   a VM whose mirror others follow; the first one follows the store, the others the first
--- a/libs/decisions/berylspindle_decisions/weighted_round_robin.py
+++ b/libs/decisions/berylspindle_decisions/weighted_round_robin.py
@@ -1,14 +1,15 @@
 """Select the service for each request of a weighted route by smooth weighted round robin.
 
 Load: a route whose requests are split between services by weight, on VMs that get about ten of its
-requests per second each. With a random draw, a service with a tenth of the weight is off its share
-by half after some hundred requests; with round robin by one request.
+requests per second each. With a random draw, a service with a tenth of the weight may get half of
+its share too few or too many of the first hundred requests; with round robin at most one request.
 
 Terms:
-  credit   requests that a service has been due and not got, in units of the sum of weights
+  credit   requests that are due to a service but went to others, times the sum of weights
 
-Flow: each request adds its weight to every service's credit and goes to the service with the most,
-which pays the sum. A random initial credit keeps VMs from starting in the same order.
+Flow: for each request, the credit of every service grows by its weight. The request goes to the
+service with the highest credit, from which the sum of weights is subtracted. Initial credits are
+random, so that VMs don't start in the same order.
 """
 
 from __future__ import annotations
