--- a/tests/decisions/test_control_plans.py
+++ b/tests/decisions/test_control_plans.py
@@ -100,7 +100,7 @@
 
 
 def test_of_two_operators_with_safe_plans_the_second_is_refused() -> None:
-    """Guards against two operators who take out one data centre each and leave a service empty.
+    """Guard against two operators who take out one data centre each and leave a service empty.
 
     Both plans have the same base revision and are safe by themselves; the first confirmation makes
     the second plan stale.
--- a/tests/decisions/test_drain_hold.py
+++ b/tests/decisions/test_drain_hold.py
@@ -6,10 +6,10 @@
 
 
 def test_a_server_that_has_ended_its_draining_gets_work_at_once() -> None:
-    """Guards against requests that expire in the queue of a server that has ended its draining.
+    """Guard against requests that expire in the queue of a server that has ended its draining.
 
-    Its owner accepts work again by the next report, while the limiter still applies the previous
-    one; searches would lack a shard and holds end in "outcome unknown".
+    Its owner accepts work again after the next report, while the limiter would still apply the
+    previous one; searches would lack a shard and holds would end in "outcome unknown".
     """
     limiter = ServerLimiter(3, 1)
     limiter.on_report(10.0, ReportState.DRAINING)
--- a/tests/decisions/test_load_admission.py
+++ b/tests/decisions/test_load_admission.py
@@ -27,9 +27,9 @@
 
 
 def test_a_few_heavy_callers_leave_room_for_the_others() -> None:
-    """Two callers send continuously, then eight others send one search each.
+    """Guard against two callers that hold all permits, so that the others are refused.
 
-    Without shares the two hold all permits and the others are refused.
+    The two send continuously, then eight others send one search each.
     """
     admission = Admission(AdmissionOptions(max_work=20))
     for _ in range(50):
@@ -50,9 +50,10 @@
 
 
 def test_each_refused_request_gets_its_own_retry_time() -> None:
-    """A permit becomes free every 20 ms, and three requests are refused together.
+    """Guard against equal Retry-After times of requests that are refused together.
 
-    With the same Retry-After all three return for one permit, and two are refused again.
+    A permit becomes free every 20 ms. If three requests return at the same time, two are refused
+    again.
     """
     admission = Admission(AdmissionOptions(max_work=4))
     for _ in range(4):
@@ -82,9 +83,10 @@
 
 
 def test_a_queueing_delay_beyond_the_deadline_is_refused_at_once() -> None:
-    """A hundred requests are queued and fifty are served per second.
+    """Guard against admitting a request that would be answered after its deadline.
 
-    A request with half a second left would wait two seconds and be answered after its deadline.
+    A hundred requests are queued and fifty are served per second, so a request with half a second
+    left would wait two seconds.
     """
     admission = Admission()
     for n in range(40):
@@ -95,7 +97,7 @@
 
 
 def test_overload_at_owners_lowers_the_limit_and_its_end_raises_it() -> None:
-    """Owners drop sub-requests, so that hardly any answer is complete.
+    """Guard against an overload in which hardly any answer is complete.
 
     Each shard drops different searches: at 125% load only one in twenty is complete over ten
     shards. The entry must reject whole searches instead.
@@ -144,9 +146,9 @@
 
 
 def test_the_only_caller_never_exceeds_its_share() -> None:
-    """The only active caller holds all permits; its refusal must be OVERLOADED.
+    """Guard against refusing the only active caller with CALLER_OVER_SHARE.
 
-    CALLER_OVER_SHARE would ask it to leave permits to other callers, and there are none.
+    That error asks it to leave permits to other callers, and there are none.
     """
     admission = Admission(AdmissionOptions(max_work=8))
     for _ in range(8):
@@ -159,9 +161,10 @@
 
 @pytest.mark.parametrize(("service_ms", "cut"), [(4.0, True), (40.0, False)])
 def test_a_queueing_delay_is_compared_with_the_service_time(service_ms: float, cut: bool) -> None:
-    """With an absolute threshold, any queue at slow servers counts as overload and idles them.
+    """Guard against an absolute threshold, by which any queue at slow servers is an overload.
 
-    A queueing delay of 100 ms is 25 service times of a fast server and 2.5 of a slow one.
+    The limit would then be cut until slow servers are idle. A queueing delay of 100 ms is 25
+    service times of a fast server and 2.5 of a slow one.
     """
     admission = Admission(AdmissionOptions(max_work=64))
     admission.on_start("desk")
--- a/tests/decisions/test_load_answers.py
+++ b/tests/decisions/test_load_answers.py
@@ -31,9 +31,10 @@
 
 
 def test_the_newest_snapshot_that_every_shard_holds_is_pinned() -> None:
-    """Replicas move to a new index version one by one.
+    """Guard against pinning the newest version of any replica while the version changes.
 
-    With the newest version of any replica, most shards refuse and each search is sent twice.
+    Replicas move to a new version one by one; most shards would refuse it, and each search would be
+    sent twice.
     """
     observed = tracker(s0a=(V1, V2), s1a=(V1,))
     assert observed.choose() == V1
@@ -50,7 +51,7 @@
 
 
 def test_a_late_reply_for_an_older_map_is_ignored() -> None:
-    """After a repartitioning, shard "0" is another part of the data, and an old reply arrives."""
+    """Guard against a late reply for an older map, in which shard "0" was other data."""
     observed = tracker(s0a=(V1,), s1a=(V1,))
     observed.set_map(2, {"0": ["0a"], "1": ["1a"], "2": ["2a"]})
     for shard in "012":
@@ -110,9 +111,9 @@
 
 
 def test_a_hedge_and_its_first_attempt_count_as_one_shard() -> None:
-    """Shard 0 answers twice, shard 2 never, and a shard of another map answers as well.
+    """Guard against counting replies, which would state a coverage of three of three.
 
-    Counting replies would state a coverage of three of three.
+    Shard 0 answers twice, shard 2 doesn't answer, and a shard of another map answers as well.
     """
     count = CoverageCount(["0", "1", "2"])
     assert [count.on_answer(s) for s in ("0", "0", "9")] == [True, False, False]
--- a/tests/decisions/test_load_extra.py
+++ b/tests/decisions/test_load_extra.py
@@ -42,15 +42,16 @@
 
 
 def test_many_stragglers_do_not_raise_the_delay_to_their_latency() -> None:
-    """A tenth of all answers are stragglers, more than the budget covers.
+    """Guard against a hedge delay as long as the latency of stragglers, 100 ms here.
 
-    The quantile that fits the budget lies among them, and a hedge after 100 ms helps nobody.
+    A tenth of all answers are stragglers, more than the budget covers, so the quantile that fits
+    the budget lies among them.
     """
     assert observed_policy(slow_share=0.1).delay_ms <= 25.0
 
 
 def test_a_saturated_service_is_not_hedged() -> None:
-    """Every backend server becomes slow under load, and hedges would only add load.
+    """Guard against hedges that add load while every backend server is slow under load.
 
     None start when a fifth exceeds the delay or most of the latency is queueing.
     """
@@ -70,9 +71,10 @@
 
 
 def test_cancelled_first_attempts_keep_the_delay_from_shrinking() -> None:
-    """The latency of a first attempt that is cancelled for its hedge is never known in full.
+    """Guard against a delay that shrinks to the latency of fast attempts, with ever more hedges.
 
-    Ignoring it lets the delay follow the fast attempts down, so that ever more hedges start.
+    A first attempt that is cancelled when its hedge answers has no full latency; if it were
+    ignored, only fast attempts would count.
     """
     policy = HedgePolicy()
     policy.on_first_attempt(200)
@@ -120,9 +122,9 @@
 
 
 def test_a_wave_of_failures_is_retried_within_the_budget() -> None:
-    """All servers shed load, a thousand sub-requests fail, and each could be retried.
+    """Guard against retries that double the load during an overload.
 
-    Without the budget the retries double the load during an overload.
+    All servers shed load, a thousand sub-requests fail, and each could be retried.
     """
     budget = RetryBudget(BudgetOptions(share=0.1, reserve=10))
     policy = RetryPolicy(budget)
--- a/tests/decisions/test_load_fair_queue.py
+++ b/tests/decisions/test_load_fair_queue.py
@@ -15,7 +15,7 @@
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=60, stateful_step_count=40
 )
-# A planted fault must be found, but need not be shrunk.
+# For tests of the state machine with a deliberate fault: it must be found, but not minimised.
 PLANTED = settings(SETTINGS, phases=(Phase.generate,), max_examples=500)
 SERVICE = 0.005
 
@@ -29,10 +29,9 @@
 
 
 def test_a_heavy_caller_does_not_delay_a_light_one() -> None:
-    """One caller sends forty searches at once, then another one sends a single search.
+    """Guard against a single search that waits for the forty that another caller sent before.
 
-    In a first-come queue the single search waits for all forty. It must be the second at the
-    latest.
+    In a FIFO queue it would. It must be served second at the latest.
     """
     queue = FairQueue[str]()
     for n in range(40):
@@ -42,10 +41,9 @@
 
 
 def test_a_full_queue_evicts_the_newest_entry_of_the_heaviest_caller() -> None:
-    """The queue is full of one caller's burst when another caller sends a request.
+    """Guard against refusing a light caller while the queue is full of another caller's burst.
 
-    Refusing it would make the light caller pay for the heavy one. The burst loses its newest entry
-    instead, and its next one is refused.
+    The burst loses its newest entry instead, and its next one is refused.
     """
     queue = FairQueue[str](FairQueueOptions(max_entries=4))
     for n in range(4):
@@ -65,9 +63,10 @@
 
 
 def test_long_entries_leave_a_slot_to_short_ones() -> None:
-    """Three entries of ten times the cost arrive at three slots, then an ordinary search.
+    """Guard against long entries that occupy all slots and block every search.
 
-    Running all three would block every search; the third must wait.
+    Three entries of ten times the cost arrive at three slots, then an ordinary search; the third
+    long entry must wait.
     """
     queue = FairQueue[str]()
     for n in range(3):
@@ -93,10 +92,9 @@
 
 
 def test_an_entry_that_cannot_meet_its_deadline_is_not_run() -> None:
-    """A burst queues more than can be served in time.
+    """Guard against a burst after which every entry is served too late.
 
-    Served in order, every entry would finish after its deadline. Those that can't be in time are
-    returned without being run.
+    Entries that can't meet their deadlines are returned without being run.
     """
     queue = FairQueue[str]()
     queue.push(0.0, "late", caller="a", deadline=0.101)
@@ -179,7 +177,8 @@
         result = self.queue.push(self.now, self.number, caller=caller, deadline=deadline, cost=cost)
         if isinstance(result, Refusal):
             assert result.run_state is RunState.NOT_RUN
-            # The heaviest caller loses an entry, of cost 6 at most, before a lighter is refused.
+            # The heaviest caller loses an entry, of cost 6 at most, before a lighter caller is
+            # refused.
             is_fair = deadline <= self.now or (was_full and own_cost + cost > heaviest - 6)
             assert is_fair, "refused, though another caller has far more queued"
             return
--- a/tests/decisions/test_load_follower_count.py
+++ b/tests/decisions/test_load_follower_count.py
@@ -15,7 +15,7 @@
 
 
 def test_a_count_rises_at_once_and_falls_with_a_delay() -> None:
-    """Guards against parts of budgets that grow while followers restart or read another mirror."""
+    """Guard against budget shares that grow while followers restart or read another mirror."""
     count = FollowerCount()
     assert count.count(0.0) == 0
     assert count.min_capacity() == 0.0
@@ -31,7 +31,7 @@
 
 
 def test_an_entry_is_written_again_only_for_large_changes() -> None:
-    """Guards against a write to the store for each new or lost follower."""
+    """Guard against a write to the store for each new or lost follower."""
     count = FollowerCount()
     record_reads(count, 0.0, 1.0, 30)
     assert count.needs_write(1.0, 0)
--- a/tests/decisions/test_load_forwarding.py
+++ b/tests/decisions/test_load_forwarding.py
@@ -28,10 +28,10 @@
 
 
 def test_a_slow_replica_loses_its_requests_within_a_second() -> None:
-    """Each search waits for the one replica of a shard that has become ten times as slow.
+    """Guard against searches that still wait for a replica that is ten times as slow.
 
-    Eight searches per second choose between it and two healthy ones, so that only few of its slow
-    answers arrive within the first second.
+    Eight searches per second choose between it and two healthy replicas, so that only few of its
+    slow answers arrive within the first second.
     """
     replicas = [health() for _ in range(3)]
     rng = random.Random(1)
@@ -62,10 +62,10 @@
 
 
 def test_a_pause_does_not_move_requests_to_other_data_centres() -> None:
-    """A pause of a tenth of a second doubles the traffic between data centres for seconds.
+    """Guard against a short pause that doubles the traffic between data centres for seconds.
 
-    Three searches wait at the local replica during one pause and are answered at its end, twelve
-    times as late as usual. The replica is fast again afterwards.
+    Three searches wait at the local replica during a pause of a tenth of a second and are answered
+    at its end, after twelve times the usual latency. The replica is fast again afterwards.
     """
     near, far = health(is_local=True), health()
     near.on_sent("before", late_at=0.0)
@@ -78,7 +78,7 @@
 
 
 def test_a_local_replica_that_stays_slow_loses_its_requests_within_half_a_second() -> None:
-    """A replica becomes ten times as slow and keeps its requests, as if it had only paused."""
+    """Guard against a replica, ten times as slow, that is treated as if it had only paused."""
     near, far = health(is_local=True), health()
     now = 0.0
     while near.cost(now, uniform=0.0) < far.cost(now, uniform=0.9):
@@ -89,10 +89,10 @@
 
 
 def test_one_slow_answer_of_a_seldom_used_replica_is_enough() -> None:
-    """Each of eighty VMs uses the same slow replica again and again, two seconds apart.
+    """Guard against treating the slow answer of a seldom used replica as a pause.
 
-    Its one answer takes five times as long and no recent one was fast. If that counts as a pause,
-    the replica keeps the requests of its data centre.
+    Each of eighty VMs uses the replica once in two seconds. A slow answer counts as a pause only
+    after a recent fast one; otherwise the slow replica would keep the requests of its data centre.
     """
     near, far = health(is_local=True), health()
     near.on_sent("a", late_at=0.05)
@@ -108,7 +108,7 @@
 
 
 def test_a_replica_that_keeps_refusing_is_tried_less_and_less() -> None:
-    """A replica that sheds load costs each search an arrival and a round trip."""
+    """Guard against searches that each lose a round trip to a replica that sheds load."""
     replica = health()
     now, asked = 0.0, []
     while now < 10.0:
@@ -140,10 +140,10 @@
 def test_all_vms_together_stay_within_the_budget_in_every_window(
     seed: int, vms: int, rate: float, bad: float
 ) -> None:
-    """VMs that hedge independently send a degraded service twice its load.
+    """Guard against VMs that hedge independently and double the load of a degraded service.
 
-    Requests are uneven over the VMs, each may need up to two extra attempts, and many windows of
-    ten seconds are checked.
+    Requests are spread unevenly over the VMs, each request may need up to two extra attempts, and
+    many windows of ten seconds are checked.
     """
     rng = random.Random(seed)
     budgets = [SharedRetryBudget(BOUNDS, started=0.0) for _ in range(vms)]
@@ -167,9 +167,10 @@
 
 
 def test_vms_that_spend_their_whole_budget_leave_a_twentieth_for_uncounted_vms() -> None:
-    """A degraded service gets one arrival more than the budget allows, at steady load.
+    """Guard against one arrival more than the budget allows at a degraded service.
 
-    Eight VMs get a hundred requests per second together and spend their whole budget.
+    Eight VMs get a steady hundred requests per second together and spend their whole budget; a
+    twentieth must be left for VMs that are not counted yet.
     """
     budgets = [SharedRetryBudget(BOUNDS, started=-60.0) for _ in range(8)]
     spent: list[float] = []
@@ -203,10 +204,10 @@
 
 
 def test_a_vm_that_has_just_started_may_not_use_its_whole_slack() -> None:
-    """Eight VMs are killed and restarted, and each uses its whole slack once more.
+    """Guard against restarted VMs that each use their whole slack once more.
 
-    The extra attempts of the previous processes still count, so a new process gets less than half
-    of the slack at once and all of it only after one window.
+    The extra attempts of the previous processes still count in the window, so a new process gets
+    less than half of the slack at once and all of it only after one window.
     """
     spent_at_start = spend_all_at(SharedRetryBudget(BOUNDS, started=0.0), 0.1)
     assert 0.3 * BOUNDS.slack < spent_at_start < 0.45 * BOUNDS.slack
@@ -214,10 +215,10 @@
 
 
 def test_a_replica_that_sheds_most_requests_gets_few_while_others_are_healthy() -> None:
-    """Searches spend the whole retry budget on one replica that refuses six of ten.
+    """Guard against spending the whole retry budget on one replica that refuses six of ten.
 
-    Each success ends its backoff, which alone would leave it a third of all requests; it must get a
-    tenth at most.
+    Each success resets the duration of its backoff, so with the backoff alone it would get a third
+    of all requests; it must get a tenth at most.
     """
     replicas = [health() for _ in range(3)]
     rng = random.Random(3)
@@ -242,7 +243,7 @@
 
 
 def test_the_hedge_delay_fits_each_kind_of_request() -> None:
-    """A delay that fits long requests detects no straggler among short ones."""
+    """Guard against one delay that fits long requests and detects no straggler among short ones."""
     rng = random.Random(2)
     short = profile_of(*(rng.lognormvariate(1.5, 0.35) for _ in range(300)))
     long = profile_of(*(rng.lognormvariate(3.0, 0.35) for _ in range(300)))
--- a/tests/decisions/test_load_hedged_request.py
+++ b/tests/decisions/test_load_hedged_request.py
@@ -26,7 +26,7 @@
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=150, stateful_step_count=40
 )
-# A planted fault must be found, but need not be shrunk.
+# For tests of the state machine with a deliberate fault: it must be found, but not minimised.
 PLANTED = settings(SETTINGS, phases=(Phase.generate,), max_examples=600)
 REPLICAS = ("r1", "r2", "r3")
 HEDGE_S = 0.05
@@ -83,7 +83,7 @@
 
 
 def test_a_not_idempotent_request_is_never_hedged_or_retried_after_a_lost_connection() -> None:
-    """A request that is not idempotent runs twice because its first answer was late or lost."""
+    """Guard against a second run of a request whose first answer was late or lost."""
     policy, request = ScriptedPolicy(), new_request(repeatable=False)
     attempt = send(request, 0.0, policy, "first")
     assert request.step(0.5, policy) == WaitUntil(1.0)
@@ -97,13 +97,13 @@
     policy, request = ScriptedPolicy(), new_request(repeatable=False)
     attempt = send(request, 0.0, policy, "first")
     request.on_failure(0.01, attempt, end, refused=end is AttemptOutcome.NOT_RUN)
-    # An attempt that was never sent is no arrival, so the next one is still the first.
+    # An attempt that was never sent adds no load, so the next one is still the first.
     send(request, 0.01, policy, "first" if end is AttemptOutcome.NOT_SENT else "retry")
     assert policy.taken == (end is AttemptOutcome.NOT_RUN)
 
 
 def test_the_backoff_grows_while_all_replicas_refuse_connections() -> None:
-    """All answers of a VM are late while the three replicas of one shard are down.
+    """Guard against a VM whose answers are all late while the three replicas of a shard are down.
 
     Each refuses connections within a millisecond, and without a backoff every request over the
     shard reconnects as fast as it can until its deadline.
@@ -127,7 +127,7 @@
 
 
 def test_the_backoff_grows_while_all_replicas_refuse_requests() -> None:
-    """Three replicas that shed load get thousands of arrivals per second from retries."""
+    """Guard against thousands of retries per second at three replicas that shed load."""
     policy, request = ScriptedPolicy(), new_request(max_runs=4, deadline=2.0)
     now, arrivals = 0.0, 0
     while now < 2.0:
@@ -168,7 +168,7 @@
 
 
 def test_a_request_fails_soon_when_the_retry_budget_stays_exhausted() -> None:
-    """A search waits a whole second for retry budget before it fails.
+    """Guard against a search that waits for retry budget until its deadline and then fails.
 
     If it fails sooner, its caller can still retry through another VM.
     """
--- a/tests/decisions/test_load_limiter.py
+++ b/tests/decisions/test_load_limiter.py
@@ -19,7 +19,7 @@
 SETTINGS = settings(
     derandomize=True, deadline=None, database=None, max_examples=60, stateful_step_count=50
 )
-# A planted fault must be found, but need not be shrunk.
+# For tests of the state machine with a deliberate fault: it must be found, but not minimised.
 PLANTED = settings(SETTINGS, phases=(Phase.generate,), max_examples=500)
 SLOTS, COLD = 4, 1
 STEP = 5
@@ -44,9 +44,10 @@
 
 
 def test_a_reset_after_a_step_makes_the_next_steps_longer() -> None:
-    """A server warms up more slowly than the ramp and fails at each one.
+    """Guard against a server that warms up more slowly than the ramp and fails at each step.
 
-    With the same ramp each time it would never serve, so the steps double with each reset.
+    With the same ramp each time it would never get warm, so each reset doubles the successes that a
+    step requires.
     """
     limiter = ServerLimiter(SLOTS, COLD)
     now = 0.0
@@ -66,9 +67,9 @@
 
 
 def test_quick_answers_alone_do_not_raise_the_limit() -> None:
-    """A server that has just started answers from a cache, thirty times in a few milliseconds.
+    """Guard against a burst of answers from a cache that raises the limit of a cold server.
 
-    That warms little of what a search uses, so a step also takes its minimum time.
+    Such answers warm little of what a search uses, so a step also takes its minimum time.
     """
     limiter = ServerLimiter(SLOTS, COLD)
     for _ in range(30):
@@ -81,9 +82,10 @@
 
 @pytest.mark.parametrize("kind", [FailureKind.RESET, FailureKind.REFUSED])
 def test_a_lost_connection_resets_the_limit(kind: FailureKind) -> None:
-    """A warm server restarts without notice: its connections break, and new ones work at once.
+    """Guard against a restarted, cold server that gets requests for all its slots.
 
-    Sent its full slots it would fail again, so the first broken connection resets the limit.
+    It restarts without notice: its connections break, and new ones work at once. The first broken
+    connection must reset the limit.
     """
     limiter, now = warm_limiter()
     limiter.on_connection_failure(now, kind)
@@ -101,9 +103,9 @@
 
 
 def test_a_server_that_stays_slow_gets_its_slots_back() -> None:
-    """A server becomes slow permanently, for example on a weaker machine.
+    """Guard against a server that becomes permanently slow and stays at one slot forever.
 
-    Compared with its old baseline it would stay at one slot forever.
+    Its latency, for example on a weaker machine, is always slow compared with its old baseline.
     """
     limiter, now = warm_limiter()
     now = serve(limiter, now, 3, latency_ms=100.0)
@@ -129,10 +131,10 @@
 
 
 def test_a_report_stuck_at_cold_does_not_keep_the_limit_low() -> None:
-    """A load report lags and says cold long after the server has warmed up.
+    """Guard against a load report that is stuck at cold and keeps a warm server at one slot.
 
-    If each report reset the limit, the server would stay at one slot for as long as the report is
-    stuck. Only the change resets it; the report makes the steps longer.
+    That would happen if each report reset the limit. Only a change of the reported state resets it;
+    further reports make the steps longer.
     """
     limiter, now = warm_limiter()
     limiter.on_report(now, ReportState.COLD)
@@ -144,10 +146,10 @@
 
 
 def test_a_server_that_reports_cold_needs_more_successes_per_step() -> None:
-    """A server that has just started is overloaded after its first ten answers.
+    """Guard against a cold server that is overloaded after its first fast answers.
 
-    Its new owner reads its report, sends one request at a time, and the answers are fast; the
-    server is warm only after many more.
+    Its new owner gets its report and sends one request at a time; the server is warm only after
+    many more answers.
     """
     limiter = ServerLimiter(SLOTS, COLD)
     limiter.on_report(0.0, ReportState.COLD)
@@ -156,10 +158,10 @@
 
 
 def test_reported_external_work_lowers_the_limit_temporarily() -> None:
-    """Two owners send to one server, because one of them resumed after a pause.
+    """Guard against two owners that together overload a server, as one resumed after a pause.
 
-    The report shows more in flight than this owner sent, which lowers the limit until the report
-    is old.
+    The report shows more requests in flight than this owner sent, which lowers the limit for a
+    second after the report.
     """
     limiter, now = warm_limiter()
     limiter.on_report(now, ReportState.WARM, in_flight=SLOTS + 2)
@@ -199,7 +201,7 @@
         self.limiter = ServerLimiter(SLOTS, COLD, LimiterOptions(warm_up=warm_up))
         self.now = 0.0
         self.in_flight = 0
-        self.successes = 0  # since the last evidence of coldness
+        self.successes = 0  # since the last evidence of a cold server
         self.handed_cap = COLD
 
     def expect_cold(self) -> None:
--- a/tests/decisions/test_load_loss_reports.py
+++ b/tests/decisions/test_load_loss_reports.py
@@ -36,14 +36,14 @@
 
 
 def test_many_vms_lose_a_third_fewer_requests_when_they_share_losses() -> None:
-    """Guards against one lost booking per VM and replica."""
+    """Guard against one lost booking per VM and replica."""
     alone = sum(lost_bookings(vms=195, shared=False, seed=seed) for seed in range(20))
     shared = sum(lost_bookings(vms=195, shared=True, seed=seed) for seed in range(20))
     assert shared <= 2 * alone / 3
 
 
 def test_a_loss_expires_and_is_reported_with_its_age() -> None:
-    """Guards against a healthy replica that is avoided for ever, as VMs echo reports of a loss."""
+    """Guard against avoiding a replica for ever because VMs repeat each other's reports."""
     one, peer = LossReports(), LossReports()
     one.on_loss(10.0, "i-1")
     assert one.is_lossy(10.0, "i-1")
@@ -58,7 +58,7 @@
 
 
 def test_a_report_is_bounded_and_holds_the_latest_losses() -> None:
-    """Guards against messages that grow with the replicas of a failed data centre."""
+    """Guard against messages that grow with the replicas of a failed data centre."""
     reports = LossReports()
     for number in range(3 * MAX_REPORTED):
         reports.on_loss(10.0 + number / 1000, f"i-{number}")
--- a/tests/decisions/test_load_overload.py
+++ b/tests/decisions/test_load_overload.py
@@ -47,21 +47,24 @@
 
 
 def test_everything_is_rejected_when_queues_take_the_whole_latency_target():
-    """In a burst every answer is late, because each request waits behind others that are late."""
+    """Guard against a burst in which every request waits behind others that are already late."""
     assert admitted_share(AdmissionController(), attrs.evolve(HIGH_PRIORITY, pressure=1.1)) == 0.0
 
 
 def test_the_rejected_share_grows_with_the_pressure():
-    """All VMs see the same queues; with one threshold they would all reject, then all admit."""
+    """Guard against one threshold, at which all VMs reject and then all admit.
+
+    All VMs see the same queues.
+    """
     shares = [proportional_share(x / 100) for x in range(150)]
     assert shares == sorted(shares)
     assert max(b - a for a, b in itertools.pairwise(shares)) < 0.03
 
 
 def test_the_rejected_share_grows_while_queues_stay_long():
-    """At twice the capacity, the proportional term alone settles at long queues.
+    """Guard against long queues that persist, as with the proportional term alone.
 
-    Queues of 0.6 of the latency target reject nothing at first, but half after a second.
+    At a pressure of 0.6 nothing is rejected at first, but over half of the requests after a second.
     """
     controller = AdmissionController()
     overloaded = attrs.evolve(HIGH_PRIORITY, pressure=0.6)
@@ -73,7 +76,7 @@
 
 
 def test_a_vm_with_few_requests_rejects_nothing_half_a_second_after_a_burst():
-    """One of seventy VMs gets few requests, and keeps rejecting for seconds after a burst."""
+    """Guard against a VM with few requests that still rejects for seconds after a burst."""
     controller = AdmissionController()
     for step in range(300):
         controller.admit(step / 100, attrs.evolve(HIGH_PRIORITY, pressure=1.2), uniform=0.5)
@@ -82,10 +85,10 @@
 
 @pytest.mark.parametrize("pressure", [0.7, 0.8, 0.9, 1.0, 1.3])
 def test_low_priority_gets_no_more_than_high_priority_and_is_not_starved(pressure: float):
-    """A search is rejected while a check of lower priority on the same shards is admitted.
+    """Guard against rejecting a search while a check of lower priority is admitted.
 
-    The check needs fewer shards, so its own pressure is low. More checks must be rejected, and yet
-    one in four admitted for as long as the pressure lasts.
+    The check needs fewer of the same shards, so its own pressure is low. A larger share of checks
+    than of searches must be rejected, but one in four must be admitted while the pressure lasts.
     """
     controller = AdmissionController()
     high_priority = attrs.evolve(HIGH_PRIORITY, pressure=pressure)
@@ -134,7 +137,7 @@
 def test_rejected_callers_retry_within_their_time_and_spread_out(
     added: float, left: float, rng: list[float]
 ):
-    """Callers that are rejected together with one Retry-After return together as a burst."""
+    """Guard against a common Retry-After, after which all rejected callers return as a burst."""
     waits = [retry_after_ms(queueing_delay_ms=added, left_ms=left, uniform=u) for u in rng]
     assert all(0 <= wait <= left * RETRY_AFTER_MAX_SHARE for wait in waits)
     assert all(wait >= min(added, left * RETRY_AFTER_MAX_SHARE) - 1 for wait in waits)
@@ -143,7 +146,7 @@
 
 
 def test_requests_sent_since_a_report_are_counted():
-    """Eight VMs see a report of an idle replica and all keep sending to it."""
+    """Guard against VMs that all keep sending to a replica whose last report was idle."""
     replica = ReplicaHealth(slots=2, is_local=False)
     replica.on_sent("a", late_at=9.0)
     replica.on_report(0.0, running=1, waiting=0, slots=2)
@@ -154,7 +157,7 @@
 
 
 def test_the_estimate_decays_from_a_stale_report_to_the_mean():
-    """A replica that is always busy looks idle to a VM that uses it three times per second."""
+    """Guard against a busy replica that looks idle to a VM that uses it three times a second."""
     load = LoadEstimate()
     for step in range(40):
         load.on_report(step / 3, total=6 if step % 4 else 0, own=0)
@@ -169,7 +172,7 @@
 
 
 def test_latency_caused_by_a_queue_does_not_count_against_the_replica():
-    """In a burst all answers are late, and the replica with the longest queue looks slow."""
+    """Guard against a replica that counts as slow because it has the longest queue in a burst."""
     replica = ReplicaHealth(slots=2, is_local=False)
     for attempt in range(6):
         replica.on_sent(attempt, late_at=9.0)
@@ -191,7 +194,10 @@
 
 
 def test_a_replica_that_refuses_is_full_and_one_that_fails_is_not_healthy():
-    """A shard whose replicas all shed load looks like one without queues, and gets more."""
+    """Guard against more requests for a shard whose replicas all shed load.
+
+    If they counted as not healthy, as failing ones do, the shard would look as if it had no queues.
+    """
     full, failing = ReplicaHealth(slots=2, is_local=False), ReplicaHealth(slots=2, is_local=False)
     for replica in (full, failing):
         replica.on_sent("a", late_at=9.0)
--- a/tests/decisions/test_load_quarantine.py
+++ b/tests/decisions/test_load_quarantine.py
@@ -31,7 +31,7 @@
 
 
 def test_a_request_that_crashes_servers_runs_on_one_more_and_then_nowhere() -> None:
-    """Guards against a search that crashes each server that runs it, retried by its caller.
+    """Guard against a search that crashes each server that runs it, retried by its caller.
 
     The first scatter-gather crashes one replica of each shard, the canary one more; after that the
     search is refused, for longer each time.
@@ -48,7 +48,7 @@
 
 
 def test_a_suspect_has_one_canary_at_a_time() -> None:
-    """Guards against a retry at once, whose second canary would crash another server."""
+    """Guard against a retry at once, whose second canary would crash another server."""
     quarantine = quarantine_after_strikes()
     assert quarantine.decide(3.0, BAD) is RunMode.CANARY
     assert refusal(quarantine.decide(3.5, BAD)).retry_after == 1500
@@ -60,7 +60,7 @@
 
 
 def test_a_request_that_was_only_in_flight_with_a_bad_one_is_cleared_by_its_canary() -> None:
-    """Guards against refusing a harmless search that ran on the same ten servers as the bad one.
+    """Guard against refusing a harmless search that ran on the same ten servers as the bad one.
 
     It becomes a suspect too, runs as a canary, succeeds, and is cleared.
     """
@@ -82,7 +82,7 @@
 
 
 def test_strikes_at_two_vms_before_their_exchange_are_combined() -> None:
-    """Guards against a retry that reaches another VM before the first VM's record does."""
+    """Guard against a retry that reaches another VM before the first VM's record does."""
     quarantine, peer = quarantine_after_strikes(), Quarantine()
     peer.on_connection_lost(0.05, BAD, "t0", elapsed_ms=5)
     quarantine.merge(peer.export(0.1), 0.1)
@@ -120,7 +120,7 @@
 
 
 def test_records_reach_other_vms() -> None:
-    """Guards against retries that reach other VMs."""
+    """Guard against retries that reach other VMs."""
     quarantine, peer = quarantine_after_strikes(), Quarantine()
     assert peer.merge(quarantine.export(0.1), 0.1)
     assert not peer.merge(quarantine.export(0.2), 0.2), "known records must not be passed on again"
@@ -142,7 +142,7 @@
 
 
 def test_records_that_are_exchanged_repeatedly_still_expire() -> None:
-    """Guards against records that never expire, as each exchange adds its transit time."""
+    """Guard against records that never expire, as each exchange adds its transit time."""
     quarantine, peer = quarantine_after_strikes(), Quarantine()
     for n in range(299):
         peer.merge(quarantine.export(float(n)), n + 0.4)
@@ -162,7 +162,7 @@
 
 
 def test_owners_refuse_a_second_scatter_gather_before_gossip_arrives() -> None:
-    """Guards against a retry at an entry VM without the record, which sends it to all shards.
+    """Guard against a retry at an entry VM without the record, which sends it to all shards.
 
     The owners had the strikes and refuse it, so no further server is lost. Its canary may run.
     """
@@ -180,7 +180,7 @@
 
 
 def test_a_refused_suspect_is_not_quarantined_by_the_record_of_its_one_strike() -> None:
-    """Guards against refusing a harmless search everywhere after a single strike.
+    """Guard against refusing a harmless search everywhere after a single strike.
 
     A server crashed by itself during the search. Its owner refuses the search of an entry VM
     without the record, and only then does this entry VM get the record of the one strike.
--- a/tests/decisions/test_load_reachability.py
+++ b/tests/decisions/test_load_reachability.py
@@ -15,7 +15,7 @@
 
 
 def test_a_vm_whose_attempts_at_other_data_centres_all_fail_is_isolated() -> None:
-    """Guards against VMs of an isolated data centre that keep sending to unreachable replicas."""
+    """Guard against VMs of an isolated data centre that keep sending to unreachable replicas."""
     reach = Reachability("a")
     for name in "bcd":
         reach.on_contact(0.0, name)
@@ -42,7 +42,7 @@
 
 
 def test_rare_attempts_at_reachable_data_centres_do_not_count_as_isolation() -> None:
-    """Guards against a VM that refuses callers because one other data centre is isolated.
+    """Guard against a VM that refuses callers because one other data centre is isolated.
 
     The VM has just started, prefers its own data centre, and has rare contacts with the others.
     """
@@ -66,7 +66,7 @@
 
 
 def test_a_slow_or_rarely_used_data_centre_is_not_unreachable() -> None:
-    """Guards against a VM that refuses all callers for slow replicas or one lost packet."""
+    """Guard against a VM that refuses all callers for slow replicas or one lost packet."""
     reach = Reachability("a")
     for tenth in range(40):
         now = tenth / 10
@@ -87,7 +87,7 @@
 
 
 def test_an_isolation_report_holds_until_the_next_contact() -> None:
-    """Guards against VMs of an isolated data centre that alternate between ready and unready."""
+    """Guard against VMs of an isolated data centre that alternate between ready and unready."""
     reach = Reachability("a")
     reach.on_contact(0.0, "b")
     reach.on_isolation_report(1.0, until=3.5)
@@ -101,7 +101,7 @@
 
 
 def test_a_vm_with_contacts_ignores_an_isolation_report() -> None:
-    """Guards against one VM with a broken link that makes its whole data centre unready."""
+    """Guard against one VM with a broken link that makes its whole data centre unready."""
     reach = Reachability("a")
     reach.on_isolation_report(1.0, until=3.5)
     reach.on_contact(1.2, "b")
@@ -125,7 +125,7 @@
 
 
 def test_unanswered_probes_show_isolation_before_attempts_do() -> None:
-    """Guards against detecting an isolation so late that callers are refused a second longer."""
+    """Guard against detecting an isolation so late that callers are refused a second longer."""
     reach = reach_with_probes(1.0, "b", "c", "d")
     assert not reach.is_isolated(1.15)
     assert reach.is_isolated(1.21)
@@ -142,7 +142,7 @@
 
 
 def test_unanswered_probes_are_ignored_before_the_first_contact() -> None:
-    """Guards against VMs that refuse all callers after a power failure: no peer listens yet."""
+    """Guard against VMs that refuse all callers after a power failure, before any peer runs."""
     reach = Reachability("a")
     for name in "bc":
         reach.on_probe(0.0, name)
--- a/tests/decisions/test_load_relay.py
+++ b/tests/decisions/test_load_relay.py
@@ -24,7 +24,7 @@
 
 
 def test_a_small_vm_relays_its_searches_to_large_ones_and_a_large_one_keeps_its_own() -> None:
-    """Guards against searches over 36 shards that queue on the 20 Mbit/s link of a small VM."""
+    """Guard against searches over 36 shards that queue on the 20 Mbit/s link of a small VM."""
     choice = RelayChoice(0.516)
     rng = random.Random(1)
     counts = Counter(pick(choice, u=rng.random()) for _ in range(100))
@@ -37,7 +37,7 @@
 
 
 def test_searches_spread_by_load_and_stay_on_the_vm_while_large_ones_are_busy() -> None:
-    """Guards against small VMs that all choose one large VM while the other is idle."""
+    """Guard against small VMs that all choose one large VM while the other is idle."""
     choice = RelayChoice(0.516)
     first = pick(choice)
     assert first is not None
@@ -62,7 +62,7 @@
 
 
 def test_the_parts_of_a_cluster_wide_limit_add_up_to_one() -> None:
-    """Guards against parts that together exceed a limit of a replica.
+    """Guard against parts that together exceed a limit of a replica.
 
     The replica would reset connections, or be overloaded while it is cold.
     With an even split among 81 VMs, a merger would have one connection and no hedged requests.
@@ -79,7 +79,7 @@
 
 
 def test_searches_of_a_data_centre_without_replicas_are_merged_near_them() -> None:
-    """Guards against 42 messages over the links between data centres for one response."""
+    """Guard against 42 messages over the links between data centres for one response."""
     near, far = RelayVm("near", 2.15), RelayVm("far", 2.15, missing_share=1.0)
     for own in (0.516, 2.15):
         choice = RelayChoice(own)
@@ -99,7 +99,7 @@
 
 
 def test_searches_stay_in_their_data_centre_while_mergers_near_the_replicas_are_busy() -> None:
-    """Guards against callers that wait for three VMs of one data centre while others are idle."""
+    """Guard against callers that wait for three VMs of one data centre while others are idle."""
     choice = RelayChoice(0.516)
     mergers = (RelayVm("near", 2.15), RelayVm("here", 2.15, missing_share=1.0))
     choice.on_report(0.0, "near", 30)
--- a/tests/decisions/test_load_replicas.py
+++ b/tests/decisions/test_load_replicas.py
@@ -21,7 +21,7 @@
 
 
 def test_a_slow_replica_is_avoided_and_the_others_share_the_work() -> None:
-    """Guards against a random choice, which sends a third to the slow one of three replicas.
+    """Guard against a random choice, which sends a third to the slow one of three replicas.
 
     Over ten shards nearly every response would wait for a slow replica.
     """
@@ -46,7 +46,7 @@
 
 
 def test_last_resorts_come_last_and_unusable_replicas_are_excluded() -> None:
-    """Guards against new work for retired servers or data centres that are out."""
+    """Guard against new work for retired servers or data centres that are out."""
     views = (
         view("out", is_usable=False, latency_ms=0.1),
         view("ejected", is_ejected=True, latency_ms=0.1),
@@ -103,7 +103,7 @@
 
 
 def test_a_slow_server_whose_attempts_are_all_hedged_is_ejected() -> None:
-    """Guards against a slow server whose attempts are all cancelled after 30 ms for their hedges.
+    """Guard against a slow server whose attempts are all cancelled after 30 ms for their hedges.
 
     Without responses, its latency on record would stay as good as before it became slow.
     """
@@ -132,7 +132,7 @@
 
 
 def test_a_common_fault_ejects_a_third_at_most_and_no_whole_shard() -> None:
-    """Guards against ejecting all replicas of a bad release, which overloads the last ones.
+    """Guard against ejecting all replicas of a bad release, which overloads the last ones.
 
     At most a third is ejected, and each shard keeps a replica.
     """
--- a/tests/decisions/test_load_rollout.py
+++ b/tests/decisions/test_load_rollout.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("kind", ["start", "later", "one route", "load"])
 def test_a_bad_version_is_rolled_back_within_its_exposure(kind: str) -> None:
-    """Guards against completing a version that fails later, on one route or under load."""
+    """Guard against completing a version that fails later, on one route or under load."""
     runs = [simulate_rollout(Version(kind=kind, share=0.4), BUSY, seed=seed) for seed in SEEDS]
     assert all(run.stage is Stage.ROLLED_BACK for run in runs)
     assert all(run.exposed <= run.allowed for run in runs)
@@ -50,7 +50,7 @@
 
 
 def test_a_version_that_is_bad_on_one_route_is_detected() -> None:
-    """Guards against evaluating only the total, where the control's pauses mask a single route."""
+    """Guard against evaluating only the total, where the control's pauses mask a single route."""
     routes = {
         "whole": AnswerCounts(70, 5, {"a": (700, 50)}),
         "quick": AnswerCounts(12, 8, {"a": (120, 6)}),
@@ -98,7 +98,7 @@
     rate=st.floats(min_value=0.0, max_value=500.0), term=st.floats(min_value=4.0, max_value=60.0)
 )
 def test_the_trial_share_stays_within_the_exposure(rate: float, term: float) -> None:
-    """Guards against a trial that continues after the decision deadline, or exceeds in pulses."""
+    """Guard against a trial after the decision deadline, or pulses that exceed the exposure."""
     bounds = ExposureBounds()
     steps = [n * 0.05 for n in range(int(term / 0.05))]
     shares = [trial_share(bounds, term=term, rate=rate, elapsed=at) for at in steps]
@@ -113,7 +113,7 @@
     lag=st.integers(min_value=1, max_value=200),
 )
 def test_all_vms_together_stay_within_the_exposure(data: st.DataObject, vms: int, lag: int) -> None:
-    """Guards against VMs that each use the whole slack, or use it on outdated counts."""
+    """Guard against VMs that each use the whole slack, or divide it by outdated counts."""
     bounds = ExposureBounds()
     requests, tried = [0] * vms, [0] * vms
     rng = data.draw(st.randoms(use_true_random=False))
@@ -133,7 +133,7 @@
 
 
 def test_a_trial_stays_within_the_exposure_in_a_burst() -> None:
-    """Guards against a share computed for the usual rate that exceeds the slack in a burst."""
+    """Guard against a share computed for the usual rate that exceeds the slack in a burst."""
     runs = [simulate_rollout(Version(), BUSY, seed=seed, fault=Fault.BURST) for seed in SEEDS]
     assert all(run.exposed <= run.allowed for run in runs if run.stage is Stage.ROLLED_BACK)
     bad = Version(kind="start", share=0.1)
@@ -142,7 +142,7 @@
 
 
 def test_a_slow_old_replica_does_not_hide_a_bad_version() -> None:
-    """Guards against a shift to a bad version while an old replica is slow."""
+    """Guard against a shift to a bad version while an old replica is slow."""
     bad = Version(kind="later", share=0.3)
     runs = [simulate_rollout(bad, BUSY, seed=seed, fault=Fault.OLD_SLOW) for seed in SEEDS]
     assert sum(run.stage is Stage.ROLLED_BACK for run in runs) >= 23
--- a/tests/decisions/test_log_rate_limiter.py
+++ b/tests/decisions/test_log_rate_limiter.py
@@ -8,7 +8,7 @@
 
 
 def test_the_lines_of_many_refusals_are_limited_and_hide_no_other_kind() -> None:
-    """A minute of overload fills a disk with log lines, which hide the few late requests."""
+    """Guard against an overload whose log lines fill the disk and hide the few late requests."""
     limiter = LogRateLimiter()
     written: Counter[LineKind] = Counter()
     for millisecond in range(60_000):
--- a/tests/decisions/test_watchers.py
+++ b/tests/decisions/test_watchers.py
@@ -18,7 +18,7 @@
 
 
 def test_the_removal_of_a_vm_changes_no_other_watcher() -> None:
-    """Guards against eighty VMs that switch to other mirrors because one VM was replaced."""
+    """Guard against eighty VMs that switch to other mirrors because one VM was replaced."""
     names = [f"vm-{number}" for number in range(20)]
 
     def without(removed: str) -> tuple[str, ...]:
