--- a/libs/store/berylspindle_store/claim_leases.py
+++ b/libs/store/berylspindle_store/claim_leases.py
@@ -6,7 +6,8 @@
 
 Flow: a lease is granted for `min_ttl` plus the sharing period and never renewed. A claim bound to
 it within the sharing period is kept for at least `min_ttl`; then the store deletes it, even if the
-VM no longer exists. One grant per sharing period replaces a lease per claim or a clean-up task.
+VM no longer exists. This takes one grant per sharing period, and neither a lease for each claim nor
+a clean-up task.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 
 from berylspindle_store.store import Store
 
-# A lease is replaced this fraction of the sharing period before the period's end, so that a claim
-# that begins just before the end does not get its reply after it and is not refused.
+# Last fraction of the sharing period, in which new claims already get a new lease. Otherwise the
+# reply to a claim that begins just before the end could arrive after it, and the claim would be
+# refused.
 _REPLACEMENT_MARGIN: Final = 0.1
 
 
@@ -68,7 +70,8 @@
         return current
 
     async def _grant(self, min_ttl: float) -> SharedLease:
-        # The store starts the TTL later than this, so the computed end is never too late.
+        # The store starts the TTL after this time, so a claim that is bound before `bind_before`
+        # is kept for at least `min_ttl`.
         started = self._now()
         granted = await self._store.grant_lease(min_ttl + self._share_for)
         lease = SharedLease(id=granted.id, bind_before=started + self._share_for)
--- a/libs/store/berylspindle_store/claims.py
+++ b/libs/store/berylspindle_store/claims.py
@@ -28,11 +28,11 @@
 
 A lease that expires while its holder is paused could also lead to two dispatches: the key is free,
 a retry claims it, and then the paused VM resumes. Two bounds prevent this. A dispatch must begin
-before `dispatch_before`, which is half of the claim's validity after a time taken before the write,
-on the VM's monotonic clock. And a claim is kept for one and a half times its validity, so that a
-retry that is sent just within the validity, and whose write is delayed, still finds the claim for
-as long as the retry could be dispatched. A retry after the validity counts as a new request;
-callers must not send it.
+before `dispatch_before`: half of the claim's validity, counted on the VM's monotonic clock from a
+time before the write. And a claim is kept for one and a half times its validity: a retry that is
+sent at the end of the validity, and whose write is delayed, still finds the claim for as long as
+the retry could be dispatched. A retry after the validity counts as a new request; callers must not
+send it.
 """
 
 from __future__ import annotations
@@ -171,7 +171,7 @@
         return await self._pending.store_outcome(claim, finished)
 
     async def release(self, claim: Claim) -> None:
-        """Free the key of a claim whose request was not run: never sent, or refused unrun.
+        """Free the key of a claim whose request was not sent or was refused as not run.
 
         If the store is unavailable, `retry_pending` repeats the release.
         """
--- a/libs/store/berylspindle_store/connections.py
+++ b/libs/store/berylspindle_store/connections.py
@@ -1,6 +1,7 @@
 """Connection pool for calls to the platform, with its timeouts and limits.
 
-All clients of the platform, in the product's protocol or another one, use this pool.
+All clients of the platform use this pool, both those of the protocol in `routes` and those of an
+adapter for another protocol.
 """
 
 from __future__ import annotations
--- a/libs/store/berylspindle_store/http_store.py
+++ b/libs/store/berylspindle_store/http_store.py
@@ -34,8 +34,8 @@
 T = TypeVar("T")
 
 
-# Fraction of a call's timeout without progress after which a connection is considered unresponsive;
-# the remaining time is too short for another attempt and is left to the caller.
+# Fraction of a call's timeout without progress after which a connection is considered unresponsive
+# and the call fails. The remaining time is left to the caller: it is too short for another attempt.
 _PROGRESS_TIMEOUT_FRACTION: Final = 0.9
 
 
--- a/libs/store/berylspindle_store/pending_claims.py
+++ b/libs/store/berylspindle_store/pending_claims.py
@@ -87,7 +87,7 @@
         return token in self._abandoned
 
     def abandon(self, record: ClaimRecord, *, keep_until: float) -> None:
-        """Record that a claim is never dispatched; `retry` releases it."""
+        """Record that a claim will never be dispatched; `retry` releases it."""
         self._abandoned[record.token] = _AbandonedClaim(record=record, keep_until=keep_until)
         while len(self._abandoned) > MAX_ABANDONED_TOKENS:
             self._abandoned.popitem(last=False)
@@ -167,7 +167,7 @@
                     expect = 0
                     continue
                 if _token(current) != record.token:
-                    # Another attempt holds the key, so that an abandoned write can only fail.
+                    # Another attempt holds the key, so an abandoned write that arrives later fails.
                     item.attempts_left = 0
                     return
                 expect = current.revision
--- a/libs/store/berylspindle_store/routes.py
+++ b/libs/store/berylspindle_store/routes.py
@@ -7,8 +7,8 @@
   lease      a time to live on the store's clock; the store deletes entries bound to an expired
              lease
 
-Flow: `http_store` and `vm_list` encode calls with these names, and the stand-in decodes them. A
-change of the platform's protocol affects only this module.
+Flow: `http_store` and `vm_list` encode calls with these names, and the platform's stand-in for
+tests decodes them. A change of the platform's protocol affects only this module.
 """
 
 from __future__ import annotations
--- a/libs/store/berylspindle_store/store.py
+++ b/libs/store/berylspindle_store/store.py
@@ -5,8 +5,8 @@
                     that of its last change
   compare-and-swap  a write that takes effect only if the entry has the expected revision; revision
                     0 expects no entry
-  lease             a time to live that the store counts; it deletes entries bound to an expired
-                    lease
+  lease             a time to live on the store's clock; the store deletes entries bound to an
+                    expired lease
   unavailable       the call failed and had no effect
   outcome unknown   the reply was lost, and the call may have taken effect
 
@@ -24,7 +24,7 @@
 
 
 class StoreError(Exception):
-    """A failed call to the store; the subclasses are all the ways in which it can fail."""
+    """Base class for failures of calls to the store; every failure is one of its subclasses."""
 
 
 class StoreConflict(StoreError):  # noqa: N818
@@ -110,7 +110,7 @@
         """Return all entries whose keys start with `prefix`, ordered by key. The result can lag."""
 
     async def list_cached(self, prefix: str) -> ListResult:
-        """Return all entries at an earlier revision, if that costs the store less than `list`.
+        """Return all entries, at an earlier revision if that costs the store less than `list`.
 
         A watch after the result's revision reports all later changes.
         """
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -260,7 +260,10 @@
 async def test_find_confirms_absence_despite_lagging_reads(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
-    """Guard against reporting a request as unknown, and its repetition, due to a lagging read."""
+    """Guard against a lagging read that reports a request that ran as unknown.
+
+    Its caller would then send it again.
+    """
     claims = claims_of(store, "vm1")
     outcome = await claims.claim("lots", "k", "f", "a1")
     assert isinstance(outcome, Claimed)
--- a/tests/store/test_claims_machine.py
+++ b/tests/store/test_claims_machine.py
@@ -1,6 +1,6 @@
 """State machine test of claims: a key is never dispatched twice within its validity.
 
-Guards against a request that runs twice because it was retried at another VM, because a VM was
+Guard against a request that runs twice because it was retried at another VM, because a VM was
 paused, or because an abandoned write to the store arrived late. Each call to the store is held
 until the machine chooses its result: executed and answered, executed with its reply lost, timed out
 and executed later or never, or refused.
