--- a/libs/controlplane/berylspindle_controlplane/control_plane.py
+++ b/libs/controlplane/berylspindle_controlplane/control_plane.py
@@ -47,7 +47,8 @@
 OnEvent = Callable[[str, dict[str, str | int]], None]
 Method = Callable[[bytes], Awaitable[bytes]]
 
-# Concurrent pulls: digests from several VMs show the same missing change.
+# Maximum concurrent pulls. Digests from several VMs show the same missing change, so further pulls
+# would mostly fetch it again.
 _MAX_PULLS: Final = 3
 _LEAVE_NOTICES: Final = 3
 
@@ -61,8 +62,9 @@
         probes: limits of the failure detector.
         tick: interval of the ticker.
         call_timeout: timeout of calls to peers.
-        ask_store: minimum interval between confirmations by the store.
-        ask_list: minimum interval between reads of the VM list while a ward is an orphan.
+        ask_store: minimum interval between confirmations of the dispatch rights by the store.
+        ask_list: minimum interval between reads of the VM list while a silent ward can only be
+            removed if the list does not name it.
         join: limits of joining.
         leave_timeout: time limit for removing a leaving VM from the view.
     """
@@ -299,8 +301,8 @@
                 self.on_tick(_now())
             except Exception as error:
                 # A failed tick must not end the ticker: without probes, this VM's dispatch rights
-                # would expire and its servers would stay idle. A failed tick leaves no change
-                # behind that the next tick would not make again.
+                # would expire and its servers would stay idle. The next tick makes any change
+                # that a failed tick left undone.
                 self._on_event("internal_fault", {"detail": f"tick: {error!r}"})
             await asyncio.sleep(self._options.tick)
 
--- a/libs/controlplane/berylspindle_controlplane/documents.py
+++ b/libs/controlplane/berylspindle_controlplane/documents.py
@@ -4,8 +4,8 @@
   view key            views/<data centre>, changed only by compare-and-swap
   configuration key   config/current, a single document that contains its revision
 
-Readers report and ignore values that cannot be decoded, so that a value written by hand does not
-stop a VM that has a valid one.
+Readers report and ignore values that cannot be decoded, so that an invalid value, such as one
+written by hand, does not stop a VM that already has a valid one.
 """
 
 from __future__ import annotations
--- a/libs/controlplane/berylspindle_controlplane/gossip.py
+++ b/libs/controlplane/berylspindle_controlplane/gossip.py
@@ -44,7 +44,8 @@
 # With four receivers per VM, news reach 98% of the VMs at once, and the digests of the next probe
 # round reach the rest. With three, 6% would be missed; five would cost a quarter more datagrams.
 NEWS_FANOUT: Final = 4
-# Maximum bytes of the changes; the rest is for the digest, the sender's id and the tag.
+# Maximum bytes of the changes; the rest of the datagram is for the digest, the sender's id and the
+# authentication tag.
 _MAX_NEWS_CHANGES_BYTES: Final = MAX_DATAGRAM - 400
 
 
@@ -191,7 +192,8 @@
         self._send_all(self.prober.probes([vm for vm in vms if vm.id != self._local_vm.id]))
 
     def _on_news(self, news: News, source: Address, now: float) -> None:
-        # Most news arrive several times, and unpacking is the main cost of a change.
+        # Most changes arrive several times, and unpacking is their main cost, so changes that are
+        # already known are not unpacked.
         if news.changes and self.knowledge.is_behind(news.digest):
             try:
                 self.offer(unpack_changes(news.changes), now)
@@ -248,8 +250,8 @@
                 News(self._local_vm.id, self.suspicions.incarnation, digest, changes)
             )
             if len(data) > MAX_DATAGRAM:
-                # Long VM ids in the suspicions can leave too little room; the digest alone causes
-                # a pull.
+                # Long VM ids in the suspicions can leave too little room for the changes. They are
+                # then left out, and the receiver pulls them because of the digest.
                 data = to_datagram(News(self._local_vm.id, self.suspicions.incarnation, digest))
             self._sink.send((vm.host, vm.peer_port), data)
 
--- a/libs/controlplane/berylspindle_controlplane/joiner.py
+++ b/libs/controlplane/berylspindle_controlplane/joiner.py
@@ -44,10 +44,14 @@
 
 @attrs.frozen(kw_only=True)
 class JoinLimits:
-    """The times of joining, in seconds.
-
-    `retry` doubles up to `max_retry`, and `alone_after` up to `max_alone`; see
-    `Joiner._may_join_directly`.
+    """Times of joining, in seconds.
+
+    Attributes:
+        alone_after: time without membership after which a VM joins without the help of a member;
+            it doubles with each such attempt up to `max_alone`. See `Joiner._may_join_directly`.
+        retry: wait after a failed attempt, doubled up to `max_retry`, with jitter.
+        check: interval at which a member checks that it has not been removed.
+        call_timeout: timeout of calls to peers.
     """
 
     alone_after: float = 5.0
@@ -131,8 +135,8 @@
         now = asyncio.get_running_loop().time()
         if self._not_member_since is None:
             self._not_member_since = now
-        # One member combines the joins of many VMs into one swap; if all VMs of a data centre
-        # start at once, they would otherwise compete for each epoch.
+        # One member combines the joins of many VMs into one compare-and-swap. Otherwise, if all
+        # VMs of a data centre start at once, their writes would conflict at each epoch.
         members = self._members()
         if members:
             await self._fetch_changes(
--- a/libs/controlplane/berylspindle_controlplane/operations.py
+++ b/libs/controlplane/berylspindle_controlplane/operations.py
@@ -34,7 +34,7 @@
     StoreUnavailable,
 )
 
-# For a swap whose reply was lost.
+# Maximum attempts of a swap, which is repeated while its outcome is unknown.
 _SWAP_ATTEMPTS: Final = 8
 _RETRY_WAIT_S: Final = 0.25
 # Not reached in practice: after a conflict with another operator's change, the plan is stale.
@@ -78,9 +78,9 @@
     async def confirm(self, plan: Plan, operator: str, *, override: bool = False) -> Confirmation:
         """Apply exactly this plan, at most once.
 
-        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN or STORE_UNAVAILABLE if nothing was changed,
-        and OUTCOME_UNKNOWN if the store stopped responding during the write; a second confirmation
-        then returns the outcome.
+        Raises RefusalError: STALE_PLAN, UNSAFE_PLAN, INVALID_CONFIGURATION, BAD_REQUEST or
+        STORE_AWAY if nothing was changed, and OUTCOME_UNKNOWN if the store stopped responding
+        during the write; a second confirmation then returns the outcome.
         """
         try:
             current, revision = await self._read_accepted(plan.intent)
--- a/libs/controlplane/berylspindle_controlplane/store_watcher.py
+++ b/libs/controlplane/berylspindle_controlplane/store_watcher.py
@@ -28,7 +28,8 @@
 from berylspindle_model.topology import View
 from berylspindle_store.store import Store, StoredValue, StoreOutcomeUnknown, StoreUnavailable
 
-# With two, the crash of one causes no delay; a third would cost a third more waiting calls.
+# With two, the crash of one causes no delay. Each watcher holds two waiting calls at the store, one
+# per prefix, so a third one would raise the waiting calls of a data centre from four to six.
 WATCHERS_PER_DATA_CENTRE: Final = 2
 WATCH_WAIT_S: Final = 30.0
 _RETRY_WAIT_S: Final = 0.5
@@ -72,7 +73,7 @@
             tasks.create_task(self._watch(VIEWS_PREFIX))
 
     async def read_once(self) -> None:
-        """Read all configurations and views once. Raises StoreUnavailable."""
+        """Read the configuration and all views once. Raises StoreUnavailable."""
         for prefix in (CONFIGURATION_PREFIX, VIEWS_PREFIX):
             listed = await self._store.list(prefix)
             self._publish(listed.entries)
--- a/libs/controlplane/berylspindle_controlplane/view_writer.py
+++ b/libs/controlplane/berylspindle_controlplane/view_writer.py
@@ -1,14 +1,14 @@
 """Write changes of a data centre's view to the store: joins, removals and planned leaves.
 
 Terms:
-  base       the stored view that a change is applied to, and its revision in the store
-  withdrawn  a proposed removal that had no effect, so that the guardian may confirm again
+  base   the stored view that a change is applied to, and its revision in the store
 
 Flow: changes -> queue -> `ViewWriter.run`, which applies all queued changes of one kind together by
 one compare-and-swap and publishes the result. There is one writer per VM, so that a VM's own
 changes do not race each other. After a lost reply, the swap is repeated with the same expected
-revision until the store accepts or refuses it. If it were abandoned, it could take effect after the
-guardian has resumed its confirmations, and two VMs would dispatch to one server.
+revision until the store accepts or refuses it. A guardian resumes its confirmations only if its
+proposed removal had no effect. If the swap were abandoned instead, it could take effect after that,
+and two VMs would dispatch to one server.
 """
 
 from __future__ import annotations
@@ -41,7 +41,11 @@
 
 
 class ChangeOutcome(enum.Enum):
-    """Result of a change: it is in the store, it no longer applies, the store was unavailable."""
+    """Result of a change.
+
+    DONE: it is in the store. OBSOLETE: it no longer applies. UNAVAILABLE: it could not be written
+    and has no effect.
+    """
 
     DONE = "done"
     OBSOLETE = "obsolete"
--- a/tests/controlplane/conftest.py
+++ b/tests/controlplane/conftest.py
@@ -127,7 +127,7 @@
         until = _now() + wait
         while not (found := state.changes(prefix, after)) and _now() < until:
             # Short steps, so that a watch ends soon after the store becomes unavailable.
-            # wait_for would swallow a cancellation that coincides with the event.
+            # `asyncio.wait_for` would swallow a cancellation that coincides with the event.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.3):
                     await self._store.changed.wait()
--- a/tests/controlplane/test_membership_machine.py
+++ b/tests/controlplane/test_membership_machine.py
@@ -147,7 +147,7 @@
 
 
 async def test_a_dead_vm_is_suspected_within_three_seconds(cluster: Any) -> None:
-    """Guard against requests to a crashed VM, which are lost until others suspect it."""
+    """Guard against late suspicion of a crashed VM; requests sent to it until then are lost."""
     vms = await begin(cluster)
     await cluster.kill(vms[0])
     await asyncio.sleep(3.0)
@@ -159,7 +159,7 @@
 async def test_a_resumed_guardian_proposes_no_removals(cluster: Any) -> None:
     """Guard against a guardian that proposes removals after it was paused for ten seconds.
 
-    It has had no contact with the live VMs. They have removed it, and it joins again.
+    It had no contact with the live VMs during the pause. They have removed it, and it joins again.
     """
     vms = await begin(cluster)
     cluster.pause(vms[0])
--- a/tests/controlplane/test_ownership_machine.py
+++ b/tests/controlplane/test_ownership_machine.py
@@ -35,7 +35,8 @@
     revision=1, deployment="d", data_centres=(DataCentre(name="a", region="n"),)
 )
 MAX_VMS = 6
-# Time after the last fault: suspicion, removal, wait of the new owners, a rejoin of up to a minute.
+# Maximum time from the last fault until each server has one holder: suspicion, removal, wait of the
+# new owners, and a rejoin that takes up to a minute.
 SETTLED_WITHIN_S = 90
 MACHINE_SETTINGS = settings(
     derandomize=True,
