--- a/libs/dataplane/berylspindle_dataplane/executor.py
+++ b/libs/dataplane/berylspindle_dataplane/executor.py
@@ -6,10 +6,11 @@
             not count
   outcome   result of the dispatch, stored with the claim and returned to later requests for the key
 
-Flow: `execute` admits, claims and dispatches. Only a certain NOT_RUN sends the same claim to
-another replica; any other reply is the outcome and is stored, including an unknown one. The
-dispatch is a task of its own: a caller that disconnects does not cancel it and can query the
-outcome by its key. Without a claim nothing is dispatched, and the refusal is NOT_RUN.
+Flow: `execute` admits, claims and dispatches. After a reply that is certainly NOT_RUN, the same
+claim is dispatched to another replica; any other reply is the outcome and is stored, also if it
+leaves open whether the request ran. The dispatch is a task of its own: a caller that disconnects
+does not cancel it and can query the outcome by its key. Without a claim nothing is dispatched, and
+the refusal is NOT_RUN.
 """
 
 from __future__ import annotations
@@ -121,8 +122,8 @@
     def stop_accepting(self) -> None:
         """Refuse new requests as NOT_RUN during shutdown, before this VM leaves the view.
 
-        A claim of a VM that is in no view is reported as one with a lost outcome to a caller that
-        retries the request through another VM, although the request may still be running.
+        Once this VM is in no view, another VM answers a retry of a request claimed here with
+        OUTCOME_UNKNOWN, although the request may still be running.
         """
         self._stopped = True
 
@@ -154,8 +155,8 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(lambda _: admission.on_done(self._context.now(), request.caller))
-        # Shielded: cancelling a request between its dispatch and the storing of its outcome when
-        # the caller disconnects would leave the outcome unknown for good.
+        # Shielded: if a disconnecting caller cancelled the task between the dispatch and the
+        # storing of the outcome, the outcome would remain unknown.
         return await asyncio.shield(task)
 
     def _refusal(self, request: ExecuteRequest, state: ServiceState | None) -> Refusal | None:
--- a/libs/dataplane/berylspindle_dataplane/http_backend.py
+++ b/libs/dataplane/berylspindle_dataplane/http_backend.py
@@ -2,8 +2,9 @@
 
 Terms:
   call    one HTTP request of `backend_protocol` for one attempt
-  check   a reply is accepted only if it names the attempt, service and shard of its call; any other
-          reply answers another request on a reused connection and is rejected as BAD_REPLY
+  check   a reply is accepted only if it names the attempt and server of its call, and the service
+          and shard of a search or the key of an execute; any other reply answers another request on
+          a reused connection and is rejected as BAD_REPLY
 
 Flow: `run` encodes the call, sends it on a pooled connection and converts the response or the
 failure to one `AttemptReply`. Failed attempts are not retried here: a retry at this hop would hide
--- a/libs/dataplane/berylspindle_dataplane/loss_attribution.py
+++ b/libs/dataplane/berylspindle_dataplane/loss_attribution.py
@@ -36,7 +36,10 @@
         self._event_size = 0
 
     def is_suspect(self, now: float, fingerprint: str, *, is_canary: bool) -> bool:
-        """Return whether the request crashed a server of this VM and its entry does not know it."""
+        """Return whether to refuse the request because it has crashed a server of this VM.
+
+        A suspect that its entry sends as a canary is not refused; a quarantined one always is.
+        """
         if not fingerprint:
             return False
         return self._quarantine.check_attempt(now, fingerprint, canary=is_canary) is not None
@@ -44,7 +47,7 @@
     def with_loss_count(
         self, now: float, reply: AttemptReply, *, dispatched_at: float, in_flight: int
     ) -> AttemptReply:
-        """Return the reply, for a lost connection with the number of attempts lost together.
+        """Return the reply; if its connection was lost, add the number of attempts lost together.
 
         `in_flight` is the number of attempts at the server just before this one ended, including
         it.
--- a/libs/dataplane/berylspindle_dataplane/plane.py
+++ b/libs/dataplane/berylspindle_dataplane/plane.py
@@ -48,8 +48,8 @@
     """Settings of the data plane.
 
     Attributes:
-        requests_in_flight: callers' requests per service processed concurrently.
-        server_queue: attempts that may wait for one owned backend server.
+        requests_in_flight: maximum number of callers' requests per service in progress.
+        server_queue: maximum number of attempts that wait for one owned backend server.
         backend: settings of the connections to backend servers.
         out_grace: seconds for which an entry in a data centre that was taken out still serves
             requests that the load balancer sends, before it refuses them.
@@ -151,7 +151,10 @@
         return None
 
     def mark_ownership_settled(self) -> None:
-        """Report readiness once this VM may dispatch to its servers or has waited long enough."""
+        """Stop refusing readiness for lack of ownership.
+
+        Call this once this VM may dispatch to its servers or has waited long enough for it.
+        """
         was_ready = self.readiness_refusal() is None
         self._ownership_settled = True
         self._record_readiness(was_ready)
@@ -165,7 +168,8 @@
     async def drain_owned_work(self) -> None:
         """Stop accepting executes and attempts, and wait for those in progress.
 
-        Executes come first, while the backend servers of this VM still run claimed requests.
+        The executor is stopped first, since the owner must still dispatch the requests that it has
+        claimed.
         """
         self._executor.stop_accepting()
         await self._executor.wait_idle()
@@ -234,8 +238,9 @@
         """Return the refusal of new requests of callers, or None if they are served."""
         if self._state.configuration is None:
             return Refusal(ErrorKind.NOT_READY)
-        # The load balancer notices with a delay that this VM is not ready. Callers are not at
-        # fault, so their requests are served meanwhile; the attempts go to other data centres.
+        # The load balancer detects with a delay that this VM is not ready. Callers are not at
+        # fault, so the requests that it still sends are served; their attempts go to other data
+        # centres.
         if self._out_since is None or self._now() - self._out_since < self._options.out_grace:
             return None
         return Refusal(ErrorKind.DATA_CENTRE_OUT)
--- a/libs/dataplane/berylspindle_dataplane/quarantine_gossip.py
+++ b/libs/dataplane/berylspindle_dataplane/quarantine_gossip.py
@@ -40,7 +40,8 @@
 # Interval for detecting quarantines that ended by time alone.
 EXPIRY_CHECK_SECONDS: Final = 1.0
 
-# Sends records to one VM. The implementation drops failures; the next change is sent again.
+# Sends records to one VM. The implementation ignores failures, since the next change is sent with
+# the latest records again.
 SendRecords = Callable[[Vm, bytes], Awaitable[None]]
 
 
--- a/libs/dataplane/berylspindle_dataplane/search_fanout.py
+++ b/libs/dataplane/berylspindle_dataplane/search_fanout.py
@@ -35,13 +35,14 @@
 from berylspindle_model.messages import Attempt, AttemptReply, SearchAnswer, SearchRequest
 from berylspindle_model.snapshot import Snapshot
 
-# Maximum attempts per shard and pin, hedge included. With three replicas this covers each replica
-# once and one of them twice; more would multiply the load on a shard that is refusing requests.
+# Maximum attempts per shard, hedge included, until the pin changes or a backoff retry starts. No
+# replica is tried twice in that time, so a shard with three replicas gets at most three attempts;
+# more than this limit would multiply the load on a shard that is refusing requests.
 MAX_ATTEMPTS: Final = 4
 # First delay before a shard is retried after all its replicas refused the request without running
 # it, for a transient reason (ownership moves, a VM shuts down). The delay doubles with each retry;
-# five retries span more than 0.6 s. A refusal that lasts longer is not transient, and other
-# searches would wait as well.
+# five retries span more than 0.6 s. A refusal that lasts longer is not transient, and further
+# retries would delay all other searches of the shard as well.
 RETRY_BACKOFF_SECONDS: Final = 0.02
 MAX_BACKOFF_RETRIES: Final = 5
 _TRANSIENT_ERRORS: Final = frozenset(
@@ -281,7 +282,7 @@
         """Try another shard as canary if no attempt so far can have run.
 
         After an attempt that may have run, no other shard is queried: the request may have crashed
-        the backend server, and moving the canary on would crash one server per shard.
+        the backend server, and a canary on each further shard would crash one server per shard.
         """
         if not self._in_canary_phase:
             return []
--- a/libs/dataplane/berylspindle_dataplane/server_meters.py
+++ b/libs/dataplane/berylspindle_dataplane/server_meters.py
@@ -57,7 +57,10 @@
         self._served_time.observe(served_ms)
 
     def on_warm_state(self, *, warm: bool, evidence: str) -> None:
-        """Record a transition between warm and cold; empty `evidence` means a successful reply."""
+        """Record a transition between warm and cold, or the start of a warm-up.
+
+        Empty `evidence` means a successful reply.
+        """
         if warm == self._was_warm:
             if not warm and not self._warming and not evidence:
                 self._warming = True
--- a/libs/dataplane/berylspindle_dataplane/server_worker.py
+++ b/libs/dataplane/berylspindle_dataplane/server_worker.py
@@ -164,8 +164,7 @@
             del self._attempts_by_id[attempt_id]
         elif self._limiter.is_warm and queued.attempt.execute_key is None:
             # A task cancelled before its first step never runs its `finally` block, so its slot
-            # would never be freed. In the next iteration of the loop the first step has been
-            # executed.
+            # would never be freed. By the next iteration of the loop, the first step has run.
             asyncio.get_running_loop().call_soon(queued.task.cancel)
         return True
 
@@ -228,8 +227,8 @@
         limit = self._limiter.limit(now)
         if right is RightLevel.HELD:
             return limit
-        # The right is unconfirmed: use only warm servers, with half of their slots, so that another
-        # VM which has become owner meanwhile does not overload the server together with this one.
+        # The right is unconfirmed, and another VM may have become the owner meanwhile. Only warm
+        # servers are used, with half of their slots, so that two VMs do not overload one together.
         return max(1, self._server.slots // 2) if self._limiter.is_warm else 0
 
     def _record_right(self, now: float) -> None:
@@ -270,10 +269,9 @@
     def _recheck_after(self, now: float) -> float:
         """Return the delay until the next check of the queue, in seconds.
 
-        The check must not come later than the first queued attempt becomes unable to meet its
-        deadline. Otherwise an execute that never left the queue would be refused after its entry
-        has stopped waiting; its outcome would be recorded as unknown and its key could not be used
-        again.
+        The check must run before the first queued attempt can no longer meet its deadline.
+        Otherwise an execute that never left the queue would be refused after its entry has stopped
+        waiting; its outcome would be recorded as unknown and its key could not be used again.
         """
         waiting = (
             queued.deadline for queued in self._attempts_by_id.values() if queued.task is None
@@ -389,8 +387,8 @@
 
     async def _read_reports(self) -> None:
         while True:
-            # Read the first report at once: a new owner that does not know that the server is cold
-            # would raise its limit after a few fast answers and overload the server.
+            # Read the first report at once: without one, a new owner would raise the limit of a
+            # cold server after a few fast answers and overload it.
             report = await self._backend.report()
             self._record_right(self._context.now())
             if report is not None:
--- a/tests/dataplane/test_search_fanout_machine.py
+++ b/tests/dataplane/test_search_fanout_machine.py
@@ -67,13 +67,13 @@
 
     @rule(number=st.integers(0, 20))
     def answer_on_other_snapshot(self, number: int) -> None:
-        """A replica answers on another snapshot than requested."""
+        """Let a replica answer on another snapshot than requested."""
         self.strategy.decision = Reask(target=NEW, shards=SHARDS)
         self._reply(number, 0.0, NEW)
 
     @rule(number=st.integers(0, 20))
     def late_reply(self, number: int) -> None:
-        """A cancelled attempt is answered nevertheless."""
+        """Let a server answer an attempt that was cancelled."""
         if self.ended:
             send = self.ended[number % len(self.ended)]
             self._apply(self.fanout.on_reply(self.now, answer(send)))
--- a/tests/dataplane/test_worker_expiry.py
+++ b/tests/dataplane/test_worker_expiry.py
@@ -20,7 +20,7 @@
 async def test_an_execute_that_never_started_is_refused_as_not_run(
     endless_worker: MakeWorker, seconds: float
 ) -> None:
-    """Guards against an unknown outcome and a spent key for an execute that never left the queue.
+    """Guards against an unknown outcome and an unusable key of an execute that was never started.
 
     The only slot of a cold server is taken. At the last periodic check of the queue the second
     execute has a few milliseconds left; its entry stops waiting before the next check.
