--- a/libs/client/berylspindle_client/addresses.py
+++ b/libs/client/berylspindle_client/addresses.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """Address of one edge of a daemon."""
+    """Address of the callers' or the operators' interface of a daemon."""
 
     host: str
     port: int
@@ -19,7 +19,7 @@
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Parse `host:port,[host]:port,...`; raises ValueError naming the malformed address."""
+    """Parse `host:port,[host]:port,...`; raise ValueError naming the malformed address."""
     return tuple(_parse_address(part.strip()) for part in text.split(",") if part.strip())
 
 
--- a/libs/client/berylspindle_client/callers.py
+++ b/libs/client/berylspindle_client/callers.py
@@ -37,7 +37,7 @@
 DEFAULT_DEADLINE_MS: Final = 2000
 # After this time without a connection the next daemon is tried.
 CONNECT_TIMEOUT_S: Final = 0.5
-# Time for the response of a daemon that used the whole deadline to arrive.
+# Extra time to receive the response of a daemon that used the whole deadline.
 _RESPONSE_GRACE_S: Final = 0.25
 _SINGLE_VM_KINDS: Final = frozenset(
     {ErrorKind.NOT_READY, ErrorKind.SHUTTING_DOWN, ErrorKind.DATA_CENTRE_OUT}
--- a/libs/client/berylspindle_client/fleet.py
+++ b/libs/client/berylspindle_client/fleet.py
@@ -7,8 +7,9 @@
   unheard   a VM that is suspected, or that no VM has heard from recently
 
 Flow: `merge_reports` takes the reports of the daemons that answered and the addresses of those that
-did not. The report of a VM about itself takes precedence over reports of others; among those, the
-most recent knowledge wins, since a report can be outdated but not ahead.
+did not. The report of a VM about itself takes precedence over reports of others. Among those, the
+one with the highest revision is used: a report may show an old revision, but never one that the VM
+has not adopted. At equal revisions, a live state and then the shortest `since_ms` take precedence.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
     @property
     def unheard(self) -> tuple[VmReport, ...]:
-        """Return the VMs of which neither state nor revision is known for certain."""
+        """Return the VMs whose state and revision are uncertain."""
         return tuple(vm for vm in self.vms if vm.state in (VmState.SUSPECT, VmState.UNHEARD))
 
     @property
--- a/libs/client/berylspindle_client/operators.py
+++ b/libs/client/berylspindle_client/operators.py
@@ -1,11 +1,8 @@
-"""Client of the operators' edges of many daemons.
+"""Client of the operators' interfaces of many daemons.
 
-Terms:
-  any     a call that any one daemon can answer: plan, confirm, configuration
-  all     a call that each daemon answers for itself: status, time line
-
-Flow: a call to any tries one daemon after the other until one answers. A call to all is sent to all
-daemons with bounded concurrency; the result always lists the addresses that did not answer.
+Flow: any one daemon can answer plan, confirm and configuration; these calls try one daemon after
+the other until one answers. Status and timeline differ by daemon; these calls are sent to all
+daemons with bounded concurrency, and the result lists the addresses that did not answer.
 
 The answer to a confirm can be lost after its write took effect. A plan contains a unique id of its
 intent, and the control plane looks up confirmed ids in the configuration; therefore a confirm,
@@ -49,7 +46,7 @@
 
 DEFAULT_TIMEOUT_S: Final = 5.0
 CONNECT_TIMEOUT_S: Final = 1.0
-# Reaches 940 daemons in a few rounds without overloading an operator's machine.
+# Reaches 940 daemons in 15 rounds without overloading an operator's machine.
 MAX_CONCURRENT_CALLS: Final = 64
 # The canonical text of a configuration with 5,200 backend servers has 1.4 MB.
 _LIMITS: Final = HttpLimits(body_bytes=32 * 1024 * 1024)
@@ -68,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class FleetTimeline:
-    """The merged time line; `events` are in causal order.
+    """The merged timeline; `events` are in causal order.
 
     `unreachable` lists the addresses that did not answer; `dropped` maps VMs whose buffer has
     overflowed to the number of events lost.
@@ -81,7 +78,7 @@
 
 
 class OperatorClient:
-    """Client of the operators' edges; create it in a running event loop."""
+    """Client of the operators' interfaces; create it in a running event loop."""
 
     def __init__(
         self,
@@ -92,7 +89,7 @@
         timeout: float = DEFAULT_TIMEOUT_S,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a client of the given edges; `timeout` limits each call, in seconds."""
+        """Create a client of the given daemons; `timeout` limits each call, in seconds."""
         if not daemons:
             raise ValueError("no daemon address given")
         self._daemons = tuple(daemons)
@@ -112,7 +109,7 @@
         return merge_reports(responses.answers, tuple(responses.failures))
 
     async def timeline(self, event_filter: EventFilter) -> FleetTimeline | Failure:
-        """Return the merged time line, or a failure if no daemon answered."""
+        """Return the merged timeline, or a failure if no daemon answered."""
         query = protocol.timeline_query(event_filter)
         responses = await self._call_all(protocol.TIMELINE_PATH, query, EventPage)
         failure = _overall_failure(responses)
@@ -131,7 +128,11 @@
         return _decode(outcome, Plan)
 
     async def confirm(self, plan: Plan, *, override: bool = False) -> Confirmation | Failure:
-        """Apply exactly this plan at most once; after a lost answer the call is repeated."""
+        """Apply exactly this plan, at most once.
+
+        If the answer is lost, the call is sent to the next daemon, which does not apply the plan a
+        second time.
+        """
         body = codec.to_json(ConfirmRequest(plan=plan, override=override))
         outcome = await self._call_any("POST", protocol.CONFIRM_PATH, body, idempotent=True)
         return _decode(outcome, Confirmation)
--- a/libs/client/berylspindle_client/outcomes.py
+++ b/libs/client/berylspindle_client/outcomes.py
@@ -56,7 +56,7 @@
 def read_answer(response: HttpResponse, kind: type[T], daemon: str) -> T | Refused | Unknown:
     """Return the typed answer of a 200 response, or the refusal of any other status.
 
-    A body that is neither yields `Unknown`, as it does not tell whether the request ran.
+    Return `Unknown` if the body can't be decoded, since it is then unclear whether the request ran.
     """
     if response.status != 200:
         return read_refusal(response, daemon)
--- a/libs/model/berylspindle_model/codec.py
+++ b/libs/model/berylspindle_model/codec.py
@@ -33,7 +33,7 @@
 def from_json(data: bytes, kind: type[T]) -> T:
     """Return the message of type `kind` that is encoded in JSON.
 
-    Raises MalformedError if the data is not valid JSON, and its subclass DecodeError if a field is
+    Raise MalformedError if the data is not valid JSON, and its subclass DecodeError if a field is
     missing or has the wrong type.
     """
     decoder = _JSON_DECODERS.get(kind)
@@ -51,7 +51,7 @@
 def from_msgpack(data: bytes, kind: type[T]) -> T:
     """Return the message of type `kind` that is encoded in MessagePack.
 
-    Raises the same errors as `from_json`.
+    Raise the same errors as `from_json`.
     """
     decoder = _MSGPACK_DECODERS.get(kind)
     if decoder is None:
--- a/libs/model/berylspindle_model/configuration.py
+++ b/libs/model/berylspindle_model/configuration.py
@@ -10,8 +10,8 @@
 
 Flow: `configuration_codec.parse_configuration` reads a document and reports all its faults at once;
 only a document without faults becomes a `Configuration`. A change makes a new one with the next
-revision. A desk of ten services with three replicas each is by default configured as one service
-with ten shards. The configuration can also express it as ten services of one shard each.
+revision. A search application of ten services with three replicas each is by default configured as
+one service with ten shards. It can also be configured as ten services of one shard each.
 """
 
 from __future__ import annotations
--- a/libs/model/berylspindle_model/configuration_codec.py
+++ b/libs/model/berylspindle_model/configuration_codec.py
@@ -46,7 +46,7 @@
 def parse_configuration(data: bytes) -> Configuration:
     """Return the configuration in a JSON document.
 
-    Raises InvalidConfigurationError with all type errors, or else with all faults of the content.
+    Raise InvalidConfigurationError with all type errors, or else with all faults of the content.
     """
     configuration = _structure_document(_load_document(data))
     faults = find_faults(configuration)
@@ -83,7 +83,7 @@
 def from_stored(data: bytes) -> Configuration:
     """Return the configuration in a value of the store, compressed or plain JSON.
 
-    Raises InvalidConfigurationError for any other value.
+    Raise InvalidConfigurationError for any other value.
     """
     if data[:1].isspace() or data[:1] == b"{":
         return parse_configuration(data)
--- a/libs/model/berylspindle_model/control_messages.py
+++ b/libs/model/berylspindle_model/control_messages.py
@@ -1,6 +1,7 @@
 """Define the messages between VMs about membership, views and the configuration.
 
 Terms:
+  guardian    a VM that probes another one, its ward, and may propose its removal
   digest      compact summary of a VM's state, which shows whether the receiver or the sender lacks
               changes
   suspicion   a statement that guardians cannot reach a VM; a higher incarnation refutes it, and a
@@ -10,7 +11,7 @@
 Flow: Ping -> Ack between a guardian and its ward, once a second; PingRequest -> Reached or Missed
 for an indirect probe; News to a few random VMs after each change; a call with PullRequest ->
 Changes if a digest shows missing changes. A datagram is a byte for its kind and the field values
-in order without names, since all control traffic of a node is limited to 4 KB a second.
+in order without names, since all control traffic of a VM is limited to 4 KB a second.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 from berylspindle_model import codec
 
-# With its headers and tag a datagram must fit into one Ethernet frame: if it were fragmented, the
+# With its headers and MAC a datagram must fit into one Ethernet frame: if it were fragmented, the
 # loss of any fragment would lose all of it.
 MAX_DATAGRAM: Final = 1200
 NOT_CONFIRMED: Final = -1
@@ -157,8 +158,8 @@
 def to_datagram(message: Datagram) -> bytes:
     """Return the encoding of a message: its kind and its field values in order."""
     values = _FIELD_GETTERS[type(message)](message)
-    # Only digests are nested, so that `attrs.astuple` is not needed; its recursion took a third
-    # of the processor time of the control plane.
+    # Not `attrs.astuple`: only digests are nested, and its recursion would take a third of the
+    # processor time of the control plane.
     row = [_digest_values(value) if type(value) is Digest else value for value in values]
     return bytes((message.KIND,)) + codec.to_msgpack(row)
 
--- a/libs/model/berylspindle_model/intents.py
+++ b/libs/model/berylspindle_model/intents.py
@@ -6,7 +6,8 @@
                  snapshot
   plan           what an intent changes, in which order, and the capacity of each service meanwhile
   base           the revision that a plan applies to
-  confirmation   the result of applying a plan; applying it again returns the first one's record
+  confirmation   the result of applying a plan; confirming the same plan again returns the recorded
+                 result without applying it twice
 
 Flow: Intent -> Plan -> confirm -> Confirmation. Nothing changes before the confirm, which applies
 either the whole plan or none of it.
@@ -101,7 +102,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfirmRequest:
-    """Request to apply a plan; `override` accepts the guarantees that it violates."""
+    """Request to apply a plan; `override` permits a plan that violates guarantees."""
 
     plan: Plan
     override: bool = False
--- a/libs/model/berylspindle_model/messages.py
+++ b/libs/model/berylspindle_model/messages.py
@@ -3,8 +3,8 @@
 Terms:
   entry         the VM that received a caller's request
   owner         the only VM that sends to a given backend server
-  sub-request   the part of a request for one shard; an attempt is one try of it with its own id,
-                which each reply must repeat
+  sub-request   the part of a request for one shard
+  attempt       one try of a sub-request, with its own id, which each reply must repeat
   batch         the attempts of one request to the same owner, in one message
 
 Flow: caller -> SearchRequest -> entry -> AttemptBatch -> owner -> backend server, and back as one
--- a/libs/model/berylspindle_model/operator_protocol.py
+++ b/libs/model/berylspindle_model/operator_protocol.py
@@ -134,7 +134,7 @@
 
 
 def parse_timeline_query(query: dict[str, str]) -> EventFilter:
-    """Return the filter of query parameters; raises ValueError for an unknown or malformed one."""
+    """Return the filter of query parameters; raise ValueError for an unknown or malformed one."""
     unknown = query.keys() - {"since", "until", "service", "server", "request"}
     if unknown:
         raise ValueError(f"unknown parameter {min(unknown)!r:.80}")
--- a/libs/model/berylspindle_model/rollout.py
+++ b/libs/model/berylspindle_model/rollout.py
@@ -3,7 +3,7 @@
 Terms:
   order    an operator's request to move a service to a version within a term
   status   the state of a rollout that the system writes for the operator
-  answers  counts of replica responses by version and route, on which the version is judged
+  answers  counts of replica responses by version and route, by which the version is judged
 
 Flow: an operator writes an order; new replicas start beside the old ones; the VMs send trial
 requests to the new version, and one VM writes a status that all VMs follow. After `COMPLETED` the
--- a/libs/model/berylspindle_model/routing.py
+++ b/libs/model/berylspindle_model/routing.py
@@ -51,7 +51,7 @@
     def min_shards(self) -> int:
         """Return the number of shards that a response requires, at least one."""
         exact = self.least_share * len(self.shards)
-        # 0.89 * 100 is 89.00000000000001 in floating point and must be rounded up to 89, not to 90.
+        # 0.55 * 100 is 55.00000000000001 in floating point and must be rounded up to 55, not to 56.
         return max(1, -int(-(exact - 1e-9) // 1))
 
 
@@ -63,7 +63,7 @@
         host: host of the requests, in lower case and without a port.
         prefix: path prefix that starts and ends with a slash; the longest match is used.
         timeout_ms: maximum time until the response.
-        target_ms: latency target.
+        aim_ms: latency target.
         priority: priority under load shedding; 0 is the highest.
         max_replicas: maximum number of replicas, of each shard, that may run one request.
     """
@@ -107,7 +107,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Size limits of a caller's requests in bytes, and time-outs in seconds."""
+    """Size limits of a caller's requests in bytes, and timeouts in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 256 * 1024
@@ -123,7 +123,7 @@
         id: its name, which is sent with each request to it.
         born: start time in milliseconds of its own clock, or None if not announced; it differs
             after a restart under the same id.
-        cold_ms: remaining time for which it is cold at the time of the announcement.
+        cold_ms: time for which it stays cold, from the announcement on.
         version: its software version; empty if not announced.
     """
 
--- a/libs/model/berylspindle_model/topology.py
+++ b/libs/model/berylspindle_model/topology.py
@@ -4,7 +4,8 @@
   VM        a daemon of the system, identified by its id; a restarted one has a new id
   view      the agreed list of live VMs of one data centre, with an epoch that only increases; it
             determines which VM owns which backend server
-  suspect   a VM that its peers cannot reach; nobody sends to it, but it keeps its backend servers
+  suspect   a VM that its peers cannot reach; no VM sends work to it, but it keeps its backend
+            servers
 
 Flow: the control plane maintains a `ClusterState` and publishes each new one; the data plane reads
 the latest and never changes it.
--- a/libs/telemetry/berylspindle_telemetry/logs.py
+++ b/libs/telemetry/berylspindle_telemetry/logs.py
@@ -139,7 +139,7 @@
 
     If there is a `writer`, lines go there instead without blocking; it is closed on exit.
 
-    Raises ValueError for a level or format that is not in `LEVELS` or `FORMATS`.
+    Raise ValueError for a level or format that is not in `LEVELS` or `FORMATS`.
     """
     if level not in LEVELS or log_format not in FORMATS:
         raise ValueError(f"unknown log level or format: {level}, {log_format}")
@@ -162,5 +162,5 @@
 
 
 def logger(channel: str) -> Any:
-    """Return the logger of a channel."""
+    """Return a logger whose lines carry `channel` as the component that they come from."""
     return logbook.Logger(channel)
--- a/libs/telemetry/berylspindle_telemetry/metric_names.py
+++ b/libs/telemetry/berylspindle_telemetry/metric_names.py
@@ -4,7 +4,8 @@
   counter   a total that only increases while the process runs
   gauge     a value that can increase and decrease
   summary   quantiles over the last one to two minutes, and sum and count since the start
-  label     a dimension of a metric with few values, which excludes callers and request ids
+  label     a dimension of a metric with few values; callers and request ids are no labels, since
+            they are unbounded
 
 Flow: code passes one of these constants to `metrics.Metrics`. Other metrics cannot be recorded, so
 that this list is complete. Times are in milliseconds.
--- a/libs/telemetry/berylspindle_telemetry/metrics.py
+++ b/libs/telemetry/berylspindle_telemetry/metrics.py
@@ -199,7 +199,7 @@
         return self._get_series(metric, MetricKind.SUMMARY, family, labels, self._new_summary)
 
     def count(self, metric: Metric, n: float = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Add `n` to a counter series."""
         # Keyed by the labels in the order of the call, which saves sorting them.
         call: _CallKey = (metric, *labels.items())
         series = self._counters_by_call.get(call)
@@ -208,11 +208,11 @@
         series.value += n
 
     def observe(self, metric: Metric, value_ms: float, **labels: str) -> None:
-        """Record a duration in milliseconds."""
+        """Record a duration, in milliseconds, in a summary series."""
         self.summary(metric, **labels).observe(value_ms)
 
     def gauge(self, metric: Metric, value: float, **labels: str) -> None:
-        """Set a gauge."""
+        """Set the value of a gauge series, unless `gauge_function` provides it."""
         self._get_gauge(metric, labels).stored = value
 
     def gauge_function(self, metric: Metric, read: Callable[[], float], **labels: str) -> None:
--- a/libs/telemetry/berylspindle_telemetry/stamping.py
+++ b/libs/telemetry/berylspindle_telemetry/stamping.py
@@ -36,7 +36,7 @@
     def strip_stamp(self, data: bytes) -> bytes:
         """Merge the stamp of a message into the clock, and return the message without it.
 
-        Raises ValueError if the message is too short for a stamp.
+        Raise ValueError if the message is too short for a stamp.
         """
         if len(data) < STAMP_BYTES:
             raise ValueError("message is too short: no stamp")
--- a/libs/wire/berylspindle_wire/acceptor.py
+++ b/libs/wire/berylspindle_wire/acceptor.py
@@ -29,7 +29,8 @@
 from typing import Any, Final
 
 BACKLOG: Final = 1024
-"""Length of the kernel's queue for a port; if it is full, a peer retries after seconds."""
+"""Length of the kernel's queue for a port. If it is full, the kernel drops connection attempts,
+which peers repeat only after a second or more."""
 
 _EXHAUSTION_PAUSE_S: Final = 1.0
 """Seconds without accepting after running out of file descriptors or memory."""
--- a/libs/wire/berylspindle_wire/datagrams.py
+++ b/libs/wire/berylspindle_wire/datagrams.py
@@ -106,9 +106,9 @@
 ) -> DatagramPort:
     """Bind a UDP port and deliver each authentic message to `on_message`.
 
-    Raise KeyRequiredError if there is no key and `host` is no loopback address, since the MAC then
-    only detects damage; ValueError if the key is longer than 64 bytes; OSError if the address can't
-    be bound.
+    Raise KeyRequiredError if there is no key and `host` is not a loopback address, since the MAC
+    then only detects damage; ValueError if the key is longer than 64 bytes; OSError if the address
+    can't be bound.
     """
     require_key(host, key)
     loop = asyncio.get_running_loop()
--- a/libs/wire/berylspindle_wire/entry_link.py
+++ b/libs/wire/berylspindle_wire/entry_link.py
@@ -35,7 +35,7 @@
 MAX_BACKOFF_S: Final = 2.0
 
 _PINGS_PER_SILENCE_TIMEOUT: Final = 4
-"""Divisor of the silence timeout; a link that has received nothing for that long is pinged."""
+"""Divisor of the silence timeout; a link is pinged after the resulting time without a frame."""
 
 OnReply = Callable[[AttemptReply], None]
 _LinkStream = Stream[PeerFrame, PeerFrame]
@@ -166,7 +166,7 @@
         while True:
             await self._work_available.wait()
             if not self._queue:
-                # Cancellations and pings alone open no stream; they concern a closed one.
+                # Cancellations and pings refer to the previous stream and don't open a new one.
                 self._work_available.clear()
                 self._cancelled.clear()
                 continue
@@ -183,7 +183,8 @@
         """Return an open stream that the owner has accepted, or None.
 
         Waiting for the owner's initial metadata before writing any batch costs one round trip per
-        link. It lets a wrong key or a VM that is shutting down result in a definite NOT_RUN.
+        link. Without it, attempts that are refused because the key is wrong or the VM is shutting
+        down would be reported as MAY_HAVE_RUN.
         """
         if self._loop.time() < self._next_open:
             # A reply callback may submit again at once. Without this yield, the two would loop
@@ -325,7 +326,8 @@
         self._cancelled.clear()
         for pending in tuple(self._outstanding.values()):
             run = RunState.MAY_HAVE_RUN if pending.written else RunState.NOT_RUN
-            # Not CONNECTION_LOST: the loss of a VM says nothing about what its servers ran.
+            # Not CONNECTION_LOST, which refers to a backend server: the loss of a VM says nothing
+            # about what its servers ran.
             reply = failed_reply(pending.attempt, ErrorKind.PEER_LOST, run, detail)
             self._complete(pending.attempt.id, reply)
 
--- a/libs/wire/berylspindle_wire/http_client.py
+++ b/libs/wire/berylspindle_wire/http_client.py
@@ -44,9 +44,9 @@
 class HttpFailure(Exception):  # noqa: N818
     """A request got no complete reply.
 
-    `timed_out` marks a request that was sent and timed out without a connection reset, which is no
-    evidence that it harmed the server. `silent` marks a timed-out request that exceeded
-    `progress_timeout` before any byte of the reply was received.
+    `timed_out` marks a request that was sent and timed out without a connection reset; unlike a
+    reset, this does not indicate that the request crashed the server. `silent` marks a timed-out
+    request that exceeded `progress_timeout` before any byte of the reply was received.
     """
 
     def __init__(
@@ -112,8 +112,8 @@
 
         All times are in seconds; `progress_timeout` limits the wait for the next byte of the
         reply. Cancelling this coroutine closes the socket, which cancels the work at a backend
-        server. With `cancel_wait`, it then waits up to that time for the peer to close its side,
-        which shows that the work has ended.
+        server. With `cancel_wait`, this coroutine first closes only the sending side and waits up
+        to that time for the peer to close its own, which shows that the work has ended.
         """
         if not self.is_reusable:
             raise HttpFailure(FailurePhase.NOT_SENT, "connection is closed")
--- a/libs/wire/berylspindle_wire/http_errors.py
+++ b/libs/wire/berylspindle_wire/http_errors.py
@@ -1,7 +1,7 @@
-"""Conversion of refusals to HTTP responses.
+"""Convert refusals to HTTP responses.
 
 Terms:
-  refusal   the outcome of a request that got no answer, with a kind from the closed `ErrorKind`
+  refusal   the failure of a request, with its `ErrorKind`
 
 Flow: the HTTP server, the data plane and the operators' interface all call `refusal_response`, so
 that a caller gets every error in the same format, whichever component failed the request.
@@ -20,7 +20,7 @@
 
     The `retry-after` header carries whole seconds, rounded up, since HTTP has no smaller unit; the
     body's `retry_after_ms` is exact. `request_id`, if given, is echoed as a header and in the body,
-    so that a caller's log holds the id by which the time line can be searched.
+    so that a caller can log the id by which the timeline can be searched.
     """
     answer = ANSWERS[refusal.kind]
     retry_after_ms = refusal.retry_after
--- a/libs/wire/berylspindle_wire/http_head.py
+++ b/libs/wire/berylspindle_wire/http_head.py
@@ -28,8 +28,8 @@
 _ILLEGAL_BYTES: Final = re.compile(
     rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]"  # Control characters, including NUL.
     rb"|(?<!\r)\n"  # A bare LF.
-    rb"|\r(?!\n|\Z)"  # A bare CR; the LF of one at the very end may still follow.
-    rb"|\n[ \t]"  # An obs-fold.
+    rb"|\r(?!\n|\Z)"  # A bare CR, except as the last byte: its LF may not have been received.
+    rb"|\n[ \t]"  # A folded header (obs-fold).
 )
 _SINGLETON_HEADERS: Final = (b"\r\nhost:", b"\r\ncontent-length:", b"\r\ntransfer-encoding:")
 _CONTENT_LENGTH: Final = re.compile(rb"\r\ncontent-length:[ \t]*([^\r]*?)[ \t]*\r")
--- a/libs/wire/berylspindle_wire/http_session.py
+++ b/libs/wire/berylspindle_wire/http_session.py
@@ -190,8 +190,8 @@
     def _close_idle(self) -> None:
         """Send the end of output at once, so that the peer stops using the connection.
 
-        A transport closes its socket only in the next loop iteration. A request that the peer sends
-        before that would be reset, although it had asked the kernel whether the connection is open.
+        A transport closes its socket only in the next loop iteration. A peer that sends a request
+        before that would get a reset, although its own kernel still reported the connection open.
         """
         self._idle_expired = True
         if self._transport.can_write_eof():
--- a/libs/wire/berylspindle_wire/peer_auth.py
+++ b/libs/wire/berylspindle_wire/peer_auth.py
@@ -40,7 +40,7 @@
 
 
 def require_key(host: str, key: bytes | None) -> None:
-    """Raise KeyRequiredError if `host` is no loopback address and there is no key.
+    """Raise KeyRequiredError if `host` is not a loopback address and there is no key.
 
     Without this check, a missing setting would let anyone on the network send work and control
     messages.
--- a/libs/wire/berylspindle_wire/peer_server.py
+++ b/libs/wire/berylspindle_wire/peer_server.py
@@ -45,7 +45,7 @@
     _http2_min_sent_ping_interval_without_data=30,
 )
 
-# A peer that disconnects is no error of this process; grpclib would log a traceback for each.
+# grpclib would log a traceback for each peer that disconnects, which is not an error here.
 logging.getLogger("grpclib").setLevel(logging.CRITICAL)
 
 
@@ -88,7 +88,7 @@
 class PeerServer:
     """Serve links and control calls of peers on one TCP port.
 
-    Raise KeyRequiredError if there is no key and `host` is no loopback address. `on_fault` is
+    Raise KeyRequiredError if there is no key and `host` is not a loopback address. `on_fault` is
     called with exceptions of the batch handler and of control methods.
     """
 
