--- a/tests/client/test_caller_client.py
+++ b/tests/client/test_caller_client.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
 async def test_another_daemon_is_tried_only_after_not_run(kind: ErrorKind) -> None:
-    """An execute could run twice, or a search that crashes servers reach the next ones.
+    """Guard against an execute that runs twice, or a search that crashes one server after another.
 
     The first daemon refuses. The client may try the second one only after "not run" with a refusal
     that is specific to the VM or allows an immediate retry.
@@ -99,7 +99,7 @@
 
 
 async def test_a_lost_answer_is_unknown_and_not_sent_again() -> None:
-    """An execute could run twice if it is sent to a second daemon after a lost answer.
+    """Guard against an execute that runs twice because a second daemon gets it after a lost answer.
 
     The daemon reads the request and closes the connection. The request may have run; if the claim
     of its key was lost too, the second daemon would run it again.
--- a/tests/telemetry/test_clock.py
+++ b/tests/telemetry/test_clock.py
@@ -24,7 +24,7 @@
 def test_stamps_increase_and_stay_near_the_highest_wall_time(
     steps: list[tuple[int, Stamp | None]],
 ) -> None:
-    """Guards against one VM with a wall clock far ahead advancing the stamps of all others.
+    """Guard against one VM with a wall clock far ahead advancing the stamps of all others.
 
     Each clock must stay within its bound of the wall-clock time that it has read itself.
     """
@@ -49,7 +49,7 @@
 def test_effects_of_a_message_sort_after_its_cause(
     messages: list[tuple[int, int]], data: st.DataObject
 ) -> None:
-    """Guards against events that sort before their cause when wall clocks differ.
+    """Guard against events that sort before their cause when wall clocks differ.
 
     The clocks of three VMs differ by up to 400 ms. Events of a receiver after a message must sort
     after the events of the sender before it.
@@ -86,7 +86,7 @@
 
 
 async def test_effects_of_a_stamped_call_sort_after_its_cause() -> None:
-    """Guards against calls whose effects sort before their cause.
+    """Guard against calls whose effects sort before their cause.
 
     The sender's clock is 300 ms ahead. Events of the receiver, and those of the sender after the
     response, must sort after the events before the call.
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -41,7 +41,7 @@
 async def test_stopped_reader_does_not_block_and_dropped_lines_are_counted(
     pipe: tuple[int, int],
 ) -> None:
-    """Guards against requests that stall because the log collector has stopped reading.
+    """Guard against requests that stall because the log collector has stopped reading.
 
     A pipe holds 64 KB; a blocking write beyond that would block the thread of the event loop.
     """
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -37,7 +37,7 @@
 
 
 def test_quantiles_exclude_values_older_than_two_windows() -> None:
-    """Guards against quantiles that still show a slow server long after it was removed.
+    """Guard against quantiles that still show a slow server long after it was removed.
 
     They must cover only the last one to two windows, while the count covers the whole run.
     """
--- a/tests/telemetry/test_timeline.py
+++ b/tests/telemetry/test_timeline.py
@@ -16,7 +16,7 @@
 
 
 def test_flapping_state_does_not_exceed_the_capacity() -> None:
-    """Guards against unbounded memory when a backend server is ejected and returned repeatedly.
+    """Guard against unbounded memory when a backend server is ejected and returned repeatedly.
 
     Each change is an event. The buffer must keep to its capacity and count the dropped events.
     """
@@ -53,7 +53,7 @@
 
 
 def test_json_lines_have_fields_and_mask_secrets() -> None:
-    """Guards against tokens in the log when a library quotes a header in an error message."""
+    """Guard against tokens in the log when a library quotes a header in an error message."""
     stream = io.StringIO()
     metrics = Metrics(lambda: 0.0)
     secret = Secret("s3cr3t-token")
--- a/tests/wire/conftest.py
+++ b/tests/wire/conftest.py
@@ -197,5 +197,5 @@
 
 @pytest.fixture
 def relayed_pair() -> Callable[..., object]:
-    """Return a context manager for such a pair, connected by a relay that can drop all bytes."""
+    """Return a context manager for an entry and owner linked by a relay that can drop all bytes."""
     return open_relayed_pair
--- a/tests/wire/test_datagrams.py
+++ b/tests/wire/test_datagrams.py
@@ -29,7 +29,7 @@
 
 
 async def test_forged_and_damaged_messages_are_dropped(until):
-    """Without a MAC, another deployment or an attacker could forge membership messages."""
+    """Guard against membership messages forged by an attacker or sent by another deployment."""
     messages = []
     port = await open_datagrams("127.0.0.1", 0, key=b"k", on_message=lambda *m: messages.append(m))
     other_sender = await open_datagrams("127.0.0.1", 0, key=b"other", on_message=lambda *_: None)
--- a/tests/wire/test_http_client.py
+++ b/tests/wire/test_http_client.py
@@ -95,7 +95,7 @@
     ],
 )
 async def test_truncated_or_malformed_reply(reply, phase):
-    """A reply truncated by a crash of the backend server must not be taken as complete.
+    """Guard against taking a reply truncated by a crash of the backend server as complete.
 
     Anything but a complete, unambiguous reply is a failure, and its connection is not reused.
     """
@@ -105,7 +105,7 @@
 
 
 async def test_reply_truncated_at_any_byte_is_a_failure():
-    """The connection ends after each possible byte of a reply, for both kinds of framing."""
+    """Close the connection after each possible byte of a reply, for both kinds of framing."""
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     for whole in (OK, chunked):
         for cut in range(len(whole)):
@@ -144,7 +144,7 @@
 
 
 async def test_unsolicited_bytes_close_an_idle_connection(until):
-    """A late reply to an abandoned request must not be read as the reply to the next one."""
+    """Guard against reading a late reply to an abandoned request as the reply to the next one."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(OK)
@@ -156,7 +156,7 @@
 
 
 async def test_cancelled_request_closes_the_socket():
-    """The close cancels the work at the backend server after its caller has disconnected."""
+    """Guard against work that a backend server continues after its caller has disconnected."""
     asked, ended = asyncio.Event(), asyncio.Event()
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/wire/test_http_noise.py
+++ b/tests/wire/test_http_noise.py
@@ -96,7 +96,7 @@
 @settings(derandomize=True, deadline=None, database=None, max_examples=400)
 @given(damaged_requests())
 def test_noise_is_answered_in_order_or_closed(pieces):
-    """A damaged request must not crash the connection's task, which would leave its caller waiting.
+    """Guard against a damaged request that crashes its connection's task, so that no answer comes.
 
     Each handled request gets one answer, followed by at most one error, after which nothing is
     served. The result doesn't depend on the segmentation of the bytes, and no exception escapes.
--- a/tests/wire/test_http_pool.py
+++ b/tests/wire/test_http_pool.py
@@ -135,7 +135,7 @@
 
 
 async def test_silent_reused_connection_is_closed_with_those_of_its_age(until):
-    """Requests must not hang on one dead connection after another.
+    """Guard against requests that time out on one dead connection after another.
 
     A middlebox has dropped the state of all idle connections, without a reset. The first request to
     fail by `progress_timeout` closes the others of the same age; the next uses a new connection.
@@ -166,7 +166,7 @@
 
 
 async def test_idle_connections_are_probed_in_the_background(until):
-    """A dead connection must be detected by a probe while idle, not by the next request."""
+    """Guard against a dead connection that the next request detects instead of an idle probe."""
     async with pooled(spare=1, connect_timeout=0.1, idle_probe_after=0.1) as (fake, pool, events):
         assert await ask(pool) == 1
         await until(lambda: events["probed"] >= 1)
@@ -207,7 +207,7 @@
 
 
 async def test_cancelled_waiter_leaks_no_connection(until):
-    """A request cancelled while it waits must not leak the connection assigned to it."""
+    """Guard against leaking the connection that was assigned to a request cancelled meanwhile."""
     async with pooled(limit=1) as (fake, pool, _):
         fake.gate.clear()
 
@@ -229,7 +229,7 @@
 class PoolHistory(RuleBasedStateMachine):
     """Send, cancel, reset, silence and wait in any order.
 
-    Guards against leaked connections: a rare sequence of events leaves a closed connection counted,
+    Guard against leaked connections: a rare sequence of events leaves a closed connection counted,
     until the pool can serve nothing. After any sequence, the number of connections never exceeds
     the limit, and finally the whole limit can be used.
     """
@@ -335,7 +335,7 @@
 
 
 async def test_connect_timeouts_fail_one_request_each_and_free_their_slots(until, monkeypatch):
-    """Connect timeouts, as on a machine that stalls, must not reduce the usable limit of the pool.
+    """Guard against connect timeouts on a stalled machine that reduce the pool's usable limit.
 
     A stall of 70 ms exceeds the connect timeout of 50 ms: each pending connect fails one waiting
     request as not sent. Retries then get connections, up to the whole limit.
--- a/tests/wire/test_http_server.py
+++ b/tests/wire/test_http_server.py
@@ -58,7 +58,7 @@
     ids=[case[0] for case in load_malformed_cases()],
 )
 async def test_malformed_request_is_refused_and_nothing_after_it_is_served(status, data):
-    """Guards against request smuggling, which gives a caller the answer to another's request.
+    """Guard against request smuggling, which gives a caller the answer to another's request.
 
     If a load balancer and this server read different ends of a request, the bytes between are
     served as another request. Each ambiguous request is rejected and its connection closed.
@@ -91,7 +91,10 @@
 
 
 async def test_head_after_a_chunked_body_is_validated_too():
-    """The first request is valid, so the connection stays open; the second one follows its body."""
+    """Guard against a malformed request that is not validated because it follows a chunked body.
+
+    The first request is valid, so that the connection stays open for the second one.
+    """
     chunked = b"POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     hidden = b"GET /x HTTP/1.1\r\nHost: a\r\nX: y\r\n folded\r\n\r\n"
     async with await start() as server:
@@ -128,7 +131,7 @@
     "sent", [b"GET / HT", b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na"]
 )
 async def test_slow_sender_is_408(sent):
-    """Callers with incomplete requests must not occupy all connections."""
+    """Guard against callers with incomplete requests that occupy all connections."""
     async with await start() as server:
         reply = await exchange(server.port, sent)
     assert status_of(reply) == 408
@@ -146,7 +149,7 @@
 
 
 async def test_connections_beyond_the_refusal_limit_are_dropped(until):
-    """The answers to thousands of excess connections must not exhaust the memory."""
+    """Guard against exhausting the memory with answers to thousands of excess connections."""
     async with await start(limits=HttpLimits(connections=0)) as server:
         opened = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(110)]
         await until(lambda: server.connections == 100)
@@ -157,7 +160,7 @@
 
 
 async def test_peer_that_does_not_read_is_disconnected(until):
-    """A caller that never reads a large answer must not occupy memory indefinitely."""
+    """Guard against a caller that never reads a large answer and occupies memory indefinitely."""
 
     async def handler(request: HttpRequest) -> HttpResponse:
         return HttpResponse(status=200, body=b"x" * 20_000_000)
@@ -172,7 +175,7 @@
 
 
 async def test_request_behind_a_last_response_does_not_destroy_it():
-    """The close after the last response must not reset the connection.
+    """Guard against a reset by the close after the last response.
 
     If the caller's next request is in transit when a draining server closes, the kernel sends a
     reset, which discards the part of the response that the caller has not read.
@@ -193,7 +196,7 @@
 
 
 async def test_close_of_an_idle_connection_is_visible_to_the_peer_at_once():
-    """Guards against a reset of a request that a peer sends in the same loop iteration."""
+    """Guard against a reset of a request that a peer sends in the loop iteration of the close."""
     async with await start() as server:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.write(GET)
@@ -216,7 +219,7 @@
 
 
 async def test_disconnect_of_the_caller_cancels_the_handler():
-    """An abandoned request must not occupy slots of backend servers.
+    """Guard against abandoned requests that occupy slots of backend servers.
 
     The server detects the end of input while the handler runs and cancels it.
     """
@@ -288,7 +291,7 @@
 
 
 async def test_drain_aborts_no_request(until):
-    """A VM that shuts down while callers keep sending must not reset any request.
+    """Guard against requests reset by a VM that shuts down while callers keep sending.
 
     Order: requests in flight, start of the drain, more requests on open and new connections, close.
     Each request gets its answer, and each answer has `Connection: close`.
--- a/tests/wire/test_http_session.py
+++ b/tests/wire/test_http_session.py
@@ -30,7 +30,7 @@
 
 
 async def test_request_that_arrives_just_before_the_idle_timeout_is_served():
-    """A drain must not close a connection on which a request has arrived.
+    """Guard against a drain that closes a connection on which a request has arrived.
 
     The sweep of idle connections runs after the bytes were received and before the connection's
     task has processed them.
@@ -48,7 +48,7 @@
 
 
 async def test_disconnect_cancels_the_handler_once():
-    """A second cancellation would interrupt the clean-up that cancels work at other VMs.
+    """Guard against a second cancellation, which interrupts the cancelling of work at other VMs.
 
     The end of input is followed by the loss of the connection; only the first may cancel.
     """
@@ -73,7 +73,7 @@
 
 
 async def test_request_of_a_disconnected_caller_is_not_handled():
-    """The caller disconnects in the same loop iteration in which its request arrives."""
+    """Guard against handling a request whose caller disconnects in the same loop iteration."""
     served = []
 
     async def handler(request: HttpRequest) -> HttpResponse:
--- a/tests/wire/test_link_history.py
+++ b/tests/wire/test_link_history.py
@@ -41,9 +41,10 @@
 class LinkHistory(RuleBasedStateMachine):
     """Submit, cancel, answer, misroute replies, restart and drain in any order.
 
-    After any sequence: no attempt is answered twice or after its cancellation, NOT_RUN is reported
-    only for attempts that no owner has received, success only for those that an owner answered, and
-    finally each attempt is answered or cancelled.
+    Guard against lost, duplicate and wrong replies. After any sequence: no attempt is answered
+    twice or after its cancellation, NOT_RUN is reported only for attempts that no owner has
+    received, success only for those that an owner answered, and finally each attempt is answered or
+    cancelled.
     """
 
     def __init__(self) -> None:
--- a/tests/wire/test_peer_auth.py
+++ b/tests/wire/test_peer_auth.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("skew", [0.0, MAX_CLOCK_SKEW_S - 1, 1 - MAX_CLOCK_SKEW_S])
 def test_signed_call_is_accepted_once(skew):
-    """A replay of the call that opens a link must be rejected."""
+    """Guard against a replay of the call that opens a link."""
     clock = Clock()
     verifier = CallVerifier(b"k", clock)
     call = sign_call(b"k", "/m", clock.now + skew)
--- a/tests/wire/test_peer_links.py
+++ b/tests/wire/test_peer_links.py
@@ -26,7 +26,7 @@
 
 
 async def test_many_attempts_are_split_into_several_frames(until, pair):
-    """A single frame for a large search would block the event loop for tens of milliseconds."""
+    """Guard against one frame for a large search, which blocks the event loop for tens of ms."""
     async with pair() as peers:
         for number in range(40):
             peers.submit(*(f"{number}.{index}" for index in range(10)))
@@ -37,7 +37,7 @@
 
 
 async def test_link_broken_mid_batch(until, pair):
-    """Guards against lost answers and against a repeated write after an owner crashes.
+    """Guard against lost answers and against a repeated write after an owner crashes.
 
     The owner closes after it has answered some attempts of a batch. Those keep their answers; each
     other attempt is reported once as MAY_HAVE_RUN, since it was written.
@@ -66,7 +66,7 @@
 
 
 async def test_retry_from_the_callback_does_not_starve_the_loop(until, pair):
-    """An unreachable owner must not stall the whole VM.
+    """Guard against an unreachable owner that stalls the whole VM.
 
     During the link's backoff each attempt is refused at once, and the callback submits it again.
     The event loop must still run other work.
@@ -113,7 +113,7 @@
 
 
 async def test_misrouted_and_late_replies_are_dropped(until, pair):
-    """A misrouted reply would give one caller the result of another.
+    """Guard against misrouted replies, which give one caller the result of another.
 
     An owner answers with the wrong id, server or shard, or twice. Such replies are dropped and
     counted.
@@ -156,7 +156,7 @@
 
 
 async def test_close_of_the_entry_cancels_its_work(until, pair):
-    """After an entry closes, its owners must cancel the work that it has submitted."""
+    """Guard against owners that continue the work of an entry after it has closed."""
     async with pair() as peers:
         peers.submit("a:slow")
         await until(lambda: peers.owner.seen == ["a"])
@@ -175,7 +175,7 @@
 
 
 async def test_silent_link_is_broken(until, relayed_pair):
-    """Searches must not wait for their deadlines on a link whose path is dead.
+    """Guard against searches that wait for their deadlines on a link whose path is dead.
 
     All bytes are dropped without a reset. Pings without a pong close the link; written attempts may
     have run, and the next batch uses a new link.
@@ -205,7 +205,7 @@
 
 
 async def test_drain_loses_no_batch(until, pair):
-    """A VM that shuts down must answer all batches that it has received.
+    """Guard against a VM that shuts down without answering a batch that it has received.
 
     The owner sends `closing`, the entry stops writing and ends its side of the stream, and the
     owner closes only after it has answered everything written before.
--- a/tests/wire/test_peer_stop.py
+++ b/tests/wire/test_peer_stop.py
@@ -28,10 +28,11 @@
 
 @pytest.mark.parametrize("turns", range(LOOP_ITERATIONS))
 async def test_a_peer_that_connects_while_the_server_stops_causes_no_error(turns: int) -> None:
-    """A daemon must not exit with an internal error and code 1 because a peer connects late.
+    """Guard against a daemon that exits with an internal error because a peer connects late.
 
     When all VMs are replaced at once, a peer may connect in the loop iteration in which this VM
-    closes its connections; grpclib has created the protocol but not yet its connection.
+    closes its connections; grpclib has created the protocol but not yet its connection. The daemon
+    would then exit with code 1.
     """
     server = PeerServer("127.0.0.1", 0, batch_handler=UnusedHandler(), control={}, key=None)
     await server.start()
--- a/tests/wire/test_server_end.py
+++ b/tests/wire/test_server_end.py
@@ -20,7 +20,7 @@
 
 
 async def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
-    """The replacement of a VM must not reset a request that has already been written.
+    """Guard against a VM replacement that resets a request that has already been written.
 
     While the loop is busy, a request arrives in the kernel on an idle connection. Closing that
     connection would drop the request and send a reset.
@@ -40,7 +40,7 @@
 
 
 async def test_a_connection_made_just_before_the_port_closes_is_served() -> None:
-    """The replacement of a VM must not reset connections in the queue of its port.
+    """Guard against a VM replacement that resets connections in the queue of its port.
 
     The kernel has established the connection and the VM has not accepted it; closing the port
     resets such connections. It is made in the same loop iteration that closes the port.
--- a/tests/wire/test_silent_paths.py
+++ b/tests/wire/test_silent_paths.py
@@ -10,11 +10,11 @@
 
 
 async def test_every_client_connection_enables_dead_path_detection() -> None:
-    """A VM must not use an old configuration for ten seconds after a network partition has healed.
+    """Guard against a VM with an old configuration ten seconds after a network partition healed.
 
-    Its store watch, which waits for half a minute, uses a connection that the store has dropped
-    without a reset. Only kernel keepalive probes detect that in time. Packets can't be dropped on
-    loopback, so the test checks the socket options.
+    Its store watch waits for half a minute on a connection that the store has dropped without a
+    reset. Only kernel keepalive probes detect that in time. Packets can't be dropped on loopback,
+    so the test checks the socket options.
     """
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
--- a/tests/wire/test_stale_connection.py
+++ b/tests/wire/test_stale_connection.py
@@ -61,7 +61,7 @@
 async def test_a_connection_with_an_unread_close_carries_no_request(
     end: Callable[[socket.socket], None],
 ) -> None:
-    """A hold must not be reported as "may have run" although no server received it.
+    """Guard against a hold that is reported as "may have run" although no server received it.
 
     The backend server closes an idle connection while this process is busy; the loop then sends the
     hold before it has read the end from the socket.
--- a/tests/wire/test_tls.py
+++ b/tests/wire/test_tls.py
@@ -49,7 +49,7 @@
 
 
 async def test_server_certificate_of_another_ca_is_rejected():
-    """An operator must not confirm a plan to a server with an untrusted certificate."""
+    """Guard against an operator who confirms a plan to a server with an untrusted certificate."""
     with pytest.raises(HttpFailure) as caught:
         await post_twice(SERVER, OTHER_CA)
     assert caught.value.phase is FailurePhase.NOT_SENT
@@ -84,7 +84,7 @@
 
 
 async def test_unfinished_tls_handshake_is_closed(until):
-    """Connections without a TLS handshake must not accumulate and lock out operators."""
+    """Guard against connections without a TLS handshake that accumulate and lock out operators."""
     limits = HttpLimits(read_timeout=0.2)
     tls = server_context(SERVER)
     async with await serve(echo, host="127.0.0.1", port=0, tls=tls, limits=limits) as server:
