--- a/libs/forwarding/berylspindle_forwarding/attempt_policy.py
+++ b/libs/forwarding/berylspindle_forwarding/attempt_policy.py
@@ -116,7 +116,7 @@
 
     Attributes:
         aim_cutoff: latest time to send an answer that reaches the caller within the aim.
-        deadline: when the caller stops waiting; replicas get it as the time left.
+        deadline: when the caller stops waiting; replicas receive it as the time left.
         answer_by: latest time to send an answer or refusal that reaches the caller in time.
     """
 
@@ -258,9 +258,9 @@
 
     def _record_failure(self, now: float, attempt: Attempt, reason: str) -> None:
         health = attempt.handle.health
-        was_held_off = health.is_backing_off(now)
+        was_backing_off = health.is_backing_off(now)
         health.on_failure(now, attempt)
-        if was_held_off:
+        if was_backing_off:
             return
         self._context.log_replica_change(
             "replica held off",
@@ -296,10 +296,10 @@
     def _record_unqueued(self, attempt: Attempt, elapsed_ms: float) -> None:
         """Record the latency of an attempt as that of a replica without a queue.
 
-        An attempt that waited for a connection is ignored: a VM that has just started opens all
-        connections at once, would take the wait for the latency of its replicas, and would refuse
-        callers that return after an outage. Until the profile has enough samples, the latency of a
-        queued attempt is recorded divided by the slowdown expected from its queue.
+        An attempt that waited for a connection is ignored. A VM that has just started opens all
+        connections at once; if these waits counted as replica latency, it would refuse callers that
+        return after an outage. Attempts at a replica with a queue are recorded only until the
+        profile has enough samples, with their latency divided by the expected slowdown.
         """
         if attempt.waited_for_connection:
             return
--- a/libs/forwarding/berylspindle_forwarding/catalogue.py
+++ b/libs/forwarding/berylspindle_forwarding/catalogue.py
@@ -2,8 +2,8 @@
 
 Terms:
   change     the meaning of one entry of the store, decoded by a `CatalogueReader`
-  settling   the time after an outage of the store in which deleted entries are kept: every live
-             process announces itself again within it
+  settling   the time after an outage of the store in which deleted entries are kept; every live
+             process announces itself again within this time
 
 Flow: `run` lists all entries, then watches for changes. It passes each change to a
 `CatalogueListener` and each entry to this VM's own mirror. An `UpstreamSelector` selects whether
@@ -13,9 +13,9 @@
 deleted. If these deletions were applied, a service would be left without a replica just when the
 store is back. So a deletion within `SETTLE_S` of an outage is deferred until that time is over, and
 applied only if the entry has not been written again. An entry that can't be read is ignored and
-affects no other entry. If the store stops responding while a watch is pending, the watch is neither
-answered nor is its connection closed, and would hide all changes for as long as it may wait. So a
-pending watch is aborted as soon as any other call is not answered (`abort_store_watch`).
+affects no other entry. If the store stops responding while a watch is pending, the watch may be
+neither answered nor disconnected, and all changes would be missed until its time-out. So a pending
+watch is aborted as soon as a call that keeps this VM announced fails (`abort_store_watch`).
 """
 
 from __future__ import annotations
@@ -44,23 +44,26 @@
 
 BATCH_INTERVAL_S: Final = 0.5
 """Seconds between the response to a watch and the next watch, which then returns several changes at
-once. Each call to the store has a cost, and a release changes tens of entries one by one. The limit
-on the delay of a change is six times as long."""
+once. Each call to the store has a cost, and a release changes tens of entries one by one. A change
+may be delayed by at most six times this interval."""
 
 IDLE_BATCH_INTERVAL_S: Final = 1.5
-"""The same while this VM has had no caller's request for some seconds, as right after its start,
-when all replicas announce themselves."""
+"""The same interval if no caller has sent a request to this VM for some seconds, as right after its
+start, when all replicas announce themselves."""
 
 SETTLE_S: Final = 2.5
 VM_SETTLE_S: Final = 13.0
-"""Seconds after an outage of the store in which deletions of replicas, and of VMs, are deferred. A
-VM whose lease has expired writes its entry again at its next renewal."""
+"""Seconds after an outage of the store in which deletions are deferred: `VM_SETTLE_S` for entries
+of VMs, `SETTLE_S` for all others. A VM whose lease has expired writes its entry again only at its
+next renewal."""
 
 STARTUP_LISTS: Final = 4
+"""Maximum number of lists before the first watch if all VMs of the system start for the first time.
+The lists end as soon as there is a watcher to follow. With a watch of the store instead, each VM
+would receive the announcement of every other."""
+
 STARTUP_LIST_INTERVAL_S: Final = 1.0
-"""Number of lists, and seconds between two of them, with a jitter of 50%, where all VMs start for
-the first time and this one knows no VM to follow yet. With a watch instead, each VM would receive
-the announcement of every other."""
+"""Seconds between two of these lists, with a jitter of 50%."""
 
 RETRY_MIN_S: Final = 0.2
 RETRY_MAX_S: Final = 0.8
@@ -96,8 +99,8 @@
     """Address of a VM for its peers; stored as JSON with these names.
 
     Attributes:
-        port: where its mirror is read.
-        callers_port: where it accepts requests, also from other VMs; 0 if none from them.
+        port: port of its mirror.
+        callers_port: port for requests of callers and other VMs; 0 if it accepts none of VMs.
         bears: its capacity in cores (`decisions.relay_choice`).
         followers: number of VMs that follow this one and have no entry of their own.
         follower_bears: the smallest capacity among these followers.
@@ -217,11 +220,11 @@
 
     @abc.abstractmethod
     def on_peer_isolation(self, cut_off: bool, source: object) -> None:
-        """Handle a report of whether the VM of the followed mirror, `source`, is cut off."""
+        """Handle a report whether the VM whose mirror (`source`) is followed is cut off."""
 
     @abc.abstractmethod
     def on_store_reachability(self, reached: bool, detail: str) -> None:
-        """Handle whether the store answered; `detail` is the error if not."""
+        """Handle the result of a call to the store; `detail` is the error if not `reached`."""
 
 
 class Catalogue:
@@ -301,7 +304,7 @@
                 listed = await upstream.store.list_cached(part)
             else:
                 listed = await upstream.store.list(part)
-            # The watch starts at the first list and returns the changes between the lists.
+            # The watch starts at the lowest revision, and so returns changes between the lists.
             revision = listed.revision if revision is None else min(revision, listed.revision)
             found.update((entry.key, entry) for entry in listed.entries)
         assert revision is not None
@@ -322,7 +325,7 @@
         result = await self._call_watch(upstream, after, wait)
         await self._on_success(upstream)
         if result.compacted:
-            # List the same upstream: a lagging mirror would return outdated entries.
+            # List the upstream that reported it: another one may be a lagging mirror.
             return await self._list(upstream)
         self._mirror.apply_changes(result.entries, result.revision)
         for entry in result.entries:
@@ -337,9 +340,7 @@
             async with asyncio.timeout(None) as self._watch_timeout:
                 return await upstream.store.watch(self._reader.prefix, after=after, wait=wait)
         except TimeoutError as error:
-            raise StoreUnavailable(
-                "watch aborted: another call to the store was not answered"
-            ) from error
+            raise StoreUnavailable("watch aborted: another call to the store failed") from error
         finally:
             self._watch_timeout = None
 
--- a/libs/forwarding/berylspindle_forwarding/crash_watch.py
+++ b/libs/forwarding/berylspindle_forwarding/crash_watch.py
@@ -7,10 +7,10 @@
   record       the strikes of a fingerprint (`decisions.quarantine`), as VMs share them
 
 Flow: `record_connection_loss` is called for each attempt that ended with its connection. A new
-connection shows whether the replica has crashed or only the response was lost. Records are stored
-one key each under a lease, and every VM applies them with `merge`. `run_mode` returns how a request
-may run. A suspect first runs once as a canary, on a single shard and on a replica that it has not
-crashed yet: a replica that keeps crashing by itself would prove nothing.
+connection shows whether the replica has crashed or only the response was lost. Each record is
+stored under its own key with a lease, and every VM applies it with `merge`. `run_mode` returns how
+a request may run. A suspect first runs once as a canary, on a single shard and on a replica that it
+has not crashed yet: a crash of a replica that keeps crashing by itself is no evidence.
 
 Guards: the records that a VM writes are limited to `MAX_WRITES` in `WRITE_WINDOW_S`, and each
 expires with its lease. While the store is unavailable other VMs receive the records late, but this
@@ -35,7 +35,8 @@
 from berylspindle_telemetry.logs import logger
 
 RECORD_DELAY_S: Final = 0.1
-"""Seconds between a strike and its record: a search may crash replicas of all its shards."""
+"""Seconds between a strike and the write of its record, which then includes further strikes: a
+search may crash replicas of all its shards."""
 
 MAX_WRITES: Final = 8
 WRITE_WINDOW_S: Final = 10.0
--- a/libs/forwarding/berylspindle_forwarding/failure_cause.py
+++ b/libs/forwarding/berylspindle_forwarding/failure_cause.py
@@ -25,7 +25,7 @@
 
 LITTLE_TIME_FACTOR: Final = 2.0
 """Time left on arrival, in median latencies, below which replicas are not at fault: half of all
-sub-requests take longer than the median, and the network takes its share."""
+sub-requests take longer than the median, and the network adds to it."""
 
 TABLE_WAIT_MS: Final = 20.0
 """Wait for the first routing table, in milliseconds, from which it is the cause of a late answer;
--- a/libs/forwarding/berylspindle_forwarding/forward_daemon.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_daemon.py
@@ -8,14 +8,14 @@
 exit stack, and waits for a signal to stop. The shutdown has these stages:
 
   unready   readiness fails and responses ask callers to close their connections; new requests are
-            served, since the balancer takes one or two seconds to notice and callers keep
+            served, since the balancer takes one or two seconds to detect it and callers keep
             connections open
-  drain     no request has come for a while, or the time for it is over: the callers' port is
-            closed, and pending requests are finished
+  drain     `BALANCER_DETECTION_S` later, or sooner if the grace period is too short for it: the
+            callers' port is closed, and pending requests are finished
   close     everything is closed
 
-Guard: callers with an open connection send on it until they are asked to close it. Each response
-asks them from the first stage on, and an idle connection is closed only after a period without
+Guard: callers with an open connection send on it until a response asks them to close it. From the
+first stage on each response does so, and an idle connection is closed only after a period without
 requests.
 """
 
@@ -46,8 +46,8 @@
 from berylspindle_wire.http_server import HttpServer, serve
 
 BALANCER_DETECTION_S: Final = 2.6
-"""Seconds after which a balancer with a check interval of one second and a threshold of two
-failures sends no more requests, and some tenths for those that it sent just before."""
+"""Seconds until a balancer with a check interval of one second and a threshold of two failures
+stops sending requests, plus some tenths of a second for requests that it sent just before."""
 
 CLOSE_RESERVE_S: Final = 1.0
 """Seconds of the grace period that are reserved for closing."""
@@ -70,11 +70,11 @@
     """The edges of one daemon.
 
     Attributes:
-        callers: where callers' requests arrive; `listening_socket` is a socket that already listens
-            there.
-        ready: where the balancer checks readiness, or None; `ready_path` is the path of the check.
-        metrics: where metrics are read, or None; `metrics_path` likewise.
-        peers: where other VMs read this one's mirror, or None.
+        callers: address for callers' requests.
+        bound: socket that already listens on `callers`, or None to open one.
+        ready: address of the balancer's readiness check, or None; its path is `ready_path`.
+        metrics: address for reading metrics, or None; the path is `metrics_path`.
+        peers: address at which other VMs read this one's mirror, or None.
         grace_s: seconds between the signal to stop and the end of the process.
         connections: maximum number of callers' connections.
     """
--- a/libs/forwarding/berylspindle_forwarding/forward_options.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_options.py
@@ -22,16 +22,16 @@
         peers: address of this VM's mirror, or None.
         seeds: mirror addresses of some other VMs.
         announce_key: store key of this VM's entry, or empty.
-        announced_here: number of VMs per data centre with an entry, the largest ones; the others
-            follow these without an entry.
+        announced_here: number of VMs per data centre that have an entry, the largest ones; the
+            others follow these and have no entry.
         suspects_prefix: key prefix of requests that crash replicas, or empty.
         callers_port: port where this VM accepts relayed requests, or 0.
         bears: capacity of this VM (`decisions.relay_choice`).
         first_start: whether all VMs of the system start for the first time.
-        expected_vms: VMs that share budgets and connections while fewer are known.
+        expected_vms: minimum number of VMs among which budgets and connections are divided.
         extra: limits of the retry budget of all VMs together.
         cold: limits of the requests to a cold replica.
-        exposure: limits of the requests to a faulty version.
+        exposure: limits of the requests to a new version before it is known to be faulty.
         rollout_entries: location of rollout entries, or None if rollouts are disabled.
         policy: which decisions are enabled.
     """
--- a/libs/forwarding/berylspindle_forwarding/forwarder.py
+++ b/libs/forwarding/berylspindle_forwarding/forwarder.py
@@ -294,9 +294,9 @@
         )
 
     def _log_entry(self, message: str, **fields: object) -> None:
-        """Log a changed entry, only on VMs that watch the store for the others.
+        """Log a changed entry after the initial listing, only on a VM that follows the store.
 
-        Otherwise each VM would write 400 lines at its start, and 195 VMs one line per change.
+        Otherwise each VM would write 400 lines at its start, and 195 VMs one line for each change.
         """
         if self._listed.is_set() and not self.vms.watchers():
             self._log.info(message, extra=fields)
--- a/libs/forwarding/berylspindle_forwarding/front.py
+++ b/libs/forwarding/berylspindle_forwarding/front.py
@@ -53,8 +53,8 @@
 their few retries, while the table arrives within some tenths of a second."""
 
 _STATUS: Final = {ErrorKind.QUARANTINED: 503}
-"""Statuses that override the common table: these callers treat a 4xx as an invalid request, and
-don't retry it."""
+"""Statuses that override the common table of error kinds: callers of forwarded requests treat a 4xx
+as an invalid request, and don't retry it."""
 
 _CALLER_LEFT: Final = Refusal(ErrorKind.CANCELLED, "the caller disconnected")
 
@@ -326,7 +326,7 @@
     margin_ms = RESPONSE_MARGIN_MS + (NEW_CONNECTION_MARGIN_MS if is_first else 0.0)
     aim_ms = max(1.0, route.aim_ms - margin_ms)
     if forward.relayed is not None:
-        # The origin has subtracted the margin, and knows when the request arrived.
+        # The origin has already subtracted the margin and the time since the request arrived there.
         aim_ms = forward.relayed.aim_ms
     return RequestTimes(
         started=started,
--- a/libs/forwarding/berylspindle_forwarding/isolation_monitor.py
+++ b/libs/forwarding/berylspindle_forwarding/isolation_monitor.py
@@ -9,8 +9,8 @@
 locally, and probes peers in other data centres until one responds. In normal operation only a VM
 that follows the store directly probes, two data centres at a time, and so detects a cut before
 callers' requests are affected. A VM that has followers also probes as soon as an attempt is
-overdue. `record_peer_report` reports whether the followed mirror's VM is cut off; if so, this VM
-suspects that it is cut off too.
+overdue. `record_peer_report` records whether the VM whose mirror is followed is cut off; if so,
+this VM is suspected to be cut off too.
 
 Guards: where twenty VMs share a data centre's callers, most of them see too few requests to detect
 a cut themselves. The balancer sends callers to each VM that is ready, and diverts them to another
@@ -99,7 +99,7 @@
         return self._cut_off_since is not None
 
     def failover_delay(self, now: float) -> float:
-        """Return the seconds until the balancer diverts callers; 0 if it already does."""
+        """Return the seconds until the balancer diverts callers; 0 unless this VM is cut off."""
         if self._cut_off_since is None:
             return 0.0
         return max(0.0, self._cut_off_since + BALANCER_DETECTION_S - now)
@@ -107,7 +107,8 @@
     def record_peer_report(self, cut_off: bool, *, source: object) -> None:
         """Record whether another VM of this data centre reports that it is cut off.
 
-        Only the VM that raised a suspicion ends it: others may not have detected the cut yet.
+        Only a report of the VM that raised a suspicion clears it: other VMs may not have detected
+        the cut yet.
         """
         now = self._now()
         if cut_off:
--- a/libs/forwarding/berylspindle_forwarding/mirror.py
+++ b/libs/forwarding/berylspindle_forwarding/mirror.py
@@ -10,9 +10,9 @@
 follows the store or a mirror. A mirror that is out of sync reports for how long, and the reader
 decides whether to use it.
 
-Guard: a VM that starts while the store is unavailable, or that the store rejects, would know no
-route and no replica, although the VMs beside it know all. A mirror may be outdated; entries keep
-the store's revisions, so that an older entry never replaces a newer one.
+Guard: without mirrors, a VM that starts while the store is unavailable, or that the store rejects,
+would have no routes and replicas, although its peers have them all. A mirror may be outdated;
+entries keep the store's revisions, so that an older entry never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -56,8 +56,8 @@
 LIST_TIMEOUT_S: Final = 1.0
 WATCH_TIMEOUT_MARGIN_S: Final = 0.6
 """Seconds that a mirror's response may take beyond the wait of its watch. The round trip takes
-about a millisecond; a mirror that does not respond is left early enough that the store can still be
-called within the limit on the delay of a change."""
+about a millisecond; a mirror that does not respond is abandoned early enough that the store can
+still be called within the limit on the delay of a change."""
 
 
 @attrs.frozen(kw_only=True)
--- a/libs/forwarding/berylspindle_forwarding/relay.py
+++ b/libs/forwarding/berylspindle_forwarding/relay.py
@@ -10,7 +10,7 @@
 certainly not begun the request. A merger never relays a request again.
 
 A merger that has not replied by the route's latency target, the aim, is probed. If the probe times
-out as well, a request sent to it fails at once, while the caller still has time to retry.
+out as well, the request fails at once, while the caller still has time to retry.
 
 Guards: a merger with another routing table could answer from an older configuration than callers of
 the origin have already seen, so it replies `unrun` if the table versions differ. A silent merger
@@ -172,7 +172,10 @@
         )
 
     def choose_subset(self, shards: tuple[str, ...], in_flight: int) -> Subset | None:
-        """Return the merger and positions of the shards without a replica here, if there is one."""
+        """Return a merger in another data centre for shards without a local replica, or None.
+
+        The positions are those of the shards that have a replica in the merger's data centre.
+        """
         if not self._policy.subsets:
             return None
         remote = self._registry.remote_positions(shards)
--- a/libs/forwarding/berylspindle_forwarding/replica_pool.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_pool.py
@@ -46,7 +46,7 @@
     Attributes:
         connect_timeout: connect timeout in seconds; a running replica accepts within a few
             milliseconds, so half a second without an accept means that it is down.
-        max_reply_bytes: maximum size of a reply body, in bytes.
+        most_bytes: maximum size of a reply body, in bytes.
     """
 
     connect_timeout: float = 0.5
--- a/libs/forwarding/berylspindle_forwarding/replica_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/replica_registry.py
@@ -12,9 +12,9 @@
 replica for each attempt. The health of a replica is kept as long as its address and its start time
 stay the same.
 
-Guard: a cold replica fails under full load, also when eight VMs send "only a few" requests each.
-Each VM uses its share of the stated rate over a second, and less than its share while it does not
-know all other VMs.
+Guard: a cold replica fails under full load, also if eight VMs send only a few requests each. So
+each VM sends in any second at most its part of `COLD_SHARE` of the replica's rate, or one request
+if that part is less; the rest of the rate is left for VMs that do not know of each other yet.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
 
 
 LOSSY_COST: Final = 10.0
-"""Cost that a replica with lost responses adds to a request that must not be repeated, in usual
-latencies: lower than that of a replica that does not respond, higher than any queue that is worth
-waiting in."""
+"""Cost added to a replica that lost responses for a request that must not be repeated, in multiples
+of the usual latency: lower than the cost of a replica that does not respond, higher than that of
+any queue that is worth waiting in."""
 
 
 @attrs.frozen(kw_only=True)
@@ -179,20 +179,20 @@
     def pick_trial_replica(self, service: str) -> ReplicaHandle | None:
         """Return the replica on which the new version of a service is tried, or None.
 
-        All VMs try the same one, so that a small share of the requests gives it the load of a full
-        replica.
+        All VMs select the same one, the lowest id, so that the small share of requests on trial
+        adds up to the load of a regular replica.
         """
         rule = self._version_rule(service)
         if rule is None or rule.is_used:
             return None
         now = self._now()
-        tried = [
+        candidates = [
             handle
             for handle in self._eligible(service)
             if handle.replica.version == rule.version
             and not self._is_cold_limit_reached(handle, now)
         ]
-        return min(tried, key=lambda handle: handle.replica.id, default=None)
+        return min(candidates, key=lambda handle: handle.replica.id, default=None)
 
     def versions(self, service: str) -> set[str]:
         """Return the versions of a service that replicas have announced."""
@@ -212,7 +212,7 @@
             return eligible
         usable = tuple(h for h in eligible if (h.replica.version == rule.version) == rule.is_used)
         # If no replica runs the version in force, all are used. The version on trial never replaces
-        # missing replicas, unless it is the only version: the order names the one in force.
+        # missing replicas, unless it is the only version: then it is also the one in force.
         is_only = self.versions(service) == {rule.version}
         return usable or (eligible if rule.is_used or is_only else ())
 
--- a/libs/forwarding/berylspindle_forwarding/rollouts.py
+++ b/libs/forwarding/berylspindle_forwarding/rollouts.py
@@ -7,7 +7,7 @@
   report                  answers that a VM sends to the VM that it follows
   record                  answers of a whole data centre, an entry in the store
 
-Flow: the forwarder passes each entry of the store that concerns a rollout. `version_rule` returns
+Flow: the `apply_*` methods receive each entry of the store for a rollout. `version_rule` returns
 which replicas of a service receive requests, and `admit_to_trial` whether a request goes to the new
 version instead; attempts report their responses. Reports are sent with the reads of mirrors
 (`report`, `merge_report`) up to the first watcher of the data centre. It writes the record, from
@@ -317,7 +317,7 @@
     def record(self, service: str, data_centre: str) -> RolloutAnswers:
         """Return the record of a data centre.
 
-        It holds the reported answers, and no less than the stored record.
+        It holds the reported answers, with counts no lower than those of the stored record.
 
         Guard: a writer that has restarted lacks the earlier answers. Without the stored record,
         evidence of a bad version would be lost, and with fewer requests counted the trial would
@@ -369,8 +369,8 @@
         """Return the verdict on the answers of all data centres."""
         rollout = self._services[service]
         term = rollout.order.term if rollout.order is not None else 0.0
-        required_caution = evidence_limits(self._bounds, term=term, rate=self._rate(rollout))
-        return analyse(self._recorded_counts(service), required_caution)
+        required_evidence = evidence_limits(self._bounds, term=term, rate=self._rate(rollout))
+        return analyse(self._recorded_counts(service), required_evidence)
 
     def _recorded_counts(self, service: str) -> defaultdict[str, AnswerCounts]:
         routes = _new_counts()
--- a/libs/forwarding/berylspindle_forwarding/upstream_selector.py
+++ b/libs/forwarding/berylspindle_forwarding/upstream_selector.py
@@ -3,7 +3,8 @@
 Terms:
   watcher   a VM of the same data centre whose mirror the other VMs follow (`decisions.watchers`)
   mirror    a VM's copy of the store's entries (`mirror`)
-  fallback  the mirror of a VM that is not a watcher, used without the store and the watchers
+  fallback  the mirror of a VM that is not a watcher, used if neither the store nor a watcher is
+            usable
 
 Flow: the catalogue calls `pick` before each call and reports its result. A VM that is not a watcher
 follows one of the watchers. A watcher that failed or reports a lag is excluded for a while; if all
@@ -40,10 +41,10 @@
 PROBES_BEFORE_STORE: Final = 2
 RECHECK_PER_VM_S: Final = 0.03
 RECHECK_MAX_S: Final = 1.0
-"""Successful probes of the store before a follower leaves its watchers for the store, and seconds
-between these probes: a part for each VM of the data centre, and the maximum. After an outage that
-affected all VMs the watchers are back in sync within a second, and hundreds of followers that watch
-the store would load it."""
+"""Number of successful probes of the store before a VM whose watchers lag follows the store itself,
+and seconds between these probes: `RECHECK_PER_VM_S` for each VM of the data centre, at most
+`RECHECK_MAX_S`. After an outage that affected all VMs the watchers are back in sync within a
+second, and hundreds of followers that watch the store would load it."""
 
 FALLBACK_WAIT_S: Final = 0.3
 """Longest wait of a watch on a fallback mirror, in seconds. The mirror may lag itself, and other
@@ -108,11 +109,12 @@
         extra_query: Callable[[], dict[str, str]] = dict,
         on_losses: Callable[[dict[str, int]], None] = lambda losses: None,
     ) -> None:
-        """Initialize the selector. `watchers` returns the watchers to follow, none on a watcher.
+        """Initialize the selector.
 
-        `local_vm_count` returns the number of VMs in the data centre, and `extra_query` the query
-        parameters that describe this VM to a mirror. `on_losses` receives a mirror's reports of
-        lost responses by replica.
+        `watchers` returns the watchers that this VM may follow; it is empty if this VM must follow
+        the store itself. `local_vm_count` returns the number of VMs in the data centre, and
+        `extra_query` the query parameters that describe this VM to a mirror. `on_losses` receives a
+        mirror's reports of lost responses by replica.
         """
         self._introduction: Final = extra_query
         self._on_losses: Final = on_losses
--- a/libs/forwarding/berylspindle_forwarding/vm_announcer.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_announcer.py
@@ -14,9 +14,9 @@
 
 Guards: the entry of a previous process is replaced under its revision, and so never mistaken for
 another VM's. An entry that is missing, or bound to a lease other than the one renewed, is written
-again. A renewal costs a tenth of a call; one that is not answered is reported, so that a pending
-watch of the store can be retried. A VM that has stopped is counted for `LEASE_S` at most, which
-makes the other VMs' shares of budgets smaller, never larger.
+again. A renewal costs the store a tenth of any other call; a failed one is reported, so that a
+pending watch of the store can be retried. A VM that has stopped is counted for `LEASE_S` at most,
+which makes the other VMs' shares of budgets smaller, never larger.
 """
 
 from __future__ import annotations
@@ -53,14 +53,14 @@
 With a retry each second, eighty VMs would make four hundred calls in an outage of five seconds."""
 
 NEED_CHECK_INTERVAL_S: Final = 2.0
-"""Seconds, with a jitter of 50%, between two checks whether a VM without an entry is needed. The
-first check comes after this delay divided by the capacity of the VM in cores."""
+"""Seconds, with a jitter of 50%, between two checks whether a VM without an entry has to be
+announced. The first check comes after this delay divided by the capacity of the VM in cores."""
 
 MIN_CAPACITY: Final = 0.25
 
 MAX_MISMATCHED_RENEWALS: Final = 2
-"""Consecutive renewals with a missing or different entry before it is written again: this VM's view
-of the store lags a little."""
+"""Consecutive renewals with a missing or different entry before it is written again: the entry is
+read from this VM's mirror, which lags a little behind the store."""
 
 
 class VmAnnouncer:
