--- a/tests/forwarding/test_crash_watch.py
+++ b/tests/forwarding/test_crash_watch.py
@@ -78,7 +78,7 @@
 
 
 async def test_request_sent_through_eight_vms_is_refused_after_three_attempts() -> None:
-    """Guards against a request that crashes a replica of each shard again through each VM."""
+    """Guard against a request that crashes a replica of each shard again through each VM."""
     async with open_fleet(8) as (_, sites):
         for site in sites[:3]:
             await site.ask(f"/lots/{POISON}", left_ms=1500)
@@ -95,7 +95,7 @@
 
 
 async def test_lost_responses_do_not_count_as_crashes() -> None:
-    """Guards against a request refused for a minute after healthy replicas lost its responses."""
+    """Guard against a request refused for a minute after healthy replicas lost its responses."""
     async with open_fleet(2) as (store, sites):
         for replica in sites[0].replicas.values():
             replica.behaviour.reply_fault, replica.behaviour.faulty_replies = (
@@ -110,7 +110,7 @@
 
 
 async def test_vm_without_the_store_refuses_requests_that_crashed_its_replicas() -> None:
-    """Guards against a VM without the store that keeps crashing the replicas it reaches."""
+    """Guard against a VM without the store that keeps crashing the replicas it reaches."""
     async with open_fleet(1) as (store, sites):
         store.is_unavailable = True
         for _ in range(3):
@@ -122,7 +122,7 @@
 
 
 async def test_number_of_crash_records_is_limited() -> None:
-    """Guards against a store overloaded by a caller whose requests all crash replicas."""
+    """Guard against a store overloaded by a caller whose requests all crash replicas."""
     async with open_fleet(1) as (store, sites):
         for number in range(MAX_WRITES + 4):
             await sites[0].ask(f"/booking/{POISON}-{number}", left_ms=500)
--- a/tests/forwarding/test_cut_off.py
+++ b/tests/forwarding/test_cut_off.py
@@ -1,4 +1,4 @@
-"""Tests over sockets of a VM that is cut off from the other data centres."""
+"""Test over sockets a VM that is cut off from the other data centres."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 
 
 async def test_cut_off_vm_is_unready_and_refuses_unservable_requests_at_once() -> None:
-    """Guards against callers of a cut off data centre that wait until their deadlines.
+    """Guard against callers of a cut off data centre that wait until their deadlines.
 
-    If its VMs were unready, their balancer would send the callers to another data centre.
+    The balancer sends them to another data centre only once the VMs of this one are unready.
     """
     with ExitStack() as stack:
         async with open_site() as site:
--- a/tests/forwarding/test_mirror.py
+++ b/tests/forwarding/test_mirror.py
@@ -49,9 +49,9 @@
 
 
 async def test_watch_before_the_oldest_change_is_reported_as_compacted() -> None:
-    """Guards against a follower that misses the removal of a replica.
+    """Guard against a follower that misses the removal of a replica.
 
-    The removal is no longer among the changes that the mirror keeps.
+    The change that removes it is older than all changes that the mirror keeps.
     """
     async with open_mirror() as (mirror, store):
         mirror.replace_entries([], 10)
@@ -65,10 +65,10 @@
 
 
 async def test_mirror_of_five_thousand_replicas_is_listed_and_watched() -> None:
-    """Guards against a VM of a large fleet that rejects the lists of all peers as malformed.
+    """Guard against a VM of a large fleet that rejects the lists of all peers as malformed.
 
-    They exceed the default limit of one megabyte for a response. The VM would use the store, as all
-    others would, or know no entries while the store is unavailable.
+    The lists exceed the default limit of one megabyte for a response. All VMs would use the store
+    instead, and have no entries if they start while it is unavailable.
     """
     async with open_mirror() as (mirror, store):
         known = [entry(f"replicas/i-{n:010}", n + 1, b"x" * 230) for n in range(5200)]
@@ -94,7 +94,7 @@
 
 
 async def test_calls_alternate_between_mirrors_and_the_store_while_it_is_unavailable() -> None:
-    """Guards against a VM rejected by the store that never probes it again, or follows no peer."""
+    """Guard against a VM rejected by the store that never probes it again, or follows no peer."""
     store = PlaceholderStore("127.0.0.1", 1)
     local, remote = MirrorAddress("127.0.0.1", 2, True), MirrorAddress("127.0.0.1", 3)
     selector = UpstreamSelector(
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("first", ["list", "watch"])
 async def test_vm_that_starts_in_a_cut_off_data_centre_is_notified_at_once(first: str) -> None:
-    """Guards against a single ready VM that keeps the balancer on a data centre that is cut off."""
+    """Guard against a single ready VM that keeps the balancer on a data centre that is cut off."""
     async with open_mirror() as (mirror, store):
         mirror.replace_entries([entry("a", 3)], 3)
         mirror.set_cut_off(True)
@@ -140,7 +140,7 @@
 
 
 async def test_lagging_local_mirrors_are_preferred_to_remote_ones() -> None:
-    """Guards against VMs of a cut off data centre that miss local updates.
+    """Guard against VMs of a cut off data centre that miss local updates.
 
     While they wait for remote mirrors, they don't read the local ones.
     """
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -63,7 +63,7 @@
         for name in answered:
             assert shards_that_ran(site, name) == set(SHARDS)
         waits = {responses[name].headers["retry-after"] for name in refused}
-        assert len(waits) >= len(refused) / 2, "callers are told to come back together"
+        assert len(waits) >= len(refused) / 2, "retry-after times are not spread"
 
 
 async def test_normal_load_after_a_burst_is_not_refused():
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -73,7 +73,10 @@
 
 
 async def test_replica_gets_the_remaining_time():
-    """Guard against work for callers that have left, if a hop forwards its own timeout instead."""
+    """Guard against replicas that work for callers that have left.
+
+    They do so if a hop forwards its own timeout in place of the time left.
+    """
     async with open_site() as site:
         first = await site.replica("r1", "booking")
         site.route(plain_route(timeout_ms=3000))
--- a/tests/forwarding/test_rollout_evidence.py
+++ b/tests/forwarding/test_rollout_evidence.py
@@ -1,4 +1,4 @@
-"""Tests over sockets of which results of attempts count as evidence against a new version."""
+"""Test over sockets which results of attempts count as evidence against a new version."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     ],
 )
 async def test_lost_or_malformed_response_is_no_evidence(reply_fault: ReplyFault) -> None:
-    """Guards against a sound version that is rolled back because of broken connections."""
+    """Guard against a sound version that is rolled back because of broken connections."""
     async with open_site() as site:
         new = await open_rollout(site)
         new.behaviour.reply_fault, new.behaviour.faulty_replies = reply_fault, -1
@@ -64,7 +64,7 @@
 
 
 async def test_slow_cold_replica_is_no_evidence() -> None:
-    """Guards against a sound version that is rolled back because its replicas have just started."""
+    """Guard against a sound version that is rolled back because its replicas have just started."""
     async with open_site() as site:
         new = await open_rollout(site, cold_ms=60_000)
         new.behaviour.service_time_s = 0.05
@@ -76,7 +76,7 @@
 async def test_timeouts_in_an_unreachable_data_centre_are_no_evidence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a sound version that is rolled back while its data centre is cut off."""
+    """Guard against a sound version that is rolled back while its data centre is cut off."""
     async with open_site() as site:
         new = await open_rollout(site, data_centre="b")
         rollouts, reach = site.forwarder.rollouts, site.forwarder._reach
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -67,7 +67,7 @@
 
 
 def test_last_status_applies_after_its_order_was_deleted() -> None:
-    """Guards against a VM that starts later and uses a version that was rolled back."""
+    """Guard against a VM that starts later and uses a version that was rolled back."""
     rollouts = Vm().rollouts
     status = RolloutStatus(version="v2", state=RolloutState.ROLLED_BACK, revision=20)
     rollouts.apply_status("s", status)
@@ -84,7 +84,7 @@
 
 
 def test_vm_that_starts_during_a_rollout_sends_no_trial_requests_until_it_knows_the_age() -> None:
-    """Guards against a trial that restarts with each VM and exceeds the exposure."""
+    """Guard against a trial that restarts with each VM and exceeds the exposure."""
     vm = vm_with_order(is_new=False)
     vm.now += TRIAL_PULSE_S
     assert not vm.rollouts.admit_to_trial("s", uniform=0.0)
@@ -104,7 +104,7 @@
 
 
 def test_reports_are_counted_once_and_sums_are_not_added_again() -> None:
-    """Guards against answers that are counted repeatedly.
+    """Guard against answers that are counted repeatedly.
 
     Two VMs follow each other while the store is unavailable, and each reports the other's answers.
     """
@@ -128,7 +128,7 @@
 
 
 def test_restarted_writer_continues_from_the_record() -> None:
-    """Guards against lost evidence, and a larger trial, after a restart of the record's writer."""
+    """Guard against lost evidence, and a larger trial, after a restart of the record's writer."""
     before = vm_with_order()
     before.now += 5.0
     for _ in range(300):
@@ -160,7 +160,7 @@
 
 
 def test_latency_is_compared_with_the_old_version_of_the_same_service() -> None:
-    """Guards against a service that is never found sound because others of its route are faster."""
+    """Guard against a service that is never found sound because others of its route are faster."""
     vm = vm_with_order()
     vm.count_answers(new=0, new_bad=0, old=50)
     for ms in (40.0, 60.0):
--- a/tests/forwarding/test_silent_store.py
+++ b/tests/forwarding/test_silent_store.py
@@ -122,7 +122,7 @@
 async def test_change_after_an_outage_is_applied_although_the_watch_was_lost(
     seconds: float,
 ) -> None:
-    """Guards against VMs that answer 404 to requests of a new route for up to half a minute.
+    """Guard against VMs that answer 404 to requests of a new route for up to half a minute.
 
     The store stops responding for two seconds and drops a pending watch without closing its
     connection. The route is added afterwards; other calls are answered, but the watch waits until
@@ -131,7 +131,7 @@
     store = SilentStore()
     async with open_following_forwarder(store) as forwarder:
         await wait_for_version(forwarder, 1, 2.0)
-        # The next watch begins after the batching interval of the start.
+        # The first watch begins one batching interval after the initial list.
         while store.watches < 1:  # noqa: ASYNC110
             await asyncio.sleep(0.02)
         await store.fall_silent(seconds)
@@ -140,9 +140,9 @@
 
 
 async def test_watch_is_not_restarted_while_the_store_answers() -> None:
-    """Guards against a watch that is restarted at each renewal.
+    """Guard against a watch that is restarted at each renewal.
 
-    Each call to the store has a cost.
+    Each restart is one more call, and each call has a cost at the store.
     """
     store = SilentStore()
     async with open_following_forwarder(store) as forwarder:
--- a/tests/forwarding/test_vm_announcer.py
+++ b/tests/forwarding/test_vm_announcer.py
@@ -81,7 +81,11 @@
 
 
 async def test_restarted_vm_renews_the_lease_of_its_previous_process() -> None:
-    """Guards against four calls by each VM when a data centre's power returns."""
+    """Guard against needless calls to the store when a data centre's power returns.
+
+    All its VMs start together, and each would make four calls for a new lease and entry instead of
+    one renewal.
+    """
     store = LeaseStore()
     store.leases.add("old")
     store.entry = StoredValue(key=KEY, value=VALUE, revision=7, lease="old")
@@ -91,7 +95,7 @@
 
 
 async def test_entry_with_an_expired_lease_is_replaced_under_its_revision() -> None:
-    """Guards against a VM that repeatedly renews an expired lease and remains unannounced."""
+    """Guard against a VM that repeatedly renews an expired lease and remains unannounced."""
     store = LeaseStore()
     store.entry = StoredValue(key=KEY, value=VALUE, revision=7, lease="ended")
     async with announcing(store):
@@ -101,7 +105,7 @@
 
 
 async def test_vm_that_need_not_be_announced_does_not_call_the_store() -> None:
-    """Guards against 940 leases where 15 are enough."""
+    """Guard against 940 leases where 15 are enough."""
     store = LeaseStore()
     async with announcing(store, is_needed=False):
         await asyncio.sleep(0.3)
@@ -109,7 +113,7 @@
 
 
 async def test_restarted_vm_keeps_the_follower_count_of_its_previous_process(monkeypatch) -> None:
-    """Guards against budgets divided by too few VMs in the first seconds after a loss of power."""
+    """Guard against budgets divided by too few VMs in the first seconds after a loss of power."""
     monkeypatch.setattr(vm_announcer, "RENEW_INTERVAL_S", 0.01)
     store, followers = LeaseStore(), FollowerCount()
     store.leases.add("old")
@@ -128,7 +132,7 @@
 
 
 async def test_entry_with_another_address_is_replaced() -> None:
-    """Guards against a VM that is known by the address of its previous process."""
+    """Guard against a VM that is known by the address of its previous process."""
     store = LeaseStore()
     store.leases.add("old")
     store.entry = StoredValue(
@@ -141,7 +145,7 @@
 
 
 async def test_missing_entry_or_one_with_another_lease_is_written_again(monkeypatch) -> None:
-    """Guards against a VM that renews a lease to which its entry is not bound."""
+    """Guard against a VM that renews a lease to which its entry is not bound."""
     monkeypatch.setattr(vm_announcer, "RENEW_INTERVAL_S", 0.01)
     store = LeaseStore()
     async with announcing(store):
--- a/tests/forwarding/test_watchers.py
+++ b/tests/forwarding/test_watchers.py
@@ -206,7 +206,7 @@
 
 
 async def test_change_takes_one_watch_of_the_store_and_reaches_all_vms_in_time() -> None:
-    """Guards against a watch of the store by each VM.
+    """Guard against a watch of the store by each VM.
 
     At eighty VMs the cost of these watches exceeds that of all failures.
     """
@@ -221,9 +221,9 @@
 
 
 async def test_most_vms_need_no_entry_and_are_counted_all_the_same(monkeypatch) -> None:
-    """Guards against an entry and a lease for each of 940 VMs, and against uncounted followers.
+    """Guard against an entry and a lease for each of 940 VMs, and against uncounted followers.
 
-    Without the count budgets would be divided by too few VMs.
+    Without the count, budgets would be divided by too few VMs.
     """
     monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 5.0)
     async with fleet(announced=2) as (shared, forwarders, _):
@@ -238,7 +238,7 @@
 
 
 async def test_other_vms_are_announced_when_the_announced_vms_disappear(monkeypatch) -> None:
-    """Guards against a data centre that follows no VM after its watchers have crashed."""
+    """Guard against a data centre that follows no VM after its watchers have crashed."""
     monkeypatch.setattr(vm_announcer, "NEED_CHECK_INTERVAL_S", 5.0)
     async with fleet(announced=2) as (shared, forwarders, servers):
         announced = {key.removeprefix("vms/") for key in shared.entries if key.startswith("vms/")}
@@ -256,7 +256,7 @@
 
 
 async def test_followers_drop_a_removed_replica_at_once() -> None:
-    """Guards against followers that send requests to a replica for seconds after its removal.
+    """Guard against followers that send requests to a replica for seconds after its removal.
 
     Deletions after an outage of the store are deferred, since they may be reverted. A follower that
     can't distinguish such a time from normal operation would defer all deletions.
@@ -270,7 +270,7 @@
 
 
 async def test_followers_stay_current_when_a_watcher_crashes_or_is_rejected() -> None:
-    """Guards against outdated routes in a data centre whose watcher has crashed, or lags."""
+    """Guard against outdated routes in a data centre whose watcher has crashed, or lags."""
     async with fleet() as (shared, forwarders, servers):
         crashed, rejected = find_watchers(forwarders)
         await servers[crashed].close(0.0)
@@ -283,10 +283,11 @@
 
 
 async def test_followers_of_lagging_watchers_use_the_store_after_its_history_was_dropped() -> None:
-    """Guards against an outdated table for seconds after the store has dropped its history.
+    """Guard against an outdated table for seconds after the store has dropped its history.
 
-    Both watchers are cut off from the store, the other VMs are not. These probe the store, are told
-    that its history is compacted, and would list a watcher's mirror, which is outdated.
+    Both watchers are cut off from the store, the other VMs are not. If a VM probes the store, gets
+    the result that its history is compacted, and then lists a watcher's mirror, it gets outdated
+    entries.
     """
     async with fleet() as (shared, forwarders, _):
         lagging = set(find_watchers(forwarders))
@@ -309,7 +310,7 @@
 
 
 async def test_followers_are_notified_at_once_that_their_data_centre_is_cut_off() -> None:
-    """Guards against callers that are refused for as long as their data centre is cut off.
+    """Guard against callers that are refused for as long as their data centre is cut off.
 
     Most of its VMs receive no request in the first seconds and stay ready; the balancer sends
     callers to another data centre only when all of them are unready.
@@ -331,7 +332,7 @@
 
 
 async def test_vm_is_up_to_date_soon_after_a_complete_cut() -> None:
-    """Guards against a table that is outdated four seconds after the end of a cut.
+    """Guard against a table that is outdated four seconds after the end of a cut.
 
     While a VM reaches neither the store nor another VM, its retries back off and the store is
     probed at longer intervals, so that it may call either of them only seconds after both are back.
@@ -360,7 +361,7 @@
 
 
 async def test_lagging_watchers_are_followed_and_the_store_is_probed_at_intervals() -> None:
-    """Guards against eighty VMs that each call an unavailable store every second."""
+    """Guard against eighty VMs that each call an unavailable store every second."""
     clock = [0.0]
     one, two = MirrorAddress("127.0.0.1", 1, True), MirrorAddress("127.0.0.1", 2, True)
     store = NoStore()
@@ -377,13 +378,13 @@
         probes += not upstream.is_mirror
         await selector.record_failure(upstream)
         clock[0] += 0.5
-    # In thirty seconds there is a probe about every 1.5 s, less for the pauses between calls.
+    # In 30 s there is a probe about every 1.5 s, or less often since calls are 0.5 s apart.
     assert 10 <= probes <= 30
     await selector.close()
 
 
 async def test_followers_return_to_watchers_soon_after_an_outage() -> None:
-    """Guards against hundreds of VMs that follow the store for seconds after each outage."""
+    """Guard against hundreds of VMs that follow the store for seconds after each outage."""
     clock = [0.0]
     one, two = MirrorAddress("127.0.0.1", 1, True), MirrorAddress("127.0.0.1", 2, True)
     calls = 0
--- a/tests/platform_adapter/test_rollout.py
+++ b/tests/platform_adapter/test_rollout.py
@@ -129,7 +129,11 @@
 
 
 async def test_order_for_the_current_version_is_completed_at_once(tmp_path: Path) -> None:
-    """Guard against a service without usable replicas when all already run the ordered version."""
+    """Guard against a service without usable replicas when all already run the ordered version.
+
+    Replicas of an ordered version receive only trial requests until all requests shift to it; here
+    no others are left for the regular requests.
+    """
     async with open_platform(tmp_path) as platform:
         await platform.until_ready()
         replicas = [r for r in platform.replicas.values() if r.service == SERVICE]
