--- a/libs/cli/berylspindle_cli/exit_codes.py
+++ b/libs/cli/berylspindle_cli/exit_codes.py
@@ -1,6 +1,6 @@
 """The exit codes of the operators' tool, and their mapping from failures.
 
-Flow: a command prints its result and returns an `ExitCode`, which by itself tells a script what to
+Flow: a command prints its result and returns an `ExitCode`, from which a script can decide what to
 do next. docs/OPERATIONS.md lists the codes.
 """
 
--- a/libs/cli/berylspindle_cli/explain_command.py
+++ b/libs/cli/berylspindle_cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command `explain`: why one forwarded request was refused, failed or late, by the logs."""
+"""The command `explain`: find in the logs why a forwarded request was refused, failed or late."""
 
 from __future__ import annotations
 
--- a/libs/cli/berylspindle_cli/log_lines.py
+++ b/libs/cli/berylspindle_cli/log_lines.py
@@ -2,8 +2,8 @@
 
 Terms:
   line      one JSON object of a daemon's log; text before its first brace is ignored
-  context   lines of the same VM before the end of the request that show the state it acted on: the
-            replicas that the request names, routing tables, the store, the network, the shutdown
+  context   earlier lines of the same VM that show its state at the end of the request: replicas
+            that the steps of the request name, routing tables, store, network, shutdown
 
 Flow: `read_lines` parses any text and sorts the lines by stamp; `explain_request` selects the lines
 of one request, extracts their causes, and adds the context.
@@ -21,8 +21,8 @@
 from berylspindle_model.stamps import Stamp
 
 CONTEXT_WINDOW_MS: Final = 15_000
-"""Length of the context before a request's line, in milliseconds: as long as a lost VM is still
-counted, and longer than a shutdown."""
+"""Length of the context before a request's line, in milliseconds: the time for which a lost VM
+still counts as a member, and longer than a shutdown."""
 
 MAX_CONTEXT_LINES: Final = 20
 REQUEST_CHANNEL: Final = "request"
@@ -62,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestEnd:
-    """The end of one request by its log line. `cause` is None if it was answered in time."""
+    """The end of one request, from its log line. `cause` is None if the line has no known cause."""
 
     line: LogLine
     cause: Cause | None
--- a/libs/cli/berylspindle_cli/spans.py
+++ b/libs/cli/berylspindle_cli/spans.py
@@ -18,7 +18,8 @@
 def parse_time(text: str, now_wall: float) -> Stamp:
     """Return the first stamp at a point in time; `now_wall` is in seconds since the Unix epoch.
 
-    A time without a zone is in UTC. Raises ValueError if the text has neither form.
+    A time without a zone is taken as UTC. Raises ValueError if the text is neither an ISO 8601 time
+    nor an age.
     """
     if age := _AGE.fullmatch(text):
         seconds = now_wall - int(age[1]) * _UNIT_SECONDS[age[2]]
--- a/libs/cli/berylspindle_cli/status_command.py
+++ b/libs/cli/berylspindle_cli/status_command.py
@@ -35,9 +35,9 @@
     output: OutputFlag = "table",
     settings: OperatorSettings = _DEFAULT,
 ) -> ExitCode:
-    """Show whether the newest revision is in force on all VMs, and which VMs lag or are unheard.
+    """Show whether the newest revision is in force on all VMs, and name VMs that may lag.
 
-    Exit 0 if it is in force everywhere, 7 if VMs lag, are unheard or did not answer.
+    Exit 0 if it is in force everywhere, 7 if VMs lag, are in an unknown state or did not answer.
     """
     async with operator_client(settings) as client:
         while True:
@@ -88,7 +88,7 @@
         return f"revision {fleet.revision} is in force on all {len(fleet.vms)} VMs"
     return (
         f"revision {fleet.revision} is NOT KNOWN to be in force everywhere: "
-        f"{len(fleet.lagging)} VMs lag, {len(fleet.unheard)} are unheard, "
+        f"{len(fleet.lagging)} VMs lag, {len(fleet.unheard)} are in an unknown state, "
         f"{len(fleet.unreachable)} addresses did not answer"
         + "".join(f"\n  no answer: {address}" for address in fleet.unreachable)
     )
--- a/libs/daemon/berylspindle_daemon/cluster_watch.py
+++ b/libs/daemon/berylspindle_daemon/cluster_watch.py
@@ -6,9 +6,10 @@
 Flow: `on_state` handles each new state of the cluster, `on_event` each change that the control
 plane reports, and `on_store_call` the result of each call to the store.
 
-Only two VMs of a data centre watch the store. The others, and a VM that started during the outage,
-would not report it; therefore the store calls of all parts of the daemon are observed. A single
-failed call does not count as an outage: with a slow store such events would fill the time line.
+Only two VMs of a data centre watch the store. The other VMs, and a VM that starts during an outage,
+could not detect an outage by a watch; therefore the store calls of all parts of the daemon are
+observed. A single failed call does not count as an outage: with a slow store such events would fill
+the time line.
 """
 
 from __future__ import annotations
@@ -96,7 +97,7 @@
         old = self._views.get(view.data_centre)
         self._views[view.data_centre] = view
         if old is None or old.epoch == view.epoch:
-            # Members of the first known view of a data centre have not joined just now.
+            # The members of the first known view of a data centre may have joined long ago.
             return
         for vm in view.members:
             if old.member(vm.id) is None:
--- a/libs/daemon/berylspindle_daemon/daemon.py
+++ b/libs/daemon/berylspindle_daemon/daemon.py
@@ -65,8 +65,8 @@
 from berylspindle_wire.tls import TlsFiles, TlsSettingsError, server_context
 
 _REQUESTS_CUT_TEXT: Final = "requests were still in flight"
-# Longest wait of a new VM for its ownership before it becomes ready regardless. It exceeds the time
-# for which a new owner waits for the rights of a lost VM to expire.
+# Longest time for which a new VM stays unready to wait for its ownership. It exceeds the time for
+# which a new owner waits for the rights of a lost VM to expire.
 OWNERSHIP_WAIT_S: Final = 6.0
 OWNERSHIP_POLL_S: Final = 0.02
 # A report of a crashing request that takes longer arrives too late to prevent another crash.
@@ -152,7 +152,7 @@
         await self._serve_callers()
 
     async def shut_down(self) -> None:
-        """Shut down in stages; raises DaemonError SHUTDOWN_CUT if requests outlast the grace."""
+        """Shut down in stages; raises DaemonError SHUTDOWN_CUT if requests are cut off."""
         deadline = time.monotonic() + self._options.unready_seconds + self._options.shutdown_grace
         self._record_stage("unready")
         self.data.begin_shutdown()
@@ -217,7 +217,8 @@
         try:
             await self._transport.call(vm, SUSPECTS_CALL, payload, timeout=SUSPECT_REPORT_TIMEOUT_S)
         except TransportError:
-            # Other VMs repeat the report; failing that, the VM detects the request by its own loss.
+            # Other VMs forward the report. If it never arrives, the VM detects the request when it
+            # crashes one of the backend servers of the VM itself.
             return
 
     async def _serve_peers(self, key: bytes | None) -> None:
@@ -309,7 +310,7 @@
             self._configured.set()
 
     def _update_counters(self) -> None:
-        """Copy the counts that the ports keep themselves into the metrics before rendering."""
+        """Copy the number of rejected messages from the ports into the metrics."""
         rejected = self._datagrams.counters.refused + self._peers.unauthorised
         self._unsigned.value = rejected
 
--- a/libs/daemon/berylspindle_daemon/stamped_transport.py
+++ b/libs/daemon/berylspindle_daemon/stamped_transport.py
@@ -8,8 +8,8 @@
 the control plane's methods through `MessageStamper.wrap_method`.
 
 Without stamps, a VM whose wall clock is behind would record the effect of a message at an earlier
-time than its cause, and the time line would point to the wrong VM. Each stamp is merged before its
-message is handled, so that its effects are recorded with a greater stamp.
+time than its cause, and the time line would suggest the wrong VM as the origin. Each stamp is
+merged before its message is handled, so that the effects of the message get a greater stamp.
 """
 
 from __future__ import annotations
--- a/libs/standins/berylspindle_standins/backend_faults.py
+++ b/libs/standins/berylspindle_standins/backend_faults.py
@@ -29,7 +29,7 @@
         straggler_probability: probability that a call is a straggler.
         straggler_factor: factor on the service time of a straggler.
         queue: calls that may wait for a slot; further calls are shed.
-        connect_ms: time for which a new connection does not read.
+        connect_ms: delay before the first read from a new connection.
         warm_after: finished calls after which a cold server is warm; 0 starts it warm.
         restart_ms: time for which a crashed server is down before it serves again, cold.
         crash_marker: text in a query or payload that crashes the server running the call.
--- a/libs/standins/berylspindle_standins/backend_host.py
+++ b/libs/standins/berylspindle_standins/backend_host.py
@@ -71,7 +71,7 @@
 
     @property
     def connect_delay(self) -> float:
-        """Return the seconds for which a new connection does not read."""
+        """Return the delay before the first read from a new connection, in seconds."""
         return self._backend.options.connect_ms / 1000
 
     @property
--- a/libs/standins/berylspindle_standins/forward_replica.py
+++ b/libs/standins/berylspindle_standins/forward_replica.py
@@ -1,10 +1,10 @@
 """A stand-in replica for forwarded requests, with fault injection on the wire.
 
 Terms:
-  answer      a body derived from service and target, with a signature over service, request id and
-              body; all replicas of a service return the same body for a target
-  `ReplyFault`     a fault of an answer on the wire
-  pause       a period in which no request starts and no answer is sent
+  answer   a body derived from service and target, with a signature over service, request id and
+           body; all replicas of a service return the same body for a target
+  fault    a deviation of an answer from the protocol, see `ReplyFault`
+  pause    a period in which no request starts and no answer is sent
 
 Flow: `start_replica` listens; each connection serves one request at a time. A request acquires a
 slot, sleeps for its service time, and its answer is written, with a fault if one is active.
@@ -89,7 +89,7 @@
     Attributes:
         runs: number of runs by request id.
         cancelled: requests whose connection closed before their answer.
-        remaining_ms: remaining times of the requests that ran, in milliseconds.
+        remaining_ms: time left until the deadline of each request that ran, as its header states.
         targets: targets of the requests that ran.
         bodies: bodies of the requests that ran.
     """
--- a/libs/standins/berylspindle_standins/platform_standin.py
+++ b/libs/standins/berylspindle_standins/platform_standin.py
@@ -83,7 +83,7 @@
 
     @property
     def counts(self) -> PlatformCounts:
-        """Return the counts."""
+        """Return the counts of calls, connections and watches."""
         return self._calls.counts
 
     async def __aenter__(self) -> Self:
--- a/libs/standins/berylspindle_standins/standin_http.py
+++ b/libs/standins/berylspindle_standins/standin_http.py
@@ -66,7 +66,7 @@
 
     @property
     def connect_delay(self) -> float:
-        """Return the seconds for which a new connection does not read."""
+        """Return the delay before the first read from a new connection, in seconds."""
         return 0.0
 
 
