--- a/libs/bench/berylspindle_bench/capacity.py
+++ b/libs/bench/berylspindle_bench/capacity.py
@@ -2,7 +2,8 @@
 
 Terms:
   planned size   the deployment to design for, `PLANNED_SIZE`
-  demand         resources that one role needs at the planned size: a slope times its rate of use
+  demand         resources that one role needs at the planned size: a slope times the rate of the
+                 operation
 
 Flow: `measure_capacity` measures all series and fits the slopes; `write_capacity` stores the points
 as JSON and replaces the tables between the markers of the page. The text around the tables is
--- a/libs/bench/berylspindle_bench/capacity_fakes.py
+++ b/libs/bench/berylspindle_bench/capacity_fakes.py
@@ -103,11 +103,11 @@
     """Dispatch rights that are held for every server."""
 
     def level(self, server_id: str, now: float) -> RightLevel:
-        """Return that the right is held."""
+        """Return HELD for every server."""
         return RightLevel.HELD
 
     def usable_from(self, server_id: str) -> float:
-        """Return a time before any other: every server is usable at once."""
+        """Return negative infinity: every server is usable at once."""
         return float("-inf")
 
 
--- a/libs/bench/berylspindle_bench/capacity_slopes.py
+++ b/libs/bench/berylspindle_bench/capacity_slopes.py
@@ -189,7 +189,7 @@
 
 
 def _owner_points() -> Iterator[Point]:
-    """Measure computing the owners of 1,040 servers of a data centre by the members of its view."""
+    """Measure the CPU time to compute the owners of 1,040 servers of a data centre by view size."""
     configuration = make_configuration(1040, data_centres=1)
     for members in MEMBER_COUNTS:
         state = ClusterState(configuration=configuration, views=(make_view(members),))
--- a/libs/bench/berylspindle_bench/control_rates.py
+++ b/libs/bench/berylspindle_bench/control_rates.py
@@ -9,7 +9,7 @@
 all are members, measures an interval at rest, then writes one configuration after the other and
 records when each node has adopted it. Bytes are those of datagrams in both directions, each with 28
 bytes of IP and UDP headers. CPU time is that of the whole process with the stand-in, divided by the
-number of nodes. All nodes share one event loop, so the times to in-force include queueing for one
+number of nodes. All nodes share one event loop, so the propagation delays include queueing for one
 core.
 """
 
@@ -47,7 +47,7 @@
 DATA_CENTRES: Final = ("a", "b", "c", "d")
 SERVERS_PER_NODE: Final = 6
 HEADER_BYTES: Final = 28
-# Nodes that start together: all run on one core, and every view change goes to every node.
+# Limit on nodes that start together: all run on one core, and each view change goes to every node.
 START_GROUP_SIZE: Final = 16
 KEY: Final = b"a key of the measurement"
 # Below the ephemeral port range of the kernel, so that no outgoing connection takes a port.
@@ -206,7 +206,7 @@
         in_force_p50=ranked[len(ranked) // 2],
         in_force_p99=ranked[int(len(ranked) * 0.99)],
         in_force_worst=ranked[-1],
-        # Without the write itself: only the calls that the nodes make.
+        # Minus the write of the change, since only the calls of the nodes count.
         calls_per_change=(third.calls - second.calls - calls * busy) / changes - 1,
         bytes_per_change=extra_bytes / changes / nodes,
         cpu_ms_per_change=1000 * extra_cpu / changes / nodes,
--- a/libs/bench/berylspindle_bench/crash_trials.py
+++ b/libs/bench/berylspindle_bench/crash_trials.py
@@ -258,7 +258,7 @@
 
 
 def canary_latency_ms(*, seed: int = 1, searches: int = 20_000) -> tuple[float, ...]:
-    """Return the median and 99th percentile of a search without and with a canary, in ms.
+    """Return the median and 99th percentile of search latency without and with a canary, in ms.
 
     Service times are log-normal with a median of 5 ms as in the other trials, at low load, over
     ten shards.
--- a/libs/bench/berylspindle_bench/experiment.py
+++ b/libs/bench/berylspindle_bench/experiment.py
@@ -3,13 +3,14 @@
 Terms:
   experiment file   a TOML file with a pattern of load and slow replicas over time
   policy            switches in the format of the daemon's setting, such as "hedges=off"; an empty
-                    text is the default policy
+                    text is the default policy, shown as "as it is"
 
 Flow: `read_experiment` parses and checks an experiment file, `compare_policies` simulates it under
 each policy with the same seeds, and the command prints a table and a JSON line and draws a plot if
 requested.
 
-The spread is half the 95% confidence interval over the seeds, by Student's t-distribution.
+The spread is half the width of the 95% confidence interval over the seeds, by Student's
+t-distribution.
 """
 
 from __future__ import annotations
--- a/libs/bench/berylspindle_bench/fanout_trials.py
+++ b/libs/bench/berylspindle_bench/fanout_trials.py
@@ -62,7 +62,7 @@
         refused: searches refused by admission control, as a share of all offered.
         coverage: shards answered as a share of the shards of admitted searches.
         extra: hedges and retries as a share of first attempts.
-        messages: first messages to owners per admitted search.
+        messages: messages to owners with first attempts, per admitted search.
     """
 
     scenario: str
--- a/libs/bench/berylspindle_bench/forward_callers.py
+++ b/libs/bench/berylspindle_bench/forward_callers.py
@@ -2,7 +2,7 @@
 
 Terms:
   pattern    load and slow replicas of one simulation over time
-  kind       a kind of request: its work, latency target, deadline and least number of shards
+  kind       a kind of request: its work, latency target, deadline and minimum number of shards
   credit     score of an answer: the square of its share of shards if it arrived within the target,
              0.1 of that if later, and 0.55 of it if a second attempt after a refusal was answered
              within the target of that attempt
--- a/libs/bench/berylspindle_bench/forward_trials.py
+++ b/libs/bench/berylspindle_bench/forward_trials.py
@@ -1,7 +1,8 @@
-"""Simulate forwarded searches under bursts with all decisions and without some of them.
+"""Simulate bursts of forwarded searches with and without admission control and limited hedging.
 
 Terms:
-  knee     the highest load at which nearly all offered requests earn their credit
+  knee     the highest load at which requests earn nearly all the credit that they are worth; for
+           credit see `forward_callers`
   goodput  credit earned per second, relative to that at the knee
 
 Flow: `forward_rows` simulates each pattern with each variant on the same seeds and yields one row
@@ -60,7 +61,10 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardRow:
-    """Results of requests in the burst, as shares and over all seeds; `credit_after` follows it."""
+    """Results of the requests in the burst over all seeds, as shares.
+
+    `credit_after` is the credit of the requests that arrive at least 0.5 s after the burst.
+    """
 
     pattern: str
     variant: str
@@ -89,7 +93,7 @@
 def _row(pattern: Pattern, variant: Variant, requests: Sequence[CallerRequest]) -> ForwardRow:
     end = BURST_START_S + BURST_S
     during = [request for request in requests if BURST_START_S <= request.arrived_at < end]
-    # The queues of the burst must be empty half a second after its end.
+    # The backlog of the burst is expected to be served within half a second after its end.
     after = [request for request in requests if request.arrived_at >= end + 0.5]
     urgent, less_urgent = (
         [request for request in during if request.kind is kind] for kind in KINDS
--- a/libs/bench/berylspindle_bench/history_answers.py
+++ b/libs/bench/berylspindle_bench/history_answers.py
@@ -25,7 +25,7 @@
     guarantee = "each answer comes from one snapshot"
 
     def find(self, history: History) -> Iterator[Violation]:
-        """Yield answers with hits of another snapshot, and pages from another than the first."""
+        """Yield answers with hits of other snapshots, and second pages from another snapshot."""
         first_pages: dict[int, Snapshot] = {}
         for try_, answer in _answers(history):
             if try_.offset == 0:
@@ -72,7 +72,7 @@
 
 
 def _integrity_fault(try_: Try) -> str:
-    """Return why an outcome is not the complete one of this request; empty if it is."""
+    """Return how an outcome differs from the complete one of its request; empty if it does not."""
     if try_.told is OutcomeKind.UNKNOWN and "can't be read" in try_.detail:
         return f"the answer is truncated: {try_.detail}"
     if try_.executed is not None:
--- a/libs/bench/berylspindle_bench/history_recorder.py
+++ b/libs/bench/berylspindle_bench/history_recorder.py
@@ -2,8 +2,8 @@
 
 Terms:
   caller   tries one daemon after the other; it retries a search only after "not run"
-  resend   a caller that does not know the outcome of an execute sends it again with its key
-           through another daemon; the caller of a search that crashes servers does the same
+  resend   another try of an execute with an unknown outcome, with the same key at another daemon;
+           a search that crashes servers is likewise sent to each daemon, whatever the outcome
 
 Flow: `Recorder.load` derives start times and kinds of requests from a seed and runs each request as
 a task that appends its tries to `tries`. The text of a search contains the number of its try, so
--- a/libs/bench/berylspindle_bench/history_verdict.py
+++ b/libs/bench/berylspindle_bench/history_verdict.py
@@ -1,7 +1,7 @@
 """The list of all checkers, and the verdict on one history.
 
 Flow: `judge` runs every checker and returns the violations. A history without answers or with
-dropped records cannot show that the guarantees hold, so that it counts as a violation itself.
+dropped records cannot show that the guarantees hold and is reported as a violation.
 """
 
 from __future__ import annotations
--- a/libs/bench/berylspindle_bench/measures.py
+++ b/libs/bench/berylspindle_bench/measures.py
@@ -39,7 +39,7 @@
 OWN_SYSTEM: Final = "berylspindle"
 MEAN_MS: Final = 40.0
 DEADLINE_MS: Final = 1000
-# Long enough for every owner to raise the limit of each of its servers to all slots.
+# Load and duration that let every owner raise the limit of each of its servers to all slots.
 WARM_UP_FACTOR: Final = 0.35
 WARM_UP_SECONDS: Final = 12.0
 LOAD_FACTORS: Final = (0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0)
@@ -84,7 +84,7 @@
 async def run_measures(deployment: str, folder: Path, console: Console) -> list[Row]:
     """Measure one deployment and its baselines, print tables, and return all rows.
 
-    The policy of the service has a patience of 400 ms, ten times the mean service time.
+    In the policy of the service `patience_ms` is 400, ten times the mean service time.
     """
     policy = attrs.evolve(
         DEPLOYMENTS[deployment](1024).services[0].policy, patience_ms=400, deadline_ms=DEADLINE_MS
--- a/libs/bench/berylspindle_bench/plots.py
+++ b/libs/bench/berylspindle_bench/plots.py
@@ -42,7 +42,7 @@
     """Write a plot of the credit by second, one line per policy."""
     figure, panel = plt.subplots(figsize=(9, 4), layout="constrained")
     for result in results:
-        panel.plot(result.by_second, label=result.policy or "default")
+        panel.plot(result.by_second, label=result.policy or "as it is")
     panel.set_xlabel("second")
     panel.set_ylabel("credit, as a share of the maximum")
     panel.set_ylim(0.0, 1.05)
--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -6,7 +6,7 @@
            routes are baselines
   stage    stage of the rollout; it reaches the VMs `STAGE_DELAY_S` after the decision, and their
            answers count after up to `MAX_COUNTING_DELAY_S`
-  fault    a failure beside the rollout that begins at `FAULT_START_S`
+  fault    a failure during the rollout that begins at `FAULT_START_S`
 
 Flow: `simulate_rollout` sends requests through the production decisions (`rollout_plan`,
 `version_analysis`). `python -m berylspindle_bench.rollout_trials` prints a row for each judge,
@@ -60,7 +60,7 @@
 
 
 class Fault(enum.StrEnum):
-    """A failure beside a rollout.
+    """A failure during a rollout.
 
     CONTROLLER_KILLED: the VM that runs the rollout is killed, and another one takes over after two
     seconds. STORE_UNAVAILABLE: neither stages nor answer counts are stored. POWER_LOSS: all VMs
@@ -108,7 +108,10 @@
 
 @attrs.frozen(kw_only=True)
 class Version:
-    """A new version: `share` of its answers are bad under the condition `kind`, none if sound."""
+    """A new version, sound or bad.
+
+    `kind` is the condition under which the version is bad, `share` its share of bad answers then.
+    """
 
     kind: str = "sound"
     share: float = 0.0
@@ -146,7 +149,10 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """Requests per second, share of bad answers of the old version, and term in seconds."""
+    """Requests per second, share of bad answers of the old version, and term of a rollout.
+
+    The term is the time from the order to the deadline, in seconds.
+    """
 
     rate: float
     old_bad_share: float = 0.02
@@ -356,7 +362,7 @@
 
 
 def rows() -> list[str]:
-    """Return a table with the share completed and the share beyond the exposure per version."""
+    """Return a table with the shares of rollouts that complete and that exceed their exposure."""
     named = [f"{version.kind} {version.share or ''}".strip() for version in VERSIONS]
     lines = [" | ".join(["judge", "requests/s", "old bad", *named])]
     for name, judge_fn in JUDGES.items():
--- a/libs/bench/berylspindle_bench/warmup_trials.py
+++ b/libs/bench/berylspindle_bench/warmup_trials.py
@@ -5,9 +5,9 @@
   fall               a crash because of more concurrent attempts; the server restarts cold after 2 s
   variant            concurrency limit of the owner: all slots, a ramp over time, or `ServerLimiter`
 
-Flow: work is always waiting for one server of three slots. The server restarts cold every 20 s, as
-one that becomes cold without notice. A crash breaks its connections, and new connections are
-refused until the server is back. Each variant runs with servers that warm up fast and slowly.
+Flow: work is always waiting for one server of three slots. The server restarts cold every 20 s
+without prior notice. A crash breaks its connections, and new connections are refused until the
+server is back. Each variant runs with servers that warm up fast and slowly.
 """
 
 from __future__ import annotations
