--- a/tests/bench/test_forward_trials.py
+++ b/tests/bench/test_forward_trials.py
@@ -39,7 +39,7 @@
 def test_a_burst_beyond_capacity_earns_twice_what_it_does_without_admission(
     factor: float, slow_share: float
 ):
-    """Guards against queues full of requests that cannot meet their target and delay later ones."""
+    """Guard against queues full of requests that cannot meet their target and delay later ones."""
     assert (
         simulate(factor, DEFAULT_VARIANT, slow_share).credit
         >= 2 * simulate(factor, WITHOUT_ADMISSION, slow_share).credit
@@ -59,7 +59,7 @@
 
 
 def test_at_twice_the_knee_goodput_is_that_of_its_peak():
-    """Guards against a collapse of goodput at twice the knee, which is at load factor 3.
+    """Guard against a collapse of goodput at twice the knee, which is at load factor 3.
 
     Without admission control goodput falls to a tenth of its peak, since every answer is late. The
     aim is 0.95 of the peak.
@@ -70,7 +70,7 @@
 
 
 def test_callers_returning_together_after_an_outage_leave_no_backlog():
-    """Guards against a backlog that delays later requests when all callers return at once.
+    """Guard against a backlog that delays later requests when all callers return at once.
 
     As many searches as usual in six seconds arrive within 0.6 s; those that arrive half a second
     later must be served as usual.
@@ -84,7 +84,7 @@
 
 
 def test_long_searches_delay_few_short_ones():
-    """Guards against short searches that queue behind the 5% with ten times the work."""
+    """Guard against short searches that queue behind the 5% with ten times the work."""
     pattern = attrs.evolve(burst(1.0), long_share=0.05, long_factor=10.0)
     short = [
         request
--- a/tests/bench/test_page_links.py
+++ b/tests/bench/test_page_links.py
@@ -8,7 +8,7 @@
 
 
 def test_references_to_missing_files_are_reported(tmp_path: Path) -> None:
-    """Guards against references to pages that were never committed and exist in one tree only."""
+    """Guard against references to pages that exist in one worktree but were never committed."""
     docs = tmp_path / "docs"
     (docs / "design").mkdir(parents=True)
     (docs / "design" / "LARGE.md").write_text("see [back](../HOME.md), docs/HOME.md\n")
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -176,7 +176,7 @@
 async def test_a_plan_that_breaks_a_promise_needs_an_override(
     tool: Tool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator could remove the last replica of a shard without noticing.
+    """Guard against an operator who removes the last replica of a shard unknowingly.
 
     The plan must report it with its own exit code; the confirm must be refused without the flag,
     and an environment variable must not replace the flag.
@@ -199,7 +199,7 @@
 async def test_a_lost_confirmation_is_resolved_by_another_daemon(
     tool: Tool, tmp_path: Path
 ) -> None:
-    """A confirm could be reported as failed although it is in force.
+    """Guard against a confirm that is reported as failed although it is in force.
 
     The first daemon applies the plan and loses the store's reply; the tool must try the next
     daemon, which finds the record, and report one application.
@@ -218,7 +218,7 @@
 
 
 async def test_an_unknown_confirmation_is_reported(tool: Tool, tmp_path: Path) -> None:
-    """A script could get "not run" although the write took effect.
+    """Guard against reporting "not run" to a script although the write took effect.
 
     The first daemon may have applied the plan; the second one can't reach the store and reports
     "not run" for its own attempt. The tool must still report that the plan may have run.
@@ -253,7 +253,7 @@
 
 
 async def test_status_names_lagging_and_unheard_vms(tool: Tool) -> None:
-    """An operator could overlook a VM that still serves by the old revision.
+    """Guard against an operator who overlooks a VM that still serves by the old revision.
 
     One VM lags, one is suspected, one address does not answer. Each must be named, with its age,
     and the exit code must not be 0.
@@ -365,7 +365,7 @@
 
 
 async def test_an_execute_prints_its_generated_key(tool: Tool) -> None:
-    """After a lost answer the key is needed to query the outcome.
+    """Guard against an execute with an unknown outcome that can't be queried for lack of its key.
 
     Without --key the tool generates one; it must print the key whatever the daemon answers.
     """
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -47,7 +47,7 @@
 def test_a_request_is_explained_with_earlier_lines_of_its_vm(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The lines are unordered in two files, among lines of other programs."""
+    """Explain a request from two files with unordered lines and lines of other programs."""
     one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
     one.write_text("not a line\n{cut\n" + "\n".join(reversed(LINES[2:])))
     two.write_text("\n".join(f"  12.1 front-1 {text}" for text in LINES[:2]))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,8 +2,7 @@
 
 Each line names a test by its node id. The test still runs and must fail: if it passes, the run
 fails, so that the list contains only faults that still exist. A test whose line contains `flaky:`
-may fail or pass, since its fault appears in some runs only and the result of the run must be the
-same.
+may fail or pass: its fault appears in some runs only and must not change the result of the run.
 """
 
 from __future__ import annotations
--- a/tests/daemon/socket_helpers.py
+++ b/tests/daemon/socket_helpers.py
@@ -27,7 +27,7 @@
 # Time limit for new work to stop. The daemons need some tenths of a second; the rest allows for a
 # machine that is busy with other tests.
 STOP_WORK_LIMIT_S: Final = 5.0
-# Answers omit no shard because of a straggler, so that a missing shard is a fault.
+# With this policy no answer omits a shard because of a straggler: a missing shard is a fault.
 FULL_COVERAGE: Final = Policy(prefer=Preference.COVERAGE, deadline_ms=DEADLINE_MS)
 _POLL_INTERVAL_S: Final = 0.05
 _WORKERS: Final = 6
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("route", ROUTES, ids=lambda route: f"{route.method} {route.path}")
 async def test_only_health_routes_need_no_token(route: AdminRoute) -> None:
-    """An unauthorised client could take a data centre out of service.
+    """Guard against an unauthorised client that takes a data centre out of service.
 
     All routes except liveness and readiness must refuse a missing, a malformed and a truncated
     token, and the response must not contain the expected one.
@@ -157,7 +157,7 @@
 
 
 async def test_a_refusal_has_the_request_id_in_its_body() -> None:
-    """Callers that log only bodies could not find a refused request in the time line."""
+    """Guard against refusals that callers who log only bodies can't find in the time line."""
     edge = AdminEdge(FakeBackend(), token=Secret(TOKEN), metrics=Metrics())
     answer = await edge.handle(ask("GET", protocol.STATUS_PATH, headers={"x-request-id": "r-7"}))
     assert codec.from_json(answer.body, ErrorBody).request_id == "r-7"
--- a/tests/daemon/test_admin_tls.py
+++ b/tests/daemon/test_admin_tls.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("has_certificate", [True, False])
 async def test_only_an_operator_with_a_certificate_is_accepted(has_certificate: bool) -> None:
-    """A client without a certificate could take a data centre out of service.
+    """Guard against a client without a certificate that takes a data centre out of service.
 
     The edge has no token; it requires a certificate signed by the operators' CA instead.
     """
--- a/tests/daemon/test_cluster_watch.py
+++ b/tests/daemon/test_cluster_watch.py
@@ -88,7 +88,7 @@
 
 
 async def test_the_store_is_unavailable_after_two_failures_until_one_answer() -> None:
-    """A store that loses an occasional call would fill the time line with outages.
+    """Guard against a time line full of outages if the store loses an occasional call.
 
     One lost reply is no outage; two consecutive failures are, in any part of the daemon. A conflict
     counts as an answer.
@@ -128,7 +128,7 @@
 
 
 def test_vms_that_join_and_leave_a_view_are_recorded() -> None:
-    """Operators could not see when a replacement VM joined.
+    """Guard against a time line that does not show when a replacement VM joined.
 
     The first known view of a data centre records no joins. In the next one a VM has joined, one has
     left and one is removed as dead.
--- a/tests/daemon/test_intents_data_centre.py
+++ b/tests/daemon/test_intents_data_centre.py
@@ -27,7 +27,7 @@
 async def test_a_data_centre_is_taken_out_and_returned_under_load(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Searches could fail or reach the data centre while it is out, and overload it on return.
+    """Guard against searches that fail, reach a data centre taken out, or overload it on return.
 
     Its servers restart while it is out and are cold when it is returned under the same load.
     """
--- a/tests/daemon/test_intents_leaving.py
+++ b/tests/daemon/test_intents_leaving.py
@@ -36,7 +36,7 @@
 
 
 async def test_leaving_servers_get_no_new_work(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """Searches could be cut off when the platform removes the VM of a server.
+    """Guard against searches that are cut off when the platform removes the VM of a server.
 
     Under load one server is retired by an operator, one starts to drain, and one is leaving
     according to the VM list. The last two return later and must get work again.
@@ -75,7 +75,7 @@
 
 
 async def test_searches_at_a_retired_server_finish(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """Searches that run at a server when it is retired could be cut off and miss a shard.
+    """Guard against searches that are cut off at a retired server and miss a shard.
 
     Searches of some tenths of a second run at both replicas when one of them is retired.
     """
--- a/tests/daemon/test_intents_pause.py
+++ b/tests/daemon/test_intents_pause.py
@@ -35,10 +35,11 @@
 async def test_a_paused_owner_does_not_dispatch_with_expired_rights(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A paused owner could dispatch after its servers were taken over, and overload a cold one.
+    """Guard against a resumed owner that dispatches to servers taken over by others.
 
     A VM is stopped for seconds while searches go on through the others, which take its servers
     over. Searches sent to it wait in its sockets; when resumed it reads them before the new view.
+    Dispatches of two owners could overload a cold server.
     """
     cluster = await start_small_cluster(stack, tmp_path, "--warm-after=20")
     all_vms = await open_operator(stack, cluster)
@@ -70,7 +71,7 @@
         cluster.daemons[paused.vm].send_signal(signal.SIGCONT)
         gained: list[Event] = []
         while not gained:
-            # The count is read first, so that it contains only dispatches before the events.
+            # The count is read before the events, so that it contains no dispatch later than them.
             dispatched = await _dispatches(cluster, paused)
             new_events = [
                 event for event in await _events(paused_admin) if event.sequence > last_sequence
--- a/tests/daemon/test_intents_race.py
+++ b/tests/daemon/test_intents_race.py
@@ -19,10 +19,11 @@
 async def test_one_of_three_concurrent_plans_is_accepted(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Concurrent plans could take both data centres out, each assuming that the other one serves.
+    """Guard against concurrent plans that together take both data centres out of service.
 
-    Two operators take out one data centre each, a third retires a server. All plans have the same
-    base revision and are confirmed concurrently through different VMs.
+    Two operators take out one data centre each, a third retires a server. Each plan assumes that
+    the rest stays in service. All plans have the same base revision and are confirmed concurrently
+    through different VMs.
     """
     cluster = await start_small_cluster(stack, tmp_path)
     admins = [await open_operator(stack, cluster, number) for number in range(3)]
@@ -50,7 +51,7 @@
 async def test_removing_the_last_replica_needs_an_override(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An operator who plans again after a conflict could remove the last replica of a shard.
+    """Guard against removing the last replica of a shard by planning again after a conflict.
 
     One operator retires a server; the other one takes out the data centre with the only replica
     left.
--- a/tests/daemon/test_intents_store.py
+++ b/tests/daemon/test_intents_store.py
@@ -39,7 +39,7 @@
 async def test_a_confirm_in_an_outage_changes_nothing(
     stack: AsyncExitStack, tmp_path: Path, outage: str
 ) -> None:
-    """A refused confirm could take effect later, when the store is back.
+    """Guard against a refused confirm that takes effect when the store is back.
 
     The store is unavailable when the plan is confirmed. The confirm must be refused as not run,
     nothing may change even after recovery, and searches go on in both data centres.
@@ -69,7 +69,7 @@
 async def test_an_accepted_intent_comes_into_force_without_the_store(
     stack: AsyncExitStack, tmp_path: Path, outage: str, compact: bool
 ) -> None:
-    """VMs that read an old configuration could send work to a data centre that is out.
+    """Guard against VMs that read an old configuration and send work to a data centre that is out.
 
     The store fails right after it accepted the change, before its watchers are notified; peers
     propagate the change. After recovery its watches repeat old changes, or its history is
@@ -99,7 +99,7 @@
 async def test_a_lost_reply_to_the_change_is_resolved(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """After a lost reply an operator would confirm again and apply the intent twice.
+    """Guard against applying an intent twice when an operator confirms again after a lost reply.
 
     The store accepts the change and its reply is lost. The VM must find the record of the intent,
     and a second confirm must be reported as a repetition.
@@ -129,10 +129,10 @@
 async def test_a_lost_reply_before_the_swap_changes_nothing_twice(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A confirm that failed before the change could be applied, or be reported as unknown.
+    """Guard against a confirm that fails before the change but is applied or reported as unknown.
 
-    The reply to the first write of the confirm is lost, which only checks the contents of the
-    store. The first VM must report "not run", and the next one applies the plan once.
+    The confirm loses the reply to its first write, which only checks the contents of the store.
+    The first VM must report "not run", and the next one applies the plan once.
     """
     cluster = await start_small_cluster(stack, tmp_path)
     first_vm, admin = await open_operator(stack, cluster, 0), await open_operator(stack, cluster)
--- a/tests/daemon/test_intents_vms.py
+++ b/tests/daemon/test_intents_vms.py
@@ -38,7 +38,7 @@
 async def test_a_shutdown_leaves_no_execute_outcome_unknown(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A graceful shutdown could leave the outcome of executes unknown.
+    """Guard against a graceful shutdown that leaves the outcome of executes unknown.
 
     A VM gets SIGTERM while executes and searches run through it and at servers that it owns. Each
     reported outcome must be true, and each execute must run at most once.
@@ -83,9 +83,10 @@
 async def test_a_new_vm_gets_its_configuration_from_peers(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A VM that is replaced during a store outage could stay unready until the store is back.
+    """Guard against a VM replaced during a store outage that stays unready until the store is back.
 
-    It must refuse requests as not run until a peer has sent it the configuration, and then serve.
+    The VM must refuse requests as not run until a peer has sent it the configuration, and then
+    serve.
     """
     cluster = await start_small_cluster(stack, tmp_path, settings=FAST_PACE)
     replacement = cluster.plan.daemons[0]
@@ -103,7 +104,7 @@
 async def test_a_new_vm_without_peers_and_store_stays_unready(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A VM without a configuration could answer "unknown service" or with no hits.
+    """Guard against "unknown service" or empty answers from a VM without a configuration.
 
     One VM starts while all others are stopped and the store is unavailable. It must refuse requests
     as not ready, and serve when the store is back.
--- a/tests/daemon/test_observability.py
+++ b/tests/daemon/test_observability.py
@@ -72,9 +72,9 @@
 async def test_a_configuration_of_two_megabytes_is_checked(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A large configuration could be exported but not imported.
+    """Guard against a large configuration that can be exported but not imported.
 
-    A configuration may have 16 MB, so that the edge must not limit bodies to 1 MB.
+    A configuration may have 16 MB, so the edge must not limit bodies to 1 MB.
     """
     cluster = await start(stack, tmp_path)
     async with HttpClient(HOST, cluster.plan.daemons[0].admin_port) as client:
@@ -143,7 +143,7 @@
 
 
 async def test_work_is_recorded_in_the_metrics(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A documented metric could be defined but never recorded."""
+    """Guard against a documented metric that is defined but never recorded."""
     cluster = await start(stack, tmp_path)
     await search(cluster, "lot", times=8)
     await execute(cluster, "hold-1")
@@ -157,7 +157,7 @@
 
 
 async def test_faults_are_recorded_in_the_time_line(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """The time line could omit the events that explain an incident.
+    """Guard against a time line without the events that explain an incident.
 
     A server warms up and drains, a version is published, a search crashes the servers that run it,
     and a data centre is taken out.
@@ -212,7 +212,7 @@
 
 
 async def test_a_new_vm_records_a_store_outage(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """A VM that starts during a store outage might not report the outage.
+    """Guard against a VM that starts during a store outage and does not report the outage.
 
     The store resets each connection. A VM that is replaced during the outage must record that the
     store is unavailable, and later that it is back.
--- a/tests/daemon/test_options.py
+++ b/tests/daemon/test_options.py
@@ -80,9 +80,9 @@
 
 
 def test_a_vm_gets_a_new_id_at_each_start() -> None:
-    """A replacement VM with the old id would be taken for the old VM.
+    """Guard against a replacement VM that peers mistake for the old VM because of its id.
 
-    VMs keep no state across starts, and their peers would attribute the old state to it.
+    A VM keeps no state across starts, but its peers would attribute the old state to it.
     """
     first, second = parse(REQUIRED_FLAGS), parse(REQUIRED_FLAGS)
     assert first is not None
@@ -91,7 +91,7 @@
 
 
 def test_secrets_are_read_from_a_file_and_masked(tmp_path: Path) -> None:
-    """A secret could leak into a log or a crash report.
+    """Guard against a secret in a log or a crash report.
 
     Tracebacks and debug lines print the options as a whole; secrets in them must be masked.
     """
@@ -140,7 +140,7 @@
 
 
 def test_a_port_in_use_exits_the_daemon_with_its_line_and_code() -> None:
-    """A second daemon on one VM could run with some of its ports closed.
+    """Guard against a second daemon on one VM that runs with some of its ports closed.
 
     It must exit at once with a line that names the address, rather than report the unreachable
     store.
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -31,7 +31,7 @@
 async def test_pages_of_one_search_stay_on_one_snapshot(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """The second page of a search could repeat or skip hits.
+    """Guard against a second page of a search that repeats or skips hits.
 
     A new version is published between the two pages; the second page is requested from another VM.
     """
@@ -49,7 +49,7 @@
 async def test_searches_switch_to_a_new_version_without_mixing(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An answer with hits of two versions could contain an entry twice, or not at all.
+    """Guard against answers with hits of two versions, which repeat or lack an entry.
 
     Versions 2 and 3 are published during searches, each first at half of the servers.
     """
@@ -70,7 +70,7 @@
 async def test_an_execute_sent_through_every_vm_runs_once(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An execute could run twice if it is sent through several VMs.
+    """Guard against an execute that runs twice because it is sent through several VMs.
 
     A client sends the same execute with the same key through all VMs concurrently.
     """
@@ -99,7 +99,7 @@
 async def test_without_the_store_executes_are_not_run_and_searches_work(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An execute without a claim in the store could run more than once.
+    """Guard against an execute that runs more than once because it has no claim in the store.
 
     The platform's store is unavailable; the execute must be refused as not run, and must not reach
     any backend server. Searches need no store.
@@ -119,7 +119,7 @@
 async def test_an_execute_runs_once_after_a_lost_reply_to_its_claim(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An execute could be refused because of its own claim, and its key stay unusable for a day.
+    """Guard against refusing an execute for its own claim, with its key unusable for a day.
 
     The store accepts the claim and its reply is lost; the VM must recognise the claim as its own.
     """
@@ -137,7 +137,7 @@
 async def test_an_unknown_outcome_is_reported_and_not_run_again(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """An execute whose reply was lost could run again when it is repeated.
+    """Guard against an execute that runs again when it is repeated after a lost reply.
 
     The backend server runs the execute and its connection breaks before the reply.
     """
@@ -159,7 +159,7 @@
 async def test_a_bad_reply_reaches_no_caller(
     stack: AsyncExitStack, tmp_path: Path, fault: str
 ) -> None:
-    """A caller could get hits of another search, or only a part of its own.
+    """Guard against answers with hits of another search or with only a part of the hits.
 
     Every server replies to some calls with the reply of another call, a truncated one or an error.
     """
@@ -181,7 +181,7 @@
 
 
 async def test_a_cold_server_is_not_overloaded(stack: AsyncExitStack, tmp_path: Path) -> None:
-    """Four VMs that each send only one request to a cold server could overload it together.
+    """Guard against four VMs that overload a cold server with one request each.
 
     All servers turn cold without notice while 200 searches arrive through all VMs.
     """
@@ -201,7 +201,7 @@
 async def test_a_crashing_search_takes_down_few_servers(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """A search that crashes servers could take down every replica of every shard.
+    """Guard against a crashing search that takes down every replica of every shard.
 
     Its caller sends it through each VM, three times over.
     """
@@ -223,7 +223,7 @@
 async def test_a_graceful_shutdown_cuts_off_no_search(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Callers could get errors while a VM is replaced.
+    """Guard against errors at callers while a VM is replaced.
 
     A VM that owns servers and has open callers' connections gets SIGTERM during searches; its
     callers try another VM only after "not run".
@@ -263,7 +263,7 @@
 async def test_the_servers_of_a_killed_vm_are_taken_over(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """The servers of a VM that is killed could stay without an owner.
+    """Guard against servers of a killed VM that stay without an owner.
 
     Other VMs must take them over when the store's view excludes the VM.
     """
--- a/tests/daemon/test_shutdown_holds.py
+++ b/tests/daemon/test_shutdown_holds.py
@@ -21,7 +21,7 @@
 async def test_an_execute_in_progress_at_a_leaving_vm_is_not_reported_as_lost(
     tmp_path: Path,
 ) -> None:
-    """An execute that still runs could be reported as unknown after its VM left the view.
+    """Guard against reporting a running execute as unknown after its VM has left the view.
 
     A VM gets SIGTERM with executes in progress at servers that other VMs own. It leaves the view
     before they finish, and a caller sends them again through another VM.
--- a/tests/daemon/test_stamped_transport.py
+++ b/tests/daemon/test_stamped_transport.py
@@ -73,7 +73,7 @@
 def test_the_effect_of_a_datagram_is_ordered_after_its_cause(
     turns: list[bool], behind: float
 ) -> None:
-    """The time line could show a revision as adopted before its confirmation.
+    """Guard against a time line that shows a revision as adopted before its confirmation.
 
     One VM records an event and sends a datagram; the other records the effect and replies in the
     same way. Their wall clocks differ by up to 5 s.
@@ -91,7 +91,7 @@
 
 
 async def test_a_response_carries_the_time_of_the_responding_vm() -> None:
-    """The effect of a peer's response could be recorded before its cause.
+    """Guard against an effect of a peer's response that is recorded before its cause.
 
     The clock of the calling VM is 5 s behind that of the responding VM.
     """
@@ -104,7 +104,7 @@
 
 
 async def test_a_message_without_a_stamp_is_counted_and_dropped() -> None:
-    """A truncated message could end the task that reads datagrams.
+    """Guard against a truncated message that ends the task that reads datagrams.
 
     A message of four bytes arrives as a datagram and as the response to a call.
     """
--- a/tests/daemon/test_store_silent.py
+++ b/tests/daemon/test_store_silent.py
@@ -30,7 +30,7 @@
 
 
 async def test_an_execute_that_cannot_be_claimed_is_refused_in_time(cluster: Cluster) -> None:
-    """A caller could get no response while the VM waits for the store.
+    """Guard against a caller without a response while the VM waits for the store.
 
     The store accepts the claim and does not answer before the deadline of the caller.
     """
@@ -44,7 +44,7 @@
 
 
 async def test_an_execute_that_ran_is_answered_though_the_store_is_silent(cluster: Cluster) -> None:
-    """The result of an execute could be withheld because its outcome can't be stored.
+    """Guard against withholding the result of an execute whose outcome can't be stored.
 
     The store stops answering between the claim and the outcome, while the backend server works.
     """
--- a/tests/daemon/test_vm_loss.py
+++ b/tests/daemon/test_vm_loss.py
@@ -16,10 +16,10 @@
 async def test_searches_through_a_killed_owner_miss_no_shard(
     stack: AsyncExitStack, tmp_path: Path
 ) -> None:
-    """Searches could miss shards although a replica of each is available.
+    """Guard against searches that miss shards although a replica of each is available.
 
     A VM that owns two servers is killed while four searches wait there. The broken link to the VM
-    must not be taken for a crash of the backend server, after which searches aren't retried.
+    must not be treated as a crash of the backend server, after which searches aren't retried.
     """
     policy = Policy(prefer=Preference.COVERAGE, deadline_ms=DEADLINE_MS, hedge_share=0.0)
     cluster = await start_small_cluster(stack, tmp_path, "--mean-ms=150", policy=policy)
--- a/tests/history/test_checkers.py
+++ b/tests/history/test_checkers.py
@@ -226,12 +226,12 @@
 
 
 def hold_refused_by_a_shutdown_alone() -> History:
-    """The last outcome of the caller is the refusal of the daemon that shuts down."""
+    """Return a history in which the last outcome is a refusal by the daemon that shuts down."""
     return with_tries(refused(72, "hold-72", 107.0, refused=SHUTTING_DOWN))
 
 
 def test_a_hold_that_another_vm_still_runs_is_not_interrupted() -> None:
-    """Guards against reporting a shutdown as the cause of an execute that waits for the store.
+    """Guard against reporting a shutdown as the cause of an execute that waits for the store.
 
     The reply to a claim is lost, so one VM refuses the request because the store is unavailable
     and another because the claim is in progress. The caller retries at all VMs, and the daemon
@@ -246,7 +246,7 @@
 
 
 def search_interrupted_at_another_vm() -> History:
-    """Without a server fault, only the shutdown can have broken the connection."""
+    """Return a history without server faults, so that only a shutdown can break a connection."""
     lost = Refused(kind=ErrorKind.CONNECTION_LOST, run=RunState.MAY_HAVE_RUN)
     interrupted = refused(71, "cut", 107.0, vm="test-b-vm1", refused=lost)
     calls = tuple(call for call in valid_history().calls if call.wall < 102.0)
@@ -272,7 +272,7 @@
 
 
 def key_not_run_that_ran() -> History:
-    """An execute is refused as not run, although a server ran it."""
+    """Return a history in which an execute was refused as not run although a server ran it."""
     history = with_calls(lambda log: log.run(103.2, "hold-9", execute=True))
     refusal = refused(61, "hold-9", 103.1, shard="0")
     return attrs.evolve(history, tries=(*history.tries, refusal))
--- a/tests/history/test_runs.py
+++ b/tests/history/test_runs.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("plan", RUNS, ids=lambda plan: plan.name)
 async def test_no_guarantee_is_violated(plan: RunPlan) -> None:
-    """Guards against wrong answers and duplicate work that only two concurrent faults cause.
+    """Guard against wrong answers and duplicate work that only two concurrent faults cause.
 
     Callers send requests through all daemons while both faults of the run are active. The history
     must contain answers and no violation.
