--- a/libs/bench/berylspindle_bench/history_run.py
+++ b/libs/bench/berylspindle_bench/history_run.py
@@ -50,7 +50,7 @@
 from berylspindle_wire.http import HttpLimits
 
 FAULTS: Final[dict[str, FaultFactory]] = {**SERVER_FAULTS, **STORE_FAULTS, **VM_FAULTS}
-# Halves the intervals of leases and probes, so that leases expire and move within a run.
+# Halves the times of leases and probes, so that leases expire and get new holders within a run.
 SETTINGS: Final = {"BERYLSPINDLE_UNREADY_SECONDS": "0.2", "BERYLSPINDLE_CONTROL_PACE": "0.5"}
 BACKEND_FLAGS: Final = ("--warm-after=10", "--restart-ms=400")
 SEEDS_PER_FAULT: Final = 20
--- a/libs/bench/berylspindle_bench/queue_trials.py
+++ b/libs/bench/berylspindle_bench/queue_trials.py
@@ -144,7 +144,7 @@
 
 
 def _long_among_short(rng: random.Random) -> Iterator[_Work]:
-    # Requests of twenty times the work offer half of the capacity, short ones a third.
+    # Long requests have twenty times the work. They offer half of the capacity, short ones a third.
     yield from _stream(rng, "heavy", 0.5 * CAPACITY / LONG_COST, LONG_COST)
     for n in range(5):
         yield from _stream(rng, f"light-{n}", CAPACITY / 15)
