--- a/libs/bench/berylspindle_bench/capacity.py
+++ b/libs/bench/berylspindle_bench/capacity.py
@@ -150,7 +150,7 @@
 
 
 def _control_demands(capacity: Capacity) -> list[Demand]:
-    """Return the rows of the control plane on each VM."""
+    """Return the rows of the demand table for the control plane on each VM."""
     slope_of = _slope_lookup(capacity)
     changes = PLANNED_SIZE.changes_per_day / SECONDS_PER_DAY
     view_changes = (
--- a/libs/bench/berylspindle_bench/capacity_slopes.py
+++ b/libs/bench/berylspindle_bench/capacity_slopes.py
@@ -203,7 +203,10 @@
 
 
 async def _http_points() -> list[Point]:
-    """Measure an HTTP round trip, both sides with decoding, by the number of calls in a body."""
+    """Measure the CPU time of an HTTP round trip by the number of calls in a body.
+
+    The time includes both sides, with encoding and decoding of the bodies.
+    """
     replies = [
         make_reply(str(n), HITS_PER_SHARD, random.Random(1)) for n in range(max(CALL_COUNTS))
     ]
--- a/libs/bench/berylspindle_bench/cluster.py
+++ b/libs/bench/berylspindle_bench/cluster.py
@@ -57,7 +57,7 @@
 
     @property
     def callers_address(self) -> Address:
-        """Return the address for callers."""
+        """Return the address at which the daemon serves callers."""
         return Address(host=HOST, port=self.callers_port)
 
     @property
--- a/libs/cli/berylspindle_cli/log_lines.py
+++ b/libs/cli/berylspindle_cli/log_lines.py
@@ -87,7 +87,10 @@
 
 
 def explain_request(lines: list[LogLine], request: str) -> Explanation:
-    """Return the ends of a request and their context; empty if no line names the request."""
+    """Return a `RequestEnd` for each line about the end of a request, and their context.
+
+    Both are empty if no line names the request.
+    """
     request_lines = [
         line
         for line in lines
--- a/libs/controlplane/berylspindle_controlplane/view_writer.py
+++ b/libs/controlplane/berylspindle_controlplane/view_writer.py
@@ -6,9 +6,11 @@
 Flow: changes -> queue -> `ViewWriter.run`, which applies all queued changes of one kind together by
 one compare-and-swap and publishes the result. There is one writer per VM, so that a VM's own
 changes do not race each other. After a lost reply, the swap is repeated with the same expected
-revision until the store accepts or refuses it. A guardian resumes its confirmations only if its
-proposed removal had no effect. If the swap were abandoned instead, it could take effect after that,
-and two VMs would dispatch to one server.
+revision until the store accepts or refuses it.
+
+Guard: a guardian resumes its confirmations only if its proposed removal had no effect. If, after a
+lost reply, the writer reported a failure instead of repeating the swap, the removal could take
+effect after the guardian has resumed, and two VMs would dispatch to one server.
 """
 
 from __future__ import annotations
--- a/libs/dataplane/berylspindle_dataplane/entry_quarantine.py
+++ b/libs/dataplane/berylspindle_dataplane/entry_quarantine.py
@@ -96,7 +96,7 @@
         return changed
 
     def expire(self, now: float) -> None:
-        """Record which quarantines have ended by time."""
+        """Record in the time line which quarantines have expired."""
         self._record_levels(now, tuple(self._quarantined))
 
     def _on_local_change(self, now: float, fingerprints: tuple[str, ...]) -> None:
--- a/libs/decisions/berylspindle_decisions/coverage.py
+++ b/libs/decisions/berylspindle_decisions/coverage.py
@@ -65,8 +65,9 @@
     def on_answer(self, shard: str, *, partial: bool = False) -> bool:
         """Count one answer; return False if it must not be merged.
 
-        That is a second answer of a shard, whose hits would be duplicated, or one of a shard
-        outside the pinned map, which changed and whose hits belong to another partition.
+        A second answer of a shard must not be merged, since its hits would be duplicated; neither
+        must an answer of a shard outside the pinned map: the shard map has changed, and the hits
+        belong to another partition.
         """
         if shard not in self._shard_set or shard in self._answered:
             return False
--- a/libs/decisions/berylspindle_decisions/replica_health.py
+++ b/libs/decisions/berylspindle_decisions/replica_health.py
@@ -68,7 +68,7 @@
         self._spike_until = -math.inf
         self._fast_at = -math.inf
         # For each outstanding attempt in the order of sending: the time from which it is late, and
-        # the time from which its queue no longer explains the delay.
+        # the time from which it is late even with the queueing delay expected when it was sent.
         self._attempts: dict[object, tuple[float, float]] = {}
         self._backoff_until = -math.inf
         self._refused_until = -math.inf
--- a/libs/decisions/berylspindle_decisions/suspicions.py
+++ b/libs/decisions/berylspindle_decisions/suspicions.py
@@ -110,7 +110,7 @@
         return tuple(Suspicion(name, e.incarnation, e.beat) for name, e in active[:MAX_PER_MESSAGE])
 
     def record_contact(self, data_centre: str, at: float) -> None:
-        """Record a contact of this data centre with another one at a time."""
+        """Record that this data centre had contact with `data_centre` at the time `at`."""
         self._contacts[data_centre] = max(at, self._contacts.get(data_centre, -math.inf))
 
     def reset_ages(self, now: float) -> None:
--- a/libs/decisions/berylspindle_decisions/version_analysis.py
+++ b/libs/decisions/berylspindle_decisions/version_analysis.py
@@ -61,7 +61,8 @@
 
 _PRIOR_BAD: Final = 0.6
 _PRIOR_ANSWERS: Final = 20.0
-"""Prior counts of the control, which allow for an occasional pause."""
+"""Prior counts that are added to the bad responses and to all responses of old replicas: a share of
+3% bad ones, since an occasional pause makes responses of a sound version bad as well."""
 
 
 class Verdict(enum.Enum):
--- a/libs/decisions/berylspindle_decisions/watchers.py
+++ b/libs/decisions/berylspindle_decisions/watchers.py
@@ -1,19 +1,22 @@
 """Select the VMs of a data centre whose mirrors the other VMs follow.
 
 Each call to the store has a cost, a pending watch included, and the store's capacity grows more
-slowly than the fleet. If each of 81 VMs watches the store, every change causes some 81 calls, and a
-start followed by one idle minute 1,180; with two watchers per data centre, the latter causes 430.
+slowly than the fleet. If each of 81 VMs watches the store, every change causes about 81 calls, and
+a start of the fleet followed by one idle minute causes 1,180 calls. With two watchers per data
+centre, such a start with its idle minute causes 430 calls.
 
 Terms:
-  watcher   a VM whose mirror others follow; the first one follows the store, the others the first
+  watcher   a VM whose mirror others follow; the first one follows the store, each other one a
+            watcher that is ranked before it
   follower  any other VM
 
 Flow: each VM ranks the known VMs of its data centre by capacity, and equal ones by a hash of their
 names; the first ones are the watchers. VMs with the same state select the same watchers without
 coordination; while their states differ, there are a few more watchers.
 
-Guard: the larger VMs merge the searches of the others, and are the first to detect that the data
-centre is isolated; as watchers they pass this on with their next response.
+Guard: the ranking prefers larger VMs, because they merge the searches of the others and are the
+first to detect that the data centre is isolated. As watchers, they report the isolation to their
+followers in their next response.
 
 Thresholds: with two watchers, one may fail without an effect: the second one calls the store as
 soon as the first is unresponsive, fails or lags, which takes 1.6 s of the 3 s that a change may
--- a/libs/forwarding/berylspindle_forwarding/relay.py
+++ b/libs/forwarding/berylspindle_forwarding/relay.py
@@ -61,8 +61,11 @@
 
 HOP_RESERVE_MS: Final = 3.0
 REMOTE_HOP_RESERVE_MS: Final = 5.0
-"""Time reserved for returning the answer through the origin, in milliseconds, from a merger in the
-same data centre and in another one: one to three for the network, two for the origin's work."""
+"""Time in milliseconds reserved for returning the answer through the origin.
+
+`HOP_RESERVE_MS` applies to a merger in the same data centre, with one millisecond for the network;
+`REMOTE_HOP_RESERVE_MS` to a merger in another one, with three. Both include two for the origin's
+work."""
 
 PROBE_TIMEOUT_S: Final = 0.15
 """Timeout in seconds of the probe of a late merger; a reply normally takes a few milliseconds."""
--- a/libs/forwarding/berylspindle_forwarding/vm_registry.py
+++ b/libs/forwarding/berylspindle_forwarding/vm_registry.py
@@ -111,11 +111,11 @@
         return tuple(known.values())
 
     def watchers(self) -> tuple[MirrorAddress, ...]:
-        """Return the mirrors that this VM follows; none if it follows the store itself.
+        """Return the mirrors that this VM may follow, best first; none if it follows the store.
 
-        The first watcher follows the store, each other watcher those ranked before it, and all
-        other VMs any of them. A VM whose own entry isn't known is a watcher only if there are too
-        few.
+        The first watcher follows the store. Each further watcher follows one that is ranked before
+        it, and a VM that is no watcher follows any of them. A VM whose own entry isn't known is a
+        watcher only if fewer than `MIN_WATCHERS` VMs of the data centre have a known entry.
         """
         watchers = self._ranked_watchers()
         if self._vm in watchers:
--- a/libs/standins/berylspindle_standins/platform_standin.py
+++ b/libs/standins/berylspindle_standins/platform_standin.py
@@ -136,7 +136,7 @@
         self._connections.discard(connection)
 
     def reset_connections(self) -> None:
-        """Reset every open connection."""
+        """Close every open connection at once and discard buffered output."""
         for connection in tuple(self._connections):
             connection.reset()
 
--- a/libs/store/berylspindle_store/http_store.py
+++ b/libs/store/berylspindle_store/http_store.py
@@ -34,8 +34,10 @@
 T = TypeVar("T")
 
 
-# Fraction of a call's timeout without progress after which a connection is considered unresponsive
-# and the call fails. The remaining time is left to the caller: it is too short for another attempt.
+# Fraction of a call's timeout without progress after which a reused connection is considered
+# unresponsive and the call fails. It is below 1, so that the pool detects this before the call's
+# timeout and closes other stale connections. The call is not retried in the remaining time, which
+# is too short for another attempt.
 _PROGRESS_TIMEOUT_FRACTION: Final = 0.9
 
 
--- a/libs/telemetry/berylspindle_telemetry/metrics.py
+++ b/libs/telemetry/berylspindle_telemetry/metrics.py
@@ -78,7 +78,7 @@
 
     @property
     def value(self) -> float:
-        """Return the current value."""
+        """Return the result of `read` if it is set, else the stored value."""
         return self.stored if self.read is None else self.read()
 
 
--- a/libs/wire/berylspindle_wire/http_pool.py
+++ b/libs/wire/berylspindle_wire/http_pool.py
@@ -33,9 +33,10 @@
 
 PROBE_PATH: Final = "/health"
 MAX_IDLE_AGE_S: Final = 45.0
-"""Seconds of which a quarter limits the interval between checks of idle connections. It closes no
-connection by itself: `idle_probe_after` determines the age at which connections are probed or
-closed. The value is below the 60 s after which common servers close idle connections."""
+"""Default of `max_idle_age`, in seconds. Idle connections are checked at least every quarter of
+`max_idle_age`. The setting closes no connection by itself: `idle_probe_after` determines the age at
+which connections are probed or closed. The value is below the 60 s after which common servers close
+idle connections."""
 
 _NEW_CONNECTION_S: Final = 1.0
 """Seconds for which a connection that has carried no request counts as new, not reused."""
--- a/tests/daemon/socket_helpers.py
+++ b/tests/daemon/socket_helpers.py
@@ -77,7 +77,6 @@
 
 
 async def make_plan(admin: OperatorClient, kind: IntentKind, subject: str) -> Plan:
-    """Return the plan of an intent."""
     plan = await admin.plan(Intent(kind=kind, subject=subject))
     assert isinstance(plan, Plan), plan
     return plan
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -157,7 +157,10 @@
 
 
 async def test_a_refusal_has_the_request_id_in_its_body() -> None:
-    """Guard against refusals that callers who log only bodies can't find in the time line."""
+    """Guard against a refusal whose body lacks the request ID.
+
+    Callers that log only the body could not find the refusal in the time line.
+    """
     edge = AdminEdge(FakeBackend(), token=Secret(TOKEN), metrics=Metrics())
     answer = await edge.handle(ask("GET", protocol.STATUS_PATH, headers={"x-request-id": "r-7"}))
     assert codec.from_json(answer.body, ErrorBody).request_id == "r-7"
--- a/tests/daemon/test_observability.py
+++ b/tests/daemon/test_observability.py
@@ -177,8 +177,8 @@
             break
     assert await is_recorded(cluster, EventKind.SNAPSHOT_CHANGED)
     for _ in range(MAX_POLLS):
-        # On a busy machine the second crash may precede the report of the first one; then the
-        # next canary is decisive.
+        # On a busy machine, the second crash may precede the report of the first one and is then no
+        # second event. The next search runs as a canary, and its crash leads to the quarantine.
         await search(cluster, "crash-this-server", same=True, times=len(cluster.plan.daemons))
         if await is_recorded(cluster, EventKind.QUARANTINED):
             break
--- a/tests/decisions/test_control_plans.py
+++ b/tests/decisions/test_control_plans.py
@@ -1,4 +1,4 @@
-"""Plans of intents: their contents, the refusals, and that each applies only once."""
+"""Plans of intents: their contents, the refusals, and that no plan applies to a later revision."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -128,7 +128,7 @@
 
 
 async def test_shards_without_a_local_replica_arrive_as_one_answer() -> None:
-    """Guard against one part per remote shard over the links between data centres."""
+    """Guard against a separate response per remote shard over the links between data centres."""
     async with open_halves() as (here, there):
         path = "/lots/1"
         response = await here.ask(path)
--- a/tests/platform_adapter/kv_standin.py
+++ b/tests/platform_adapter/kv_standin.py
@@ -81,7 +81,6 @@
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset all connections."""
         for writer in tuple(self.writers):
             writer.transport.abort()
 
