--- a/libs/dataplane/berylspindle_dataplane/executor.py
+++ b/libs/dataplane/berylspindle_dataplane/executor.py
@@ -112,7 +112,7 @@
             return Refusal(ErrorKind.UNKNOWN_OUTCOME)
         return self._recorded_outcome(request_id, record)
 
-    async def settle_pending(self) -> None:
+    async def store_pending_outcomes(self) -> None:
         """Retry writing outcomes that the store has not accepted, until cancelled."""
         while True:
             await asyncio.sleep(PENDING_RETRY_SECONDS)
--- a/libs/dataplane/berylspindle_dataplane/plane.py
+++ b/libs/dataplane/berylspindle_dataplane/plane.py
@@ -96,7 +96,7 @@
         self._executor: Final = Executor(self._router, self._entry, claims, context, self._is_live)
         self.quarantine_gossip: Final = self._make_quarantine_gossip(worker_context, send_suspects)
         self._tasks: Final = _start_tasks(
-            self._executor.settle_pending(), self.quarantine_gossip.run()
+            self._executor.store_pending_outcomes(), self.quarantine_gossip.run()
         )
         self._requests = 0
         self._idle: Final = asyncio.Event()
--- a/libs/dataplane/berylspindle_dataplane/server_worker.py
+++ b/libs/dataplane/berylspindle_dataplane/server_worker.py
@@ -53,13 +53,17 @@
     """Dispatch attempts to one backend server."""
 
     def __init__(
-        self, server: Server, backend: Backend, context: WorkerContext, trust: WarmUpState | None
+        self,
+        server: Server,
+        backend: Backend,
+        context: WorkerContext,
+        warm_up_state: WarmUpState | None,
     ) -> None:
         self._server: Final = server
         self._backend: Final = backend
         self._context: Final = context
         self._limiter: Final = ServerLimiter(server.slots, server.cold_slots)
-        self._limiter.on_takeover(context.now(), trust)
+        self._limiter.on_takeover(context.now(), warm_up_state)
         self._queue: Final[FairQueue[QueuedAttempt]] = FairQueue(context.queue)
         self._attempts_by_id: dict[str, QueuedAttempt] = {}
         self._running = 0
@@ -94,7 +98,7 @@
         return len(self._queue)
 
     @property
-    def trust(self) -> WarmUpState:
+    def warm_up_state(self) -> WarmUpState:
         """Return the limiter state to pass to the next owner."""
         return self._limiter.warm_up_state
 
--- a/libs/decisions/berylspindle_decisions/concurrency.py
+++ b/libs/decisions/berylspindle_decisions/concurrency.py
@@ -89,7 +89,7 @@
     @property
     def warm_up_state(self) -> WarmUpState:
         """Return the warm-up state to hand over to the next owner."""
-        return self._warm_up.trust
+        return self._warm_up.warm_up_state
 
     def limit(self, now: float) -> int:
         """Return the maximum of attempts in flight now; 0 during a hold."""
@@ -156,9 +156,9 @@
         self._max_in_flight = self._in_flight
         self._external_until = now + self._options.foreign_s
 
-    def on_takeover(self, now: float, trust: WarmUpState | None = None) -> None:
+    def on_takeover(self, now: float, state: WarmUpState | None = None) -> None:
         """Start as the new owner: at the cold cap, unless warm-up state was handed over."""
-        self._warm_up.on_takeover(now, trust)
+        self._warm_up.on_takeover(now, state)
 
     def _end(self) -> None:
         if self._in_flight == 0:
--- a/libs/decisions/berylspindle_decisions/warmup.py
+++ b/libs/decisions/berylspindle_decisions/warmup.py
@@ -6,7 +6,7 @@
 
 Terms:
   cold cap    concurrent requests that a server can process during a cold start
-  trust       the current cap, from the cold cap up to the server's slots
+  cap         the current limit on concurrent requests, from the cold cap up to the server's slots
   evidence    signs of a cold server: a reset connection, its own report, rejections, or a latency
               far above the baseline
   baseline    the latency of the server while it was not slow, a moving average
@@ -131,7 +131,7 @@
         return self._cold_resets
 
     @property
-    def trust(self) -> WarmUpState:
+    def warm_up_state(self) -> WarmUpState:
         """Return the state to hand over to the next owner."""
         return WarmUpState(
             cap=self._cap, baseline_ms=self._baseline_ms, step_factor=self._step_factor
@@ -199,14 +199,14 @@
         if changed and state is not ReportState.WARM:
             self._reset_to_cold(now)
 
-    def on_takeover(self, now: float, trust: WarmUpState | None = None) -> None:
+    def on_takeover(self, now: float, state: WarmUpState | None = None) -> None:
         """Start as a new owner, with the state handed over by the last one, if any."""
         self._start_step(now)
         self._slow.clear()
-        self._baseline_ms = trust.baseline_ms if trust is not None else None
-        handed_factor = trust.step_factor if trust is not None else 1
+        self._baseline_ms = state.baseline_ms if state is not None else None
+        handed_factor = state.step_factor if state is not None else 1
         self._step_factor = max(1, min(handed_factor, self._options.max_caution))
-        handed = trust.cap if trust is not None else self._cold
+        handed = state.cap if state is not None else self._cold
         self._cap = max(self._cold, min(handed, self._slots))
         self._last_answer = now
 
--- a/libs/forwarding/berylspindle_forwarding/forward_daemon.py
+++ b/libs/forwarding/berylspindle_forwarding/forward_daemon.py
@@ -158,7 +158,7 @@
     async def _answer_ready(self, request: HttpRequest) -> HttpResponse:
         if request.path != self._edges.ready_path:
             return HttpResponse(status=404)
-        refusal: Refusal | None = self._forwarder.unready()
+        refusal: Refusal | None = self._forwarder.readiness_refusal()
         if refusal is None:
             return HttpResponse(status=200)
         return HttpResponse(status=503, body=refusal.kind.value.encode())
--- a/libs/forwarding/berylspindle_forwarding/forwarder.py
+++ b/libs/forwarding/berylspindle_forwarding/forwarder.py
@@ -180,7 +180,7 @@
         """Return the header names and statuses in use."""
         return self._options.dialect
 
-    def unready(self) -> Refusal | None:
+    def readiness_refusal(self) -> Refusal | None:
         """Return the reason why this VM is not ready for callers, or None if it is."""
         if self._shutting_down:
             return Refusal(ErrorKind.SHUTTING_DOWN)
--- a/libs/forwarding/berylspindle_forwarding/request_trace.py
+++ b/libs/forwarding/berylspindle_forwarding/request_trace.py
@@ -58,7 +58,7 @@
         self.overloaded = False
         self.merger = ""
 
-    def sent(self, now: float, handle: ReplicaHandle, reason: str) -> None:
+    def record_sent(self, now: float, handle: ReplicaHandle, reason: str) -> None:
         """Record an attempt that is sent, with the known state of the replica."""
         if reason != "first":
             self.extra_attempts += 1
@@ -81,14 +81,14 @@
         replica = handle.replica
         self.steps.append(Step(now, StepKind.REPLIED, verdict, replica.service, replica.id, status))
 
-    def ended(self, now: float, handle: ReplicaHandle, end: ExchangeFailure) -> None:
+    def record_end(self, now: float, handle: ReplicaHandle, end: ExchangeFailure) -> None:
         """Record the end of an attempt without a reply."""
         replica = handle.replica
         self.steps.append(
             Step(now, StepKind.ENDED, end.kind, replica.service, replica.id, end.detail)
         )
 
-    def lost(self, now: float, service: str, reason: GiveUpReason) -> None:
+    def record_loss(self, now: float, service: str, reason: GiveUpReason) -> None:
         """Record that a service will not answer."""
         self.steps.append(Step(now, StepKind.LOST, reason, service))
 
--- a/libs/forwarding/berylspindle_forwarding/scatter_gather.py
+++ b/libs/forwarding/berylspindle_forwarding/scatter_gather.py
@@ -233,7 +233,7 @@
             attempt_end = AttemptOutcome.NOT_SENT
         self._detail = f"{attempt.handle.replica.id}: {end.kind} {end.detail}"
         if not self._done.done():
-            self.trace.ended(now, attempt.handle, end)
+            self.trace.record_end(now, attempt.handle, end)
         self._hedged[attempt.index].on_failure(now, attempt.record, attempt_end, refused=False)
         self._advance(attempt.index)
 
@@ -295,7 +295,7 @@
                 self._is_lost = True
                 if self._collector is not None:
                     self._collector.add_lost()
-                self.trace.lost(now, hedged.service, step.reason)
+                self.trace.record_loss(now, hedged.service, step.reason)
                 self._detail = self._detail or step.reason
                 self._next_step_at[index] = math.inf
             else:
@@ -307,7 +307,7 @@
         record = self._hedged[index].on_sent(now, step.replica, self._policy)
         attempt = Attempt(self, index, handle, record)
         self._in_flight.add(attempt)
-        self.trace.sent(now, handle, step.reason)
+        self.trace.record_sent(now, handle, step.reason)
         self._policy.record_sent(now, attempt, step.reason)
         connection = handle.pool.submit(lambda: self._build_request(step.replica), attempt)
         if connection is not None:
--- a/tests/forwarding/test_cut_off.py
+++ b/tests/forwarding/test_cut_off.py
@@ -49,10 +49,10 @@
             site.route(merged_route(SHARDS, least=0.9), plain_route("s0"))
             monitor = asyncio.create_task(site.forwarder._isolation_monitor.run())
             site.forwarder.on_listed()
-            assert site.forwarder.unready() is None
+            assert site.forwarder.readiness_refusal() is None
             await asyncio.gather(*(site.ask(f"/lots/{n}", left_ms=700) for n in range(3)))
             await asyncio.sleep(3 * CHECK_INTERVAL_S)
-            refusal = site.forwarder.unready()
+            refusal = site.forwarder.readiness_refusal()
             assert refusal is not None
             assert refusal.kind is ErrorKind.NO_REPLICA
             started_at = asyncio.get_running_loop().time()
@@ -80,6 +80,6 @@
                 site.forwarder._reach.on_attempt(asyncio.get_running_loop().time(), "b")
                 await asyncio.sleep(0.1)
             assert site.forwarder._reach.is_isolated(asyncio.get_running_loop().time())
-            assert site.forwarder.unready() is None
+            assert site.forwarder.readiness_refusal() is None
             assert (await site.ask("/lots/1")).status == 200
             monitor.cancel()
--- a/tests/forwarding/test_watchers.py
+++ b/tests/forwarding/test_watchers.py
@@ -318,17 +318,17 @@
     async with fleet() as (_, forwarders, _):
         watcher_names = find_watchers(forwarders)
         followers = [f for name, f in forwarders.items() if name not in watcher_names]
-        assert all(f.unready() is None for f in forwarders.values())
+        assert all(f.readiness_refusal() is None for f in forwarders.values())
         for watcher in watcher_names:
             forwarders[watcher].mirror.set_cut_off(True)
         await asyncio.sleep(0.4)
-        assert [f.unready() is None for f in followers] == [False] * len(followers)
+        assert [f.readiness_refusal() is None for f in followers] == [False] * len(followers)
         await asyncio.sleep(2.0)
-        assert [f.unready() is None for f in followers] == [False] * len(followers)
+        assert [f.readiness_refusal() is None for f in followers] == [False] * len(followers)
         for watcher in watcher_names:
             forwarders[watcher].mirror.set_cut_off(False)
         await asyncio.sleep(0.4)
-        assert all(f.unready() is None for f in followers)
+        assert all(f.readiness_refusal() is None for f in followers)
 
 
 async def test_vm_is_up_to_date_soon_after_a_complete_cut() -> None:
--- a/tests/platform_adapter/test_platform_store.py
+++ b/tests/platform_adapter/test_platform_store.py
@@ -118,7 +118,7 @@
             await store.compare_and_swap("a", b"1", expect=0)
 
 
-async def test_delayed_write_is_reported_as_unsure_and_then_conflicts():
+async def test_delayed_write_is_reported_as_outcome_unknown_and_then_conflicts():
     async with open_store() as (kv, store):
         kv.unanswered_writes, kv.write_delay_s = 1, 0.05
         with pytest.raises(StoreOutcomeUnknown):
--- a/tests/store/test_http_store.py
+++ b/tests/store/test_http_store.py
@@ -113,7 +113,7 @@
     assert [entry.key for entry in (await store.list("l/")).entries] == ["l/a"]
 
 
-async def test_a_lost_reply_is_unsure_and_the_write_took_effect(
+async def test_a_lost_reply_is_outcome_unknown_and_the_write_took_effect(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     """Guard against a change that is applied twice after a lost reply.
@@ -130,7 +130,7 @@
     assert platform.counts.lost == 1
 
 
-async def test_an_unresponsive_store_makes_writes_unsure_and_reads_away(
+async def test_an_unresponsive_store_makes_writes_outcome_unknown_and_reads_unavailable(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="silent")
@@ -140,7 +140,7 @@
         await store.get("k")
 
 
-async def test_a_refusing_store_is_away_for_reads_and_writes(
+async def test_a_refusing_store_is_unavailable_for_reads_and_writes(
     platform: PlatformStandin, store: HttpStore
 ) -> None:
     set_faults(platform, outage="refuse")
@@ -162,7 +162,7 @@
     assert await store.get("k") is None
 
 
-async def test_a_port_without_a_listener_is_away() -> None:
+async def test_a_port_without_a_listener_is_unavailable() -> None:
     async with await start_platform() as standin:
         port = standin.port
     async with open_store("127.0.0.1", port, OPTIONS) as store:
