--- a/libs/decisions/berylspindle_decisions/admission.py
+++ b/libs/decisions/berylspindle_decisions/admission.py
@@ -13,17 +13,18 @@
 by exactly one `on_done`. A `Refusal` goes to the caller at once: it is final, states that the
 request has not run, and contains the time after which a permit is expected to be free.
 
-Limit: it starts at `max_work` and adapts to what the owners can serve. A request whose sub-requests
-were dropped, or were queued for more than 60 ms and more than three times their service time, cuts
-the limit to 0.9 of the current work, at most once per 100 ms. Other requests raise it by one permit
-a round. At 130% load 25% of the answers are complete without this adaptation, since each shard
-drops different searches, and 75% of a possible 77% with it. A threshold of 40 ms rejects 3.5% at
-95% load and 60 ms rejects 1.1%; 120 ms rejects nothing there, but at 130% load its 99th percentile
-is 133 ms instead of 79 ms.
-
-Shares: below half of the limit they are not enforced, since unused permits serve nobody, and a
-caller that is alone has no share to exceed. Above it, a caller may hold an equal part among the
-active callers, so that a new caller is admitted at once.
+Limit: the limit of permits starts at `max_work` and adapts to what the owners can serve. A request
+whose sub-requests were dropped, or were queued for more than 60 ms and more than three times their
+service time, cuts the limit to 0.9 of the current work, at most once per 100 ms. Other requests
+raise the limit by one permit per round of requests. At 130% load, 75% of the answers are complete
+with this adaptation, of a possible 77%; without it 25% are complete, since each shard drops
+different searches. At 95% load, a threshold of 40 ms rejects 3.5% of requests, 60 ms rejects 1.1%
+and 120 ms none; but at 130% load the 99th percentile of the latency is 133 ms with a threshold of
+120 ms and 79 ms with 60 ms.
+
+Shares: while less than half of the limit is in use, caller shares are not enforced, since unused
+permits serve nobody. Above that, each active caller may hold an equal part of the limit, so that a
+new caller is admitted at once. The only active caller has no share to exceed.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/admission_controller.py
+++ b/libs/decisions/berylspindle_decisions/admission_controller.py
@@ -6,8 +6,8 @@
 
 Terms:
   queueing delay  milliseconds that queues currently add to a sub-request, at its best replica
-  pressure        queueing delay of a request over its latency target; for a search, at the shard
-                  that decides whether the minimum number of parts is reached
+  pressure        queueing delay of a request over its latency target; for a search, the delay is
+                  that of the shard that decides whether the minimum number of parts is reached
   group           requests that compete for the same replicas
 
 Flow: `AdmissionController.admit` is called once for each request, before any sub-request is sent.
--- a/libs/decisions/berylspindle_decisions/budget.py
+++ b/libs/decisions/berylspindle_decisions/budget.py
@@ -12,11 +12,11 @@
 
 Flow: only the entry retries; owners and pools never do. `ExtraBudget.on_first_attempt` counts each
 first attempt. `RetryPolicy.decide` classifies each failed attempt as FREE, BUDGETED, CANARY or
-NEVER. Hedges use a budget of their own, so that a wave of failures can't exhaust the hedges, nor
-hedges the retries.
+NEVER. Hedges use a budget of their own, so that retries in a wave of failures can't exhaust the
+budget of the hedges, nor hedges that of the retries.
 
 Limits: the shares are the service's policy (5% hedges, 10% retries). The reserve of 10 tokens lets
-a service retry that has just started or has few requests. A bucket holds at most 50 tokens, which
+a service that has just started, or has few requests, retry. A bucket holds at most 50 tokens, which
 limits the burst after an idle period. Spent tokens never exceed reserve + share x first attempts.
 """
 
@@ -128,8 +128,9 @@
     }
 )
 
-# SERVER_SHED, OVERLOADED and NO_REPLICA did not run, but free reroutes would spread the overload of
-# one server to its replicas. The others ran or may have run.
+# Attempts that end with SERVER_SHED, OVERLOADED or NO_REPLICA did not run, but free reroutes would
+# spread the overload of one server to its replicas. Those that end with BAD_REPLY or BACKEND_FAILED
+# ran or may have run.
 _BUDGETED_KINDS: Final = frozenset(
     {
         ErrorKind.SERVER_SHED,
--- a/libs/decisions/berylspindle_decisions/coverage.py
+++ b/libs/decisions/berylspindle_decisions/coverage.py
@@ -9,12 +9,14 @@
   lost          a shard that can no longer answer within this request
   pending       a shard that is neither answered nor lost
 
-Flow: `CoverageCount` counts answers and losses; after each of them, and after the wait that was
-returned, the entry calls `decide_answer`, which returns whether to wait, answer or refuse.
-
-Settings: `min_coverage`, `patience_ms` and the deadline belong to the service's policy. LATENCY
-answers as soon as `patience_ms` has passed and enough shards have answered; COVERAGE waits for each
-pending shard until the deadline. Both end at once when waiting can't change the answer.
+Flow: `CoverageCount` counts answers and losses. The entry calls `decide_answer` after each answer,
+after each loss, and when the wait time of the last decision has passed; `decide_answer` returns
+whether to wait, answer or refuse.
+
+Settings: `min_coverage`, `patience_ms` and the deadline belong to the service's policy. With the
+preference LATENCY, the answer is sent as soon as `patience_ms` has passed and enough shards have
+answered. With COVERAGE, the entry waits for each pending shard until the deadline. With either, the
+request ends at once when no shard is pending or the minimum coverage can't be reached any more.
 """
 
 from __future__ import annotations
@@ -65,9 +67,9 @@
     def on_answer(self, shard: str, *, partial: bool = False) -> bool:
         """Count one answer; return False if it must not be merged.
 
-        A second answer of a shard must not be merged, since its hits would be duplicated; neither
-        must an answer of a shard outside the pinned map: the shard map has changed, and the hits
-        belong to another partition.
+        A second answer of a shard must not be merged, since its hits would be duplicated. An answer
+        of a shard outside the pinned map must not be merged either: the shard map has changed, and
+        its hits belong to another partition.
         """
         if shard not in self._shard_set or shard in self._answered:
             return False
--- a/libs/decisions/berylspindle_decisions/deadlines.py
+++ b/libs/decisions/berylspindle_decisions/deadlines.py
@@ -5,7 +5,8 @@
 partial answer.
 
 Terms:
-  left        milliseconds until the sender of a request stops waiting, from the time it sends it
+  left        milliseconds until the sender of a request stops waiting, counted from the time of
+              sending
   way back    time to carry a reply one hop up, including the wakeup of a busy process
 
 Flow: caller -> `for_entry` -> entry -> `for_owner` -> owner -> `for_server` -> backend server.
--- a/libs/decisions/berylspindle_decisions/drain_rate.py
+++ b/libs/decisions/berylspindle_decisions/drain_rate.py
@@ -5,16 +5,18 @@
 
 Terms:
   drain rate   work finished per second, over the latest completions
-  reservation  the time at which a refused request should be retried; each refusal gets its own
+  reservation  the time at which a refused request should be retried; each refused request gets a
+               time of its own
 
 Flow: `DrainRate.on_done` records finished work; `wait_ms` converts the work ahead into a time, and
 `reserve_retry_after_ms` reserves a retry time for each refused request.
 
-Thresholds: the rate covers the last 32 completions, as queues hold some dozens of requests and an
-older rate doesn't apply to a server that has just become slow. The time since the last completion
-counts too, so that the rate of a stalled server falls. Reservations reach 5 s ahead at most, since
-some callers don't retry. If all refusals contain the time of the next free place, a caller sends 37
-times until it is admitted; with reservations it sends twice, at the same throughput and wait.
+Thresholds: the rate covers the last 32 completions. Queues hold some dozens of requests, and older
+completions don't show the rate of a server that has just become slow. The time since the last
+completion counts too, so that the rate of a stalled server falls. Reservations reach 5 s ahead at
+most, since some callers don't retry. If all refusals contain the time of the next free place, a
+caller sends 37 times until it is admitted; with reservations it sends twice, at the same throughput
+and wait.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/ejection.py
+++ b/libs/decisions/berylspindle_decisions/ejection.py
@@ -5,19 +5,20 @@
 after the other, and overload the last ones.
 
 Terms:
-  group       the replicas of one shard, of which one is never ejected
+  group       the replicas of one shard; the last active one is never ejected
   outlier     a server whose smoothed latency is far above the median of the others in its group
   probation   the state after an ejection: the server gets single trials until enough succeed
 
-Flow: outcomes of attempts go to `on_success`, `on_cancelled` and `on_failure`. The latency of a
-success is the one seen by the owner, since that seen by the entry VM includes the network and the
-queue. The choice of a replica reads `status` and `may_use`.
+Flow: outcomes of attempts go to `on_success`, `on_cancelled` and `on_failure`. A success is
+recorded with the latency that the owner observed, since the latency that the entry VM observes
+includes the network and the queue. The choice of a replica reads `status` and `may_use`.
 
-Thresholds: a server is ejected after 5 consecutive failures, or if its smoothed latency is over 4
-times the others' median and 10 ms above it after 20 responses. The first ejection lasts 2 s, each
-further one twice as long, up to 60 s. At most a third of a service is ejected at once, and one
-replica of each shard always stays. A trial starts every 200 ms; 5 successes end the probation, one
-failure ejects the server again.
+Thresholds: a server is ejected after 5 consecutive failures. After 20 responses it is also ejected
+if its smoothed latency is over 4 times the median of the others and over 10 ms above that median.
+The first ejection lasts 2 s, and each further one twice as long as the previous one, up to 60 s. At
+most a third of a service is ejected at once, and one replica of each shard always stays active. In
+probation, a trial starts every 200 ms; 5 successes end the probation, and one failure ejects the
+server again.
 """
 
 from __future__ import annotations
@@ -134,7 +135,7 @@
         return status is EjectionStatus.ACTIVE
 
     def on_use(self, now: float, server: str) -> None:
-        """Record that a server gets a sub-request; in probation it is the trial for `trial_s`."""
+        """Record a sub-request to a server; in probation, the next may follow after `trial_s`."""
         record = self._records.get(server)
         if record is not None and record.status is EjectionStatus.PROBATION:
             record.next_trial_at = now + self._options.trial_s
@@ -161,7 +162,7 @@
         record = self._records.get(server)
         if record is None:
             return
-        # An early cancellation is no evidence; the caller may have disconnected.
+        # Within the usual latency a cancellation is no evidence; the caller may have disconnected.
         reference_ms = record.latency_ms
         if reference_ms is None:
             reference_ms = self._others_median_ms(server, record)
--- a/libs/decisions/berylspindle_decisions/fair_queue.py
+++ b/libs/decisions/berylspindle_decisions/fair_queue.py
@@ -1,13 +1,14 @@
 """Bounded request queue of one backend server, fair between callers.
 
-Load: a few callers that send most of it, long requests among short ones, and queues that outlast
-deadlines. In a FIFO queue one caller's hundred requests are ahead of another's single one, long
-requests occupy all slots while short ones wait, and the server processes requests whose callers no
-longer wait.
+Load: a few callers send most of the requests, long requests are mixed with short ones, and requests
+are queued beyond their deadlines. In a FIFO queue one caller's hundred requests are ahead of
+another's single one, long requests occupy all slots while short ones wait, and the server processes
+requests whose callers no longer wait.
 
 Terms:
   cost         expected work of an entry; an ordinary search costs 1
-  served cost  cost of a caller's entries served so far; the caller with the lowest is served next
+  served cost  cost of a caller's entries served so far; the caller with the lowest served cost is
+               served next
   long         an entry whose cost is at least `long_cost`
   victim       a queued entry that is evicted for another, answered with CALLER_OVER_SHARE
 
--- a/libs/decisions/berylspindle_decisions/follower_count.py
+++ b/libs/decisions/berylspindle_decisions/follower_count.py
@@ -1,7 +1,8 @@
 """Count the VMs that follow this one without an entry of their own in the store.
 
-If 940 VMs each kept a lease and an entry, these would cause most of the calls to the store, all at
-once after a power failure. Instead the few VMs with followers write their number to the store.
+If 940 VMs each kept a lease and an entry, the leases and entries would cause most of the calls to
+the store, and after a power failure all of these calls would come at once. Instead, followers have
+no entry, and each of the few VMs that they follow writes the number of its followers to its entry.
 
 Terms:
   follower  a VM that reads this one's mirror and has no entry of its own
@@ -10,9 +11,9 @@
 returns whether the entry has to be written again.
 
 Thresholds: a follower reads once a second, and expires after `FOLLOWER_TIMEOUT_S`. Cluster-wide
-limits are divided by the count, so it rises at once but falls only after `DECREASE_DELAY_S`: a
-follower that restarts, or reads another mirror for a moment, still sends traffic. `restore` sets
-the count of the previous process of this VM.
+limits are divided by the count. The count therefore rises at once but falls only after
+`DECREASE_DELAY_S`, since a follower that restarts, or reads another mirror for a moment, still
+sends traffic. `restore` sets the count of the previous process of this VM.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
         self._set_floor(now, count, capacity)
 
     def count(self, now: float) -> int:
-        """Return the number of followers, or the highest one within `DECREASE_DELAY_S`."""
+        """Return the number of followers; a decrease takes effect after `DECREASE_DELAY_S`."""
         expired = [
             name for name, (at, _) in self._followers.items() if at < now - FOLLOWER_TIMEOUT_S
         ]
--- a/libs/decisions/berylspindle_decisions/guarding.py
+++ b/libs/decisions/berylspindle_decisions/guarding.py
@@ -7,17 +7,20 @@
   silence      time since the last answer of a ward to this VM or to a helper
   unconfirmed  a ward to which no confirmations are sent, since its removal was proposed
 
-Flow: `due` returns the probes to send with their confirmations, `unresponsive` the wards to suspect
-and `removals` those to remove; answers are recorded by `on_ack` and `on_alive`, the results of
-indirect probes by `on_alive` and `on_indirect_timeout`.
+Flow: `due` returns the probes to send with their confirmations, `unresponsive` the wards to
+suspect, and `removals` the wards to remove. `on_ack` and `on_alive` record answers, `on_alive` and
+`on_indirect_timeout` the results of indirect probes.
 
 VMs crash, hang or pause, and links fail in one direction or lose a fifth of their packets. At a
-packet loss of 20%, a probe and its answer both arrive in 64% of cases. A guardian probes twice a
-second once an answer is missing and asks three helpers, so a silence of 2.2 s occurs by chance less
-than once in a hundred rounds, and one of 3.2 s with helpers less than once in a hundred thousand. A
-suspicion only stops traffic; a removal moves ownership. Without helpers, a link that fails in one
-direction would lead to the removal of a live VM; without `reset_silences`, a guardian that resumes
-after a pause would propose the removal of all of its wards.
+packet loss of 20%, a probe and its answer both arrive in 64% of cases. Once an answer is missing, a
+guardian probes twice a second and asks three helpers. A silence of 2.2 s therefore occurs by chance
+less than once in a hundred rounds, and a silence of 3.2 s with helpers less than once in a hundred
+thousand rounds. The shorter silence is enough for a suspicion, which only stops traffic; a removal
+needs the longer one, as it moves ownership.
+
+Guards: without helpers, a link that fails in one direction would lead to the removal of a live VM.
+Without `reset_silences`, a guardian that resumes after a pause would propose the removal of all of
+its wards.
 """
 
 from __future__ import annotations
@@ -47,11 +50,12 @@
         remove: silence after which its removal is proposed.
         propose_again: time between two proposals.
         stall: gap between two ticks that shows that this VM itself did not run.
-        unhelped: silence after which no helper's result is needed: all other VMs of the data centre
-            may have failed, and an isolated VM can't write a removal to the store.
-        orphan: silence after which an orphan may be removed: a ward that is missing from the VM
-            list, and whose acknowledged epoch is too old for a removal by the usual rule; see
-            `_may_remove`.
+        unhelped: silence after which a ward is suspected without a helper's result, since all other
+            VMs of the data centre may have failed. If instead this VM is isolated, no live ward is
+            removed, since an isolated VM can't write a removal to the store.
+        orphan: silence after which an orphan may be removed. An orphan is a ward that is missing
+            from the VM list, and whose acknowledged epoch is too old for a removal by the usual
+            rule; see `_may_remove`.
         helpers: maximum number of helpers of the own data centre that are asked at a time; in total
             one more is asked, from other data centres.
         guardians: number of guardians of each member.
@@ -245,10 +249,10 @@
     def _may_remove(self, ward: _Ward, unlisted: bool, now: float) -> bool:
         """Return whether a ward's lease is certain to end without confirmations of this VM.
 
-        The ward's view may have any epoch since the last one it reported. If this VM was not a
-        guardian in one of them, the guardians of that epoch may be isolated together with the ward
-        and keep renewing its lease, and two VMs would dispatch. If all of those guardians are gone,
-        the VM list and a silence of `orphan` seconds decide.
+        The ward's view may have any epoch since the last one that the ward reported. If this VM was
+        not a guardian in one of these epochs, the guardians of that epoch may be isolated together
+        with the ward and keep renewing its lease: after a removal, two VMs would dispatch. If all
+        of those guardians are gone, the VM list and a silence of `orphan` seconds decide.
         """
         if ward.acked_epoch >= ward.guarded_since_epoch:
             return True
--- a/libs/decisions/berylspindle_decisions/hedged_request.py
+++ b/libs/decisions/berylspindle_decisions/hedged_request.py
@@ -37,8 +37,8 @@
 class AttemptOutcome(enum.Enum):
     """Outcome of an attempt that has ended.
 
-    NOT_SENT: no byte left this VM; while all attempts end so, the next one is still the first and
-    needs no retry budget. NOT_RUN: the replica refused the request.
+    NOT_SENT: no byte left this VM. While all attempts have ended this way, the next one still
+    counts as the first attempt and needs no retry budget. NOT_RUN: the replica refused the request.
     """
 
     NOT_SENT = "not_sent"
--- a/libs/decisions/berylspindle_decisions/hedging.py
+++ b/libs/decisions/berylspindle_decisions/hedging.py
@@ -12,16 +12,18 @@
 Flow: `HedgePolicy.observe` records answered first attempts, `observe_cancelled` cancelled ones. The
 entry sets a timer of `delay_ms` for each first attempt and calls `decide` when it fires.
 
-Delay: the quantile of recent first attempts that uses 0.6 of the budget, capped at 4 times the
-median, because with many stragglers the quantile lies among them and the hedge starts too late.
-When few tokens are left the delay doubles, so that the remaining ones go to the slowest attempts.
-The delay is computed once per window and not per request, since a percentile of hdrhistogram takes
-0.2 ms; a window of 500 observations or 10 s follows a shift within seconds.
-
-Saturation stops all hedges on either of two signs: more than 4 times the expected share of the last
-300 attempts exceeds the current delay (with 100, a cluster of stragglers is mistaken for
-saturation), or more than 0.4 of the latency is queueing delay at owners. In the latter case, at
-130% load, hedges would reduce the share of complete answers from 75% by 8 percentage points.
+Delay: the latency quantile of recent first attempts at which hedges use 0.6 of the budget. It is
+capped at 4 times the median: with many stragglers the quantile is a straggler's latency, and the
+hedge would start too late. As the last tokens are spent the delay grows up to double, so that the
+remaining tokens go to the slowest attempts. The delay is computed once per window and not per
+request, since a percentile of hdrhistogram takes 0.2 ms; with a window of 500 observations or 10 s,
+the delay follows a shift of the latency within seconds.
+
+Saturation stops all hedges. There are two signs of it, and either is enough:
+  * The share of the last 300 attempts that exceeded the current delay is more than 4 times the
+    expected one. Over 100 attempts, a cluster of stragglers would be mistaken for saturation.
+  * More than 0.4 of the latency is queueing delay at owners. At 130% load, hedges would then reduce
+    the share of complete answers from 75% by 8 percentage points.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/latency_profile.py
+++ b/libs/decisions/berylspindle_decisions/latency_profile.py
@@ -8,12 +8,12 @@
   band   a range of latencies that count as one; each is `BAND_RATIO` times as wide as the last
 
 Flow: `LatencyProfile.add` records each latency; `quantile` is computed from counts per band. Counts
-are halved when their sum reaches `MAX_SAMPLES`, so that a shift of the latency shows after about as
-many new ones.
+are halved when their sum reaches `MAX_SAMPLES`, so that the quantiles follow a shift of the latency
+after about `MAX_SAMPLES` new latencies.
 
-Limits: bands of 7% are finer than any gain from a better delay. `MAX_SAMPLES` of 512 is some
-seconds of one VM's sub-requests and includes five of the slowest hundredth. `MIN_SAMPLES` is the
-least for a quantile that a single straggler does not determine.
+Limits: bands of 7% are fine enough, since a more exact hedge delay brings no gain. 512 latencies,
+`MAX_SAMPLES`, are some seconds of one VM's sub-requests, and about five of them are among the
+slowest hundredth. With fewer than `MIN_SAMPLES`, a single straggler could determine a quantile.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/load_estimate.py
+++ b/libs/decisions/berylspindle_decisions/load_estimate.py
@@ -1,8 +1,8 @@
 """Estimate the load of other VMs at one replica from the replica's load reports.
 
-Load: many VMs send to the same replicas, each knows only its own attempts, and a replica reports
-its load with each answer. The last report alone doesn't include what the VM has sent since; if
-reports expire early, a replica looks idle to a VM that seldom uses it.
+Load: many VMs send to the same replicas. Each VM knows only its own attempts, and a replica reports
+its load with each answer. The last report alone doesn't include requests that were sent after it;
+if reports expire early, a replica looks idle to a VM that seldom uses it.
 
 Terms:
   others   requests at the replica that are not this VM's own
--- a/libs/decisions/berylspindle_decisions/loss_reports.py
+++ b/libs/decisions/berylspindle_decisions/loss_reports.py
@@ -1,8 +1,9 @@
 """Share among VMs which replicas have lost responses recently.
 
 A replica may execute requests and lose their responses for some seconds. A request that must not be
-repeated fails if its response is lost. If each of 195 VMs sends a replica one such request in
-twenty seconds, without reports each VM would have to lose one of its own to detect the failure.
+repeated fails if its response is lost. Suppose that each of 195 VMs sends a replica one such
+request in twenty seconds: without reports, each VM would detect the failure only by losing a
+request of its own.
 
 Terms:
   loss    an attempt whose connection closed, or whose response was malformed, after it was sent
--- a/libs/decisions/berylspindle_decisions/merge.py
+++ b/libs/decisions/berylspindle_decisions/merge.py
@@ -12,9 +12,9 @@
 page. All hits must be computed on one snapshot, which the caller ensures with `snapshot_choice`.
 
 Limits: each shard returns one hit more than the end of the page, which shows whether there is a
-next page. A hit of the page is in the top of its own shard, so no shard has to return more. One
-sort over the joined lists is used and not a heap of lists: the lists are sorted, the sort detects
-these runs, and it does not rely on their order.
+next page. A hit of the page is in the top of its own shard, so no shard has to return more. The
+joined lists are sorted at once, in place of a merge by a heap: the sort detects that the lists are
+sorted already, and unlike a heap it gives the right order even if one of them is not.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/ownership.py
+++ b/libs/decisions/berylspindle_decisions/ownership.py
@@ -14,15 +14,17 @@
 after it was replaced. Without leases, a server in a cold start would get its cold limit from two
 VMs at once and be overloaded. Two VMs never hold the right to one server, because:
   * A guardian stops confirming before it proposes a removal, and every guardian must confirm, so a
-    removed member's lease ends within `lease` of the change of the view. So does a lease that was
-    confirmed by the store, since it counts from the send time of a read that still found the old
-    epoch. A VM that adopts a view after an unsettled removal waits for `settle`, which exceeds
-    `lease` by the drift of two clocks.
+    removed member's lease ends within `lease` of the change of the view. A lease that was confirmed
+    by the store ends within that time as well, since it counts from the send time of a read that
+    still found the old epoch. A VM that adopts a view after an unsettled removal waits for
+    `settle`, which exceeds `lease` by the drift of two clocks.
   * A member that joined takes servers from live members. It waits until each earlier member has
-    acknowledged the new epoch, and for the settle time that this member reports; a member that
-    never acknowledges is removed by its guardians, and the rule above applies.
-  * Other members gain servers through removals alone, since rendezvous hashing moves no others.
-Limitation: a pause between the check and the write lets the requests of one step through.
+    acknowledged the new epoch, and for the settle time that the acknowledgement reports. An earlier
+    member that never acknowledges is removed by its guardians, and the rule above applies.
+  * Members that have not just joined gain servers through removals alone, since rendezvous hashing
+    moves no other servers to them.
+Limitation: if the VM pauses between the check and the write, the requests of that step are sent
+even if the right has ended meanwhile.
 """
 
 from __future__ import annotations
@@ -171,11 +173,12 @@
         self._degraded_until = _NEVER
 
     def on_store_failure(self, sent_at: float, now: float) -> None:
-        """Record a failed read; one sent after the end of the lease shows that this VM is isolated.
+        """Record a failed read of the store, which shows isolation if sent after the lease ended.
 
-        A VM that resumes after a pause has an expired lease too, and most likely was replaced
-        during the pause. So the degraded right requires a failure after the end of the lease, and
-        ends soon after the last failure: a VM that was paused while isolated has to read again.
+        An expired lease alone doesn't show isolation: a VM that resumes after a pause has one too,
+        and most likely was replaced during the pause. The degraded right therefore requires a read
+        that was sent after the end of the lease and failed. The right ends soon after the last
+        failure, so that a VM that was paused while isolated has to read again.
         """
         if sent_at > self.lease_until:
             self._degraded_until = now + self._limits.degraded
--- a/libs/decisions/berylspindle_decisions/plans.py
+++ b/libs/decisions/berylspindle_decisions/plans.py
@@ -6,14 +6,14 @@
   violation  a shard that would have no replica, or a service whose remaining slots would be fewer
              than those taken away or in use
 
-Flow: `make_plan` is pure, so the VM that confirms a plan computes it again from the configuration
-in the store and accepts only an equal one. A plan that is based on an older revision is refused
-even if it is equal on the newer one: the operator confirmed what the plan showed, and of two
-operators the second must see the change by the first. Making a new plan takes seconds.
-
-The check of the base revision guards against two operators who each take out one of two data
-centres at the same time, each with a plan that is safe by itself: both would be accepted, and no
-capacity would be left.
+Flow: `make_plan` is pure. The VM that confirms a plan computes the plan again from the
+configuration in the store, and accepts it only if both are equal.
+
+Guard: a plan that is based on an older revision is refused, even if the plan computed from the
+newer revision is equal. The operator confirmed what the plan showed, and of two operators the
+second must see the change by the first; making a new plan takes seconds. Without this check, two
+operators could each take out one of two data centres at the same time: each plan is safe by itself,
+both would be accepted, and no capacity would be left.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/propagation.py
+++ b/libs/decisions/berylspindle_decisions/propagation.py
@@ -4,9 +4,9 @@
   digest   sum and hash of the known state; see `control_messages`
   history  the latest deltas, so that a VM that lags a little doesn't need the full state
 
-Flow: a change from the store or from a peer goes to the `offer` methods; what was adopted is passed
-on at once to a few random VMs. Every probe carries the digest, so a lost change is repaired within
-a round of probes.
+Flow: a change from the store or from a peer goes to the `offer` methods. An adopted change is
+passed on at once to a few random VMs. Every probe carries the digest, so a VM that missed a change
+gets it within a round of probes.
 
 Only a higher revision or epoch is adopted. Otherwise an old watch event, a lagging read, or an
 outdated peer of a new VM could bring back a data centre that operators took out. The rule needs no
--- a/libs/decisions/berylspindle_decisions/quarantine.py
+++ b/libs/decisions/berylspindle_decisions/quarantine.py
@@ -14,20 +14,22 @@
   alert         the time after any strike in which first-seen fingerprints run as canaries too
 
 Flow: `decide` is called before a scatter-gather; `on_connection_lost`, `on_success` and
-`on_inconclusive` after attempts; `export` and `merge` exchange records between VMs, with remaining
-times, since clocks differ.
-
-Thresholds: a scatter-gather gets strikes on all shards at once, and so do all other requests in
-flight on these servers. Attempts dispatched before the first strike therefore only make a suspect;
-one dispatched after it, by any VM, counts as a later event. A later event weighs 1 over the number
-of attempts lost together, and a total weight of 0.5 leads to quarantine: one event if the request
-was alone on the server or with one other, two if with two or three. Counting all strikes within a
-time window as one event instead misses a caller that retries within the window, and one request
-then crashes 21 servers. The first quarantine lasts 60 s, each further one twice as long, up to an
-hour. A success clears a suspect, since a request that crashes each server that runs it never
-succeeds. First-seen fingerprints run as canaries only in an alert of 30 s: always doing so would
-add a round trip to most searches, and never doing so would let the next bad request crash a replica
-of each shard again.
+`on_inconclusive` are called after attempts. `export` and `merge` exchange records between VMs; the
+records contain ages and remaining times, since clocks differ.
+
+Events: a scatter-gather gets strikes on all shards at once, and so do all other requests in flight
+on these servers. A lost attempt that was dispatched before the first strike therefore only makes
+its fingerprint a suspect. A lost attempt that any VM dispatched to another server after the first
+strike counts as a later event. Counting all strikes within a time window as one event instead would
+miss a caller that retries within the window, and one request would then crash 21 servers.
+
+Thresholds: a later event weighs 1 over the number of attempts that were lost together, and a total
+weight of 0.5 leads to quarantine. One later event is enough if the request was alone on the server
+or with one other request; two are needed if it was with two or three others. The first quarantine
+lasts 60 s, and each further one twice as long, up to an hour. A success clears a suspect, since a
+request that crashes each server that runs it never succeeds. First-seen fingerprints run as
+canaries only during an alert of 30 s. If they always did, most searches would take another round
+trip; if they never did, the next bad request would crash a replica of each shard again.
 """
 
 from __future__ import annotations
@@ -304,8 +306,8 @@
         struck, dispatched = now - received.struck_ms / 1000, now - received.dispatched_ms / 1000
         if not had_strike:
             # This record has no strike, only an owner's refusal, so the peer's strike is the first
-            # one. Counted as a second one, it would quarantine each request that was on a server
-            # when it crashed once.
+            # one. If it counted as a later event, each request that was on a server during a single
+            # crash would be quarantined.
             record.struck, record.dispatched = struck, dispatched
         elif (
             changed
--- a/libs/decisions/berylspindle_decisions/reachability.py
+++ b/libs/decisions/berylspindle_decisions/reachability.py
@@ -7,11 +7,11 @@
 
 Terms:
   contact      a reply or a new connection of a replica or VM of a data centre
-  unreachable  attempts have gone unanswered for some time, without a contact since
-  unanswered   VMs of a data centre were probed, without an answer or another contact since
-  overdue      an attempt at another data centre is late, without a contact from any since
-  isolated     two other data centres, or the only one, are unreachable or unanswered, without a
-               contact from any
+  unreachable  a data centre that left attempts unanswered for some time, without a contact since
+  unanswered   a data centre whose VMs were probed, without an answer or another contact since
+  overdue      a late attempt at another data centre, without a contact from any of them since
+  isolated     this data centre, while two others (or the only other one) are unreachable or
+               unanswered and there is no recent contact from any other
 
 Flow: `on_attempt`, `on_probe` and `on_contact` record each attempt, probe and contact;
 `is_unreachable` and `is_isolated` are read before each choice of replica and by the readiness
@@ -19,19 +19,19 @@
 VMs answer probes within milliseconds whatever the load of their replicas, so unanswered probes
 count after `ISOLATED_AFTER_S` in place of `UNREACHABLE_AFTER_S`. If a VM of the same data centre
 reports isolation (`on_isolation_report`), this VM counts as isolated until its next contact, and
-probes the other data centres while `should_probe`.
-
-Guards: a report ends at the next contact of this VM, when it expires, or when the VM that sent it
-clears it (`clear_isolation_report`). The mirrors of other VMs don't end it: some VMs of an isolated
-data centre haven't detected the isolation yet, and if their mirrors ended a report, VMs would
-alternate between ready and unready each second; the load balancer, which needs all of them unready,
-would never divert callers. A VM without any contact since its start ignores unanswered probes:
-after a power failure its peers have not started either.
-
-Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause; a data centre whose
-replicas are all ten times as slow still answers within it. `MIN_ATTEMPTS` of 3 tolerates a single
-lost packet or one crashed replica. A false detection ends at the next contact, before a load
-balancer that checks every second has seen the two failed checks on which it acts.
+probes the other data centres while `should_probe` returns True.
+
+Guards: a report ends at the next contact of this VM, when the report expires, or when the VM that
+sent it clears it (`clear_isolation_report`). The mirrors of other VMs don't end a report, because
+some VMs of an isolated data centre haven't detected the isolation yet. If their mirrors ended the
+report, VMs would alternate between ready and unready each second, and the load balancer, which
+diverts callers only when all VMs are unready, would never do so. A VM without any contact since its
+start ignores unanswered probes: after a power failure its peers have not started either.
+
+Thresholds: `UNREACHABLE_AFTER_S` is over twice the length of a replica's pause, and a data centre
+whose replicas are all ten times as slow as usual still answers within that time. `MIN_ATTEMPTS` of
+3 tolerates a single lost packet or one crashed replica. A load balancer checks every second and
+acts on two failed checks; a false detection ends at the next contact, before the second check.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/relay_choice.py
+++ b/libs/decisions/berylspindle_decisions/relay_choice.py
@@ -19,12 +19,12 @@
 requests in progress over capacity, plus `MISSING_COST` times the missing share. This VM itself is
 one of the candidates.
 
-Thresholds: the extra hop costs about a millisecond on both VMs, so a merger needs
-`MIN_CAPACITY_RATIO` times the capacity. One of equal capacity is enough if its missing share is
+Thresholds: the extra hop costs about a millisecond on both VMs, so a merger needs at least
+`MIN_CAPACITY_RATIO` times this VM's capacity. Equal capacity is enough if its missing share is
 lower by `MIN_LOCALITY_GAIN`, as one merged response then replaces many partial results between data
 centres. A merger that failed is avoided for `FAILURE_BACKOFF_S`, the time that a process takes to
-start and load; one that refused, or was late by the route's whole latency target, for
-`REFUSAL_BACKOFF_S`.
+start and load. A merger that refused, or was late by the route's whole latency target, is avoided
+for `REFUSAL_BACKOFF_S`.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/replica_choice.py
+++ b/libs/decisions/berylspindle_decisions/replica_choice.py
@@ -13,13 +13,13 @@
 the owners chosen so far. The first replica of the returned order gets the sub-request, the others
 are for hedged requests and retries.
 
-Thresholds: of two replicas drawn at random the better score wins, so that entry VMs with the same
-stale state spread over at least two replicas. The round trip to another data centre costs 1 ms, so
-even a short queue in the own data centre outweighs locality. Grouping is worth 2 ms: a search over
-ten shards needs 4.8 messages instead of 5.6, without an effect on the 99th percentile latency; a
-value of 4 ms raises that latency at 70% load. Retired servers and data centres that are out get
-nothing even if no other replica is left: the guarantee that they get no new work outweighs one
-shard.
+Thresholds: of two replicas drawn at random, the one with the better score is chosen, so that entry
+VMs with the same stale state spread over at least two replicas. The round trip to another data
+centre costs 1 ms, so even a short queue at a local replica makes a remote one better. Grouping is
+worth 2 ms: a search over ten shards then needs 4.8 messages instead of 5.6, without an effect on
+the 99th percentile latency; with 4 ms, that latency rises at 70% load. Retired servers, and servers
+of data centres that are out, get nothing even if a shard has no other replica left: the guarantee
+that they get no new work outweighs the loss of one shard.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/replica_health.py
+++ b/libs/decisions/berylspindle_decisions/replica_health.py
@@ -12,17 +12,19 @@
   spike            a response that took over `SPIKE_RATIO` times the slowdown, as during a pause
   shed rate        share of the latest attempts that the replica refused or failed
   cost             expected duration of an attempt, in usual latencies; the lowest is chosen
-  queueing factor  expected duration of an attempt over that at a replica without a queue, by the
-                   load when it is sent; only latency beyond it raises the slowdown
+  queueing factor  expected duration of an attempt over its duration at a replica without a queue,
+                   computed from the load at the time of sending; only latency beyond this factor
+                   raises the slowdown
 
 Flow: `on_sent`, `on_answer`, `on_refusal`, `on_failure` and `on_abandoned` record each attempt;
 `cost` is read for each choice of a replica. The load by other VMs comes from the replica's own
 reports (`load_estimate`).
 
-Guards: one pause makes two or three responses late, so only the first spike of a replica that was
-fast before counts, and it is clipped. Each success resets the duration of the back-off, so a
-replica that refuses half of its requests would still get a third of the work without the shed rate.
-The slowdown decays over `SLOWDOWN_DECAY_S`, since a replica without traffic gives no new evidence.
+Guards: one pause makes two or three responses late, so of a replica that was fast before, only the
+first spike counts, and it is clipped. The shed rate is needed because each success resets the
+duration of the back-off: without it, a replica that refuses half of its requests would still get a
+third of the work. The slowdown decays over `SLOWDOWN_DECAY_S`, since a replica without traffic
+gives no new evidence.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/response_timing.py
+++ b/libs/decisions/berylspindle_decisions/response_timing.py
@@ -19,11 +19,11 @@
 the target only adds load, so the delay is shortened where it would leave less than
 `MIN_HEDGE_TIME_MEDIANS` usual latencies before the target.
 
-Margin: `RESPONSE_MARGIN_MS` covers the network between caller and VM, 3 ms in each direction, 1 to
-2 ms until the request is read, and 1 to 2 ms until an answer that is due is sent, more where
-several are due at once. With a margin of 9 ms, one in sixty of the partial answers sent at the
-target reaches the caller a millisecond late. `NEW_CONNECTION_MARGIN_MS` is added for the first
-request of a connection, which takes one more round trip.
+Margin: `RESPONSE_MARGIN_MS` covers 3 ms of network between caller and VM in each direction, 1 to 2
+ms until the request is read, and 1 to 2 ms until an answer that is due is sent. The last part takes
+longer if several answers are due at once. With a margin of 9 ms, one in sixty of the partial
+answers sent at the target reaches the caller a millisecond late. `NEW_CONNECTION_MARGIN_MS` is
+added for the first request of a connection, which takes one more round trip.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/rollout_plan.py
+++ b/libs/decisions/berylspindle_decisions/rollout_plan.py
@@ -1,16 +1,17 @@
 """Decide the stages of a rollout: trial, shift to the new version, completion or rollback.
 
-A rollout has a deadline. Of all requests to the service from the order to the deadline, a bad
-version may get only a share, the exposure, plus a fixed number of requests, the slack. If the shift
-is too late, a sound version misses the deadline; if it is too early, a bad version serves all
-callers.
+A rollout has a deadline. Between the order and the deadline, a bad version may get only a limited
+number of requests: a share of all requests to the service (the exposure) plus a fixed number (the
+slack). If the shift is too late, a sound version misses the deadline; if it is too early, a bad
+version serves all callers.
 
 Terms:
   order     the operator's request that starts the rollout
   term      seconds from the order to the deadline
-  trial     a small share of the requests goes to one replica of the new version, which gets a
-            replica's usual load that way
-  shift     all new requests go to the new version, and the old one finishes its requests
+  trial     the stage in which a small share of the requests goes to one replica of the new version;
+            this gives that replica the usual load of a replica
+  shift     the stage in which all new requests go to the new version, and the old version finishes
+            the requests that it has
   final     a stage that ends the rollout: completed, where the old replicas stop at once, or rolled
             back, where the new ones drain
 
@@ -114,9 +115,9 @@
     order. `dither` in [0, 1) is drawn once by each VM, so that fractions of a request add up over
     the VMs.
 
-    Guard: `trial_share` is based on the usual rate, and in a burst would exceed the slack many
-    times. This limit keeps each VM within the exposure of its own requests and its part of the
-    slack.
+    Guard: `trial_share` is based on the usual request rate, so in a burst that share of the
+    requests would exceed the slack many times. This limit keeps each VM within the exposure of its
+    own requests and its part of the slack.
     """
     allowed = bounds.share * requests
     if total_requests and elapsed >= SLACK_DELAY_S:
--- a/libs/decisions/berylspindle_decisions/shared_retry_budget.py
+++ b/libs/decisions/berylspindle_decisions/shared_retry_budget.py
@@ -16,9 +16,9 @@
 
 Limits: counts are kept in steps. The oldest step counts in full for extras and not at all for
 requests, so that no window exceeds the limit. `SAFETY_FACTOR` leaves a part for VMs that the others
-do not know yet. The slack of a VM that has just started grows over one window, since its
-previous process may have used it. Hedges may use `HEDGE_SHARE_MAX` of the budget, which leaves the
-rest for retries.
+do not know yet. The slack of a VM that has just started grows over one window, since the previous
+process of this VM may have used the slack already. Hedges may use `HEDGE_SHARE_MAX` of the budget,
+which leaves the rest for retries.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/snapshot_choice.py
+++ b/libs/decisions/berylspindle_decisions/snapshot_choice.py
@@ -1,8 +1,9 @@
 """Choose the one snapshot that all shards of a request are computed on.
 
 Load: index versions that change under running queries, shard by shard and replica by replica.
-Without a pinned snapshot, an answer mixes data from before and after a change. With the newest
-version that any one server reported, most other shards refuse and each search is sent twice.
+Without a pinned snapshot, an answer mixes data from before and after a change. If the newest
+version that any one server reported were pinned, most other shards would refuse it, and each search
+would be sent twice.
 
 Terms:
   snapshot   epoch of the partitioning and version of the index
@@ -10,13 +11,15 @@
   common     held by at least one known replica of every shard
   re-ask     a repetition of shards' sub-requests on another snapshot within the same request
 
-Flow: `SnapshotTracker.observe` records the versions in every reply, `on_gone` refusals; `choose`
-pins the newest common snapshot. When replies disagree or shards refuse, `reask` returns one target
-and all the shards to ask again on it. Replies on any other snapshot are discarded, never merged.
+Flow: `SnapshotTracker.observe` records the versions in every reply, and `on_gone` records refusals;
+`choose` pins the newest common snapshot. When replies disagree or shards refuse, `reask` returns
+one target snapshot and all the shards to ask again on it. Replies on any other snapshot are
+discarded, never merged.
 
-Limits: a re-ask needs the expected time of one fan-out, and there are two at most. The first
-prefers the target with the fewest shards to ask again (a second replica often still holds the first
-choice), the last takes the newest, which will be held the longest.
+Limits: a request has two re-asks at most, and each requires that the expected time of one fan-out
+is left. The first re-ask prefers the target with the fewest shards to ask again, since a second
+replica of a shard often still holds the snapshot chosen first. The last re-ask takes the newest
+common snapshot, which will be held the longest.
 """
 
 from __future__ import annotations
@@ -80,8 +83,8 @@
     ) -> None:
         """Record all snapshots that a replica reports.
 
-        `epoch` is that of the map of the sub-request. A reply for an older map is ignored, since
-        the shard's name may denote another part of the index by now.
+        `epoch` is the epoch of the shard map that the sub-request was based on. A reply for an
+        older map is ignored, since the shard's name may denote another part of the index by now.
         """
         if epoch is not None and epoch != self._epoch:
             return
--- a/libs/decisions/berylspindle_decisions/version_analysis.py
+++ b/libs/decisions/berylspindle_decisions/version_analysis.py
@@ -8,15 +8,16 @@
 Terms:
   control   responses of the old version over the same time, from the better half of its replicas
   bad       a response that failed, or took over `SLOW_RATIO` times the control's median latency
-  evidence  likelihood ratio of a version that is worse than the control to one that is not
+  evidence  likelihood of the counts if the version is worse than the control, over their likelihood
+            if it is not
 
 Flow: VMs count responses by route (`AnswerCounts`); `analyse` evaluates each route and the total,
 and may be called at any time. The evidence is a mixture over effect sizes, so that repeated
 evaluation doesn't raise the rate of false positives (a mixture sequential probability ratio test).
 
-Guard: one slow or failing old replica would make a bad version look as good as the old one, and all
-callers would be moved to it. So the control consists of the best old replicas that together gave
-half of the responses.
+Guard: if the control included a slow or failing old replica, a bad version would look as good as
+the old one, and all callers would be moved to the bad version. So the control consists of the best
+old replicas that together gave half of the responses.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class EvidenceLimits:
-    """Evidence, of the total and of each route, below which a version is found sound."""
+    """Limits of the evidence of the total and of each route; below both, a version is sound."""
 
     overall: float
     by_route: float
@@ -56,13 +57,14 @@
 
 STRICT: Final = EvidenceLimits(overall=0.05, by_route=0.7)
 LENIENT: Final = EvidenceLimits(overall=0.5, by_route=1.5)
-"""LENIENT is for services with so few requests that a bad version can't exceed its exposure; they
-never have enough responses for STRICT."""
+"""LENIENT is for services with so few requests that a bad version can't exceed the exposure that a
+rollout allows (`rollout_plan`). Such services never have enough responses for STRICT."""
 
 _PRIOR_BAD: Final = 0.6
 _PRIOR_ANSWERS: Final = 20.0
-"""Prior counts that are added to the bad responses and to all responses of old replicas: a share of
-3% bad ones, since an occasional pause makes responses of a sound version bad as well."""
+"""Prior counts that are added to the number of bad responses and to that of all responses of old
+replicas. They stand for a share of 3% bad responses, since an occasional pause makes responses of a
+sound version bad as well."""
 
 
 class Verdict(enum.Enum):
--- a/libs/decisions/berylspindle_decisions/views.py
+++ b/libs/decisions/berylspindle_decisions/views.py
@@ -34,9 +34,10 @@
 def with_joined(view: View, vms: Iterable[Vm]) -> View:
     """Return the next view, with these VMs as members; present members are unchanged.
 
-    A member with the address of a joining VM has ended, since two processes cannot listen there,
-    and is removed. Otherwise, after all VMs of a data centre have crashed, their members would
-    remain with no guardian to remove them. Returns `view` itself if nothing changes.
+    If a member has the address of a joining VM, the member is removed: its process has ended, since
+    two processes cannot listen on one address. Without this rule, after a crash of all VMs of a
+    data centre their members would remain, with no guardian to remove them. Returns `view` itself
+    if nothing changes.
     """
     epoch = view.epoch + 1
     joining = [vm for vm in vms if view.member(vm.id) is None]
--- a/libs/decisions/berylspindle_decisions/watchers.py
+++ b/libs/decisions/berylspindle_decisions/watchers.py
@@ -6,8 +6,8 @@
 centre, such a start with its idle minute causes 430 calls.
 
 Terms:
-  watcher   a VM whose mirror others follow; the first one follows the store, each other one a
-            watcher that is ranked before it
+  watcher   a VM whose mirror others follow; the first watcher follows the store, and each other
+            watcher follows one that is ranked before it
   follower  any other VM
 
 Flow: each VM ranks the known VMs of its data centre by capacity, and equal ones by a hash of their
@@ -18,11 +18,11 @@
 first to detect that the data centre is isolated. As watchers, they report the isolation to their
 followers in their next response.
 
-Thresholds: with two watchers, one may fail without an effect: the second one calls the store as
-soon as the first is unresponsive, fails or lags, which takes 1.6 s of the 3 s that a change may
-take. There is one more per `FOLLOWERS_PER_WATCHER` VMs: a follower sends about one request per
-second and each response takes a millisecond, in total 1.6% of a watcher's core. A data centre with
-two VMs or fewer has no followers.
+Thresholds: of two watchers, one may fail without an effect. The second watcher calls the store as
+soon as the first is unresponsive, fails or lags; this takes 1.6 s of the 3 s that a change may
+take. A larger data centre has one watcher per `FOLLOWERS_PER_WATCHER` VMs. A follower sends about
+one request per second, and each response takes a millisecond, so 16 followers take 1.6% of a
+watcher's core. A data centre with two VMs or fewer has no followers.
 """
 
 from __future__ import annotations
--- a/libs/decisions/berylspindle_decisions/weighted_round_robin.py
+++ b/libs/decisions/berylspindle_decisions/weighted_round_robin.py
@@ -1,8 +1,9 @@
 """Select the service for each request of a weighted route by smooth weighted round robin.
 
 Load: a route whose requests are split between services by weight, on VMs that get about ten of its
-requests per second each. With a random draw, a service with a tenth of the weight may get half of
-its share too few or too many of the first hundred requests; with round robin at most one request.
+requests per second each. With a random draw, a service with a tenth of the weight may get half as
+many or one and a half times as many of the first hundred requests as its share; with round robin,
+it gets at most one request too few or too many.
 
 Terms:
   credit   requests that are due to a service but went to others, times the sum of weights
