--- a/libs/bench/berylspindle_bench/rollout_trials.py
+++ b/libs/bench/berylspindle_bench/rollout_trials.py
@@ -384,7 +384,7 @@
 
 
 def fault_rows() -> list[str]:
-    """Return a table of faults: share of right decisions, their times, and exposure."""
+    """Return a table of faults: share of right decisions with its 95% interval, times, exposure."""
     lines = ["fault | version | right | 95% | decided after s, median, last | beyond exposure"]
     for fault in Fault:
         for version in VERSIONS:
